--- a/agent/agent.go
+++ b/agent/agent.go
@@ -14,12 +14,12 @@
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sync/errgroup"
 
+	"bergamotstall/internal/distribution"
 	"bergamotstall/internal/events"
 	"bergamotstall/internal/flow"
 	"bergamotstall/internal/keys"
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/relay"
-	"bergamotstall/internal/spread"
+	"bergamotstall/internal/proxy"
 	"bergamotstall/internal/table"
 	"bergamotstall/internal/wait"
 )
@@ -44,8 +44,8 @@
 	metrics  *metrics.Set
 	identity *keys.Store
 	flows    *flow.Endpoint
-	relay    *relay.Relay
-	client   *spread.Client
+	relay    *proxy.Relay
+	client   *distribution.Client
 	revision atomic.Int64
 }
 
@@ -85,23 +85,23 @@
 }
 
 func (a *Agent) openRelay() error {
-	cfg := relay.Config{
+	cfg := proxy.Config{
 		ShedUnrun: a.settings.ShedUnrun,
 		Service:   a.settings.Service,
 		Host:      a.settings.Host,
 		Target:    a.settings.Target,
 		Peer:      a.settings.Peer,
-		Limits:    relay.Limits{Slots: a.settings.Slots, Connections: a.settings.Connections},
+		Limits:    proxy.Limits{Slots: a.settings.Slots, Connections: a.settings.Connections},
 		Log:       a.log,
 		Metrics:   a.metrics,
 		// The client is there before the first request is.
 		TableAge: func() time.Duration { return a.client.Status().WordAge },
 	}
 	if a.identity != nil {
-		cfg.TLS = &relay.PeerTLS{Server: a.identity.Server(keys.Agent), Client: a.identity.Client(keys.Agent)}
+		cfg.TLS = &proxy.PeerTLS{Server: a.identity.Server(keys.Agent), Client: a.identity.Client(keys.Agent)}
 	}
 	var err error
-	if a.relay, err = relay.New(cfg); err != nil {
+	if a.relay, err = proxy.New(cfg); err != nil {
 		return errors.Wrap(err, "agent: requests")
 	}
 	return nil
@@ -126,10 +126,10 @@
 }
 
 func (a *Agent) openClient() {
-	cfg := spread.ClientConfig{
+	cfg := distribution.ClientConfig{
 		Controls: a.settings.Controls,
-		Role:     spread.RoleAgent,
-		Announcement: spread.Announcement{
+		Role:     distribution.RoleAgent,
+		Announcement: distribution.Announcement{
 			Name:        a.settings.Name,
 			Incarnation: uint64(time.Now().UnixNano()),
 			DataCentre:  a.settings.DataCentre,
@@ -148,7 +148,7 @@
 	if a.identity != nil {
 		cfg.TLS = a.identity.Client(keys.Control)
 	}
-	a.client = spread.NewClient(cfg, a.apply)
+	a.client = distribution.NewClient(cfg, a.apply)
 }
 
 func (a *Agent) numbered(n table.AgentNumber) {
@@ -171,7 +171,7 @@
 func (a *Agent) Metrics() *metrics.Set { return a.metrics }
 
 // Status tells where the agent stands with control.
-func (a *Agent) Status() spread.Status { return a.client.Status() }
+func (a *Agent) Status() distribution.Status { return a.client.Status() }
 
 // Flows is the number of open flows.
 func (a *Agent) Flows() int { return a.flows.Flows() }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -13,10 +13,10 @@
 	"github.com/go-faster/errors"
 	"github.com/sirupsen/logrus"
 
+	"bergamotstall/internal/distribution"
 	"bergamotstall/internal/events"
 	"bergamotstall/internal/keys"
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/spread"
 	"bergamotstall/internal/table"
 )
 
@@ -33,7 +33,7 @@
 	metrics   *metrics.Set
 	identity  *keys.Store
 	forwarder *Forwarder
-	client    *spread.Client
+	client    *distribution.Client
 }
 
 // New opens the tunnel and prepares the subscription to control.
@@ -57,7 +57,7 @@
 	if b.forwarder, err = NewForwarder(config); err != nil {
 		return nil, err
 	}
-	b.client = spread.NewClient(b.clientConfig(), b.apply)
+	b.client = distribution.NewClient(b.clientConfig(), b.apply)
 	return b, nil
 }
 
@@ -74,12 +74,12 @@
 	return nil
 }
 
-func (b *Balancer) clientConfig() spread.ClientConfig {
+func (b *Balancer) clientConfig() distribution.ClientConfig {
 	s := b.settings
-	cfg := spread.ClientConfig{
+	cfg := distribution.ClientConfig{
 		Controls: s.Controls,
-		Role:     spread.RoleBalancer,
-		Announcement: spread.Announcement{
+		Role:     distribution.RoleBalancer,
+		Announcement: distribution.Announcement{
 			Name:        s.Name,
 			Incarnation: uint64(time.Now().UnixNano()),
 			DataCentre:  s.DataCentre,
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -9,28 +9,28 @@
 
 	"github.com/matryer/is"
 
+	"bergamotstall/internal/distribution"
 	"bergamotstall/internal/settings"
-	"bergamotstall/internal/spread"
 	"bergamotstall/internal/table"
 )
 
 // oneControl is a control VM with a table that never changes.
 type oneControl struct {
-	spread.Registrar
+	distribution.Registrar
 	table    *table.Table
-	announce chan spread.Announcement
+	announce chan distribution.Announcement
 }
 
 func (c *oneControl) Table() *table.Table       { return c.table }
 func (c *oneControl) Changed() <-chan struct{}  { return nil }
 func (c *oneControl) ContactAge() time.Duration { return 0 }
 
-func (c *oneControl) AnnounceBalancer(_ context.Context, a spread.Announcement) error {
+func (c *oneControl) AnnounceBalancer(_ context.Context, a distribution.Announcement) error {
 	c.announce <- a
 	return nil
 }
 
-func (c *oneControl) BalancerSilent(context.Context, spread.Silence) error { return nil }
+func (c *oneControl) BalancerSilent(context.Context, distribution.Silence) error { return nil }
 
 // Callers' packets go through a balancer that was told to stop for as long as its
 // grace lasts, while the fabric takes it out; control is told at once. Then it
@@ -38,8 +38,8 @@
 func TestStopForwardsThroughItsGrace(t *testing.T) {
 	is := is.New(t)
 	x := newFar(t, is)
-	control := &oneControl{table: oneService(x.service, x.tunnel), announce: make(chan spread.Announcement, 8)}
-	server := spread.NewServer(spread.ServerConfig{Name: "control-1", Source: control, Registrar: control, Log: quiet()})
+	control := &oneControl{table: oneService(x.service, x.tunnel), announce: make(chan distribution.Announcement, 8)}
+	server := distribution.NewServer(distribution.ServerConfig{Name: "control-1", Source: control, Registrar: control, Log: quiet()})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	go func() { _ = server.Serve(ln) }()
--- a/balancer/counts.go
+++ b/balancer/counts.go
@@ -7,12 +7,12 @@
 
 	"bergamotstall/internal/envelope"
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/steer"
+	"bergamotstall/internal/steering"
 )
 
 // counts are a forwarder's counters.
 type counts struct {
-	outcomes                            [steer.Outcomes]*expvar.Int
+	outcomes                            [steering.Outcomes]*expvar.Int
 	bytes, returned, returnedBytes      *expvar.Int
 	malformed, forged, unknownKey       *expvar.Int
 	noService, sendFailed               *expvar.Int
@@ -34,7 +34,7 @@
 		serviceFailed: s.Counter("balancer_service_failed"),
 	}
 	for i := range c.outcomes {
-		c.outcomes[i] = s.Counter("balancer_forward_" + steer.Outcome(i).String())
+		c.outcomes[i] = s.Counter("balancer_forward_" + steering.Outcome(i).String())
 	}
 	return c
 }
@@ -42,7 +42,7 @@
 // tally gathers a worker's counts over a batch, so that the workers meet at the
 // shared counters once a batch and not once a packet.
 type tally struct {
-	outcomes                       [steer.Outcomes]int64
+	outcomes                       [steering.Outcomes]int64
 	bytes, returned, returnedBytes int64
 	malformed, forged, unknownKey  int64
 	noService, sendFailed          int64
--- a/balancer/forwarder.go
+++ b/balancer/forwarder.go
@@ -12,7 +12,7 @@
 
 	"bergamotstall/internal/events"
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/steer"
+	"bergamotstall/internal/steering"
 	"bergamotstall/internal/table"
 )
 
@@ -50,7 +50,7 @@
 
 // view is a table in force with the sockets of its services.
 type view struct {
-	steering *steer.Map
+	steering *steering.Map
 	fronts   map[table.ServiceID]*front
 }
 
@@ -121,11 +121,11 @@
 	if f.closed || old != nil && old.steering.Revision >= t.Revision {
 		return nil
 	}
-	var before *steer.Map
+	var before *steering.Map
 	if old != nil {
 		before = old.steering
 	}
-	m, err := steer.Compile(t, time.Now(), before)
+	m, err := steering.Compile(t, time.Now(), before)
 	if err != nil {
 		f.counts.tableRefused.Add(1)
 		events.Log(f.config.Log, events.BalancerTableRefused, logrus.Fields{"revision": t.Revision, "error": err})
@@ -147,7 +147,7 @@
 
 // openFront takes over the sockets of a service whose address hasn't changed,
 // and opens others. It returns the front where it is a new one.
-func (f *Forwarder) openFront(old, fresh *view, s *steer.Service) *front {
+func (f *Forwarder) openFront(old, fresh *view, s *steering.Service) *front {
 	address := s.Address
 	if f.config.Bind.IsValid() {
 		address = netip.AddrPortFrom(f.config.Bind, s.Address.Port())
--- a/balancer/watch.go
+++ b/balancer/watch.go
@@ -4,14 +4,14 @@
 	"time"
 
 	"bergamotstall/internal/envelope"
-	"bergamotstall/internal/reach"
-	"bergamotstall/internal/steer"
+	"bergamotstall/internal/reachability"
+	"bergamotstall/internal/steering"
 )
 
 // watch moves shares on and probes the agents that don't answer, until the
 // forwarder is closed.
 func (f *Forwarder) watch() {
-	tick := time.NewTicker(reach.Tick)
+	tick := time.NewTicker(reachability.Tick)
 	defer tick.Stop()
 	for {
 		select {
@@ -19,7 +19,7 @@
 			return
 		case now := <-tick.C:
 			if v := f.reshare(now); v != nil {
-				v.steering.Probes(now, func(a *steer.Agent) { f.probe(v.steering, a) })
+				v.steering.Probes(now, func(a *steering.Agent) { f.probe(v.steering, a) })
 			}
 		}
 	}
@@ -40,7 +40,7 @@
 	return v
 }
 
-func (f *Forwarder) probe(m *steer.Map, a *steer.Agent) {
+func (f *Forwarder) probe(m *steering.Map, a *steering.Agent) {
 	h := envelope.Header{
 		Kind:       envelope.Probe,
 		Generation: m.Generation,
--- a/balancer/workers.go
+++ b/balancer/workers.go
@@ -8,7 +8,7 @@
 	"golang.org/x/net/ipv4"
 
 	"bergamotstall/internal/envelope"
-	"bergamotstall/internal/steer"
+	"bergamotstall/internal/steering"
 	"bergamotstall/internal/table"
 )
 
@@ -41,13 +41,13 @@
 type forwardWorker struct {
 	forwarder *Forwarder
 	front     *front
-	router    steer.Router
+	router    steering.Router
 	header    envelope.Header
 	batch     *outBatch
 	tally     tally
 }
 
-func (w *forwardWorker) one(now time.Time, v *view, service *steer.Service, m *ipv4.Message) {
+func (w *forwardWorker) one(now time.Time, v *view, service *steering.Service, m *ipv4.Message) {
 	caller := unmap(m.Addr.(*net.UDPAddr).AddrPort())
 	out, agent, outcome := w.wrap(v.steering, service, caller, m.Buffers[0][:m.N])
 	w.tally.outcomes[outcome]++
@@ -60,9 +60,9 @@
 }
 
 // wrap steers a packet and puts it into an envelope.
-func (w *forwardWorker) wrap(m *steer.Map, service *steer.Service, caller netip.AddrPort, packet []byte) ([]byte, *steer.Agent, steer.Outcome) {
+func (w *forwardWorker) wrap(m *steering.Map, service *steering.Service, caller netip.AddrPort, packet []byte) ([]byte, *steering.Agent, steering.Outcome) {
 	if len(packet) > envelope.MaxPayload {
-		return nil, nil, steer.DropOversize
+		return nil, nil, steering.DropOversize
 	}
 	agent, outcome := w.router.Route(m, service, caller, packet)
 	if outcome.Dropped() {
@@ -77,16 +77,16 @@
 		Revision:   m.Revision,
 	}
 	switch outcome {
-	case steer.Unreachable:
+	case steering.Unreachable:
 		w.header.Kind = envelope.Orphan
-	case steer.NewAvoiding:
+	case steering.NewAvoiding:
 		// Counted as a hop, so that no agent hands it to the one avoided.
 		w.header.Hops = 1
 		w.header.HandedBy = w.router.Avoided
 	}
 	out, err := m.Envelopes.Append(w.batch.next(), &w.header, packet)
 	if err != nil {
-		return nil, nil, steer.DropMalformed
+		return nil, nil, steering.DropMalformed
 	}
 	return out, agent, outcome
 }
--- a/cmd/bergamotctl/experiment_pass.go
+++ b/cmd/bergamotctl/experiment_pass.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"bergamotstall/internal/pass/model"
+	"bergamotstall/internal/passthrough/simulation"
 	"bergamotstall/internal/report"
 )
 
@@ -22,16 +22,16 @@
 // runPass plays drawn deployments and prints what callers get.
 func runPass(c *call, o passOptions) int {
 	began := time.Now()
-	variants := []model.Variant{model.Reference()}
+	variants := []simulation.Variant{simulation.Reference()}
 	if o.ablation {
-		variants = append(variants, model.Ablation()...)
+		variants = append(variants, simulation.Ablation()...)
 	}
 	if o.sweep {
-		variants = append(variants, model.Sweep()...)
+		variants = append(variants, simulation.Sweep()...)
 	}
-	scenarios := model.Scenarios()
-	all := model.Compare(variants, scenarios, o.deployments, o.seed)
-	model.Write(c.out, scenarios, all)
+	scenarios := simulation.Scenarios()
+	all := simulation.Compare(variants, scenarios, o.deployments, o.seed)
+	simulation.Write(c.out, scenarios, all)
 	fmt.Fprintf(c.errOut, "played in %v\n", time.Since(began).Round(time.Second))
 	if o.plot == "" {
 		return exitOK
--- a/cmd/bergamotctl/load.go
+++ b/cmd/bergamotctl/load.go
@@ -5,14 +5,14 @@
 	"fmt"
 	"time"
 
-	"bergamotstall/internal/load"
+	"bergamotstall/internal/loadgen"
 	"bergamotstall/internal/report"
 )
 
 // runLoad plays callers against one service and reports what they got.
 func runLoad(ctx context.Context, c *call) int {
 	f := c.caller()
-	spec := load.Spec{}
+	spec := loadgen.Spec{}
 	f.flags.StringVar(&spec.Service, "service", "", "the service's `name`; answers of another are counted as damaged")
 	f.flags.IntVar(&spec.Flows, "flows", 10, "flows open at once (closed loop), or at most (open loop)")
 	f.flags.Float64Var(&spec.Rate, "rate", 0, "new flows a second (open loop); 0 is a closed loop")
@@ -37,17 +37,17 @@
 		return exitUsage
 	}
 	spec.TLS = config
-	rec := load.NewRecorder()
+	rec := loadgen.NewRecorder()
 	ctx, cancel := context.WithTimeout(ctx, *length)
 	defer cancel()
-	if err := load.Run(ctx, spec, rec); err != nil {
+	if err := loadgen.Run(ctx, spec, rec); err != nil {
 		fmt.Fprintln(c.errOut, "bergamotctl load:", err)
 		return exitUsage
 	}
 	return c.reportLoad(rec, f.json, *folder, spec)
 }
 
-func (c *call) reportLoad(rec *load.Recorder, json bool, folder string, spec load.Spec) int {
+func (c *call) reportLoad(rec *loadgen.Recorder, json bool, folder string, spec loadgen.Spec) int {
 	summary := rec.Report()
 	if json {
 		c.printJSON(summary)
--- a/control/backend.go
+++ b/control/backend.go
@@ -9,7 +9,7 @@
 	"bergamotstall/internal/catalogue"
 	"bergamotstall/internal/events"
 	"bergamotstall/internal/operator"
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 	"bergamotstall/internal/replica"
 )
 
@@ -119,7 +119,7 @@
 	return nil
 }
 
-func memberNamed(s replica.Status, name string) (quorum.ID, bool) {
+func memberNamed(s replica.Status, name string) (raft.ID, bool) {
 	for _, m := range s.Members {
 		if m.Name == name {
 			return m.ID, true
@@ -131,8 +131,8 @@
 // memberError keeps the reason of a refusal; anything else is a lack of quorum.
 func memberError(err error) error {
 	for _, refusal := range []error{
-		replica.ErrNobody, quorum.ErrChangeOpen, quorum.ErrUnknown, quorum.ErrMember,
-		quorum.ErrRemoved, quorum.ErrTooMany, quorum.ErrLastVoter, quorum.ErrNameInUse,
+		replica.ErrNobody, raft.ErrChangeOpen, raft.ErrUnknown, raft.ErrMember,
+		raft.ErrRemoved, raft.ErrTooMany, raft.ErrLastVoter, raft.ErrNameInUse,
 	} {
 		if errors.Is(err, refusal) {
 			return refusal
--- a/control/control.go
+++ b/control/control.go
@@ -14,11 +14,11 @@
 	"golang.org/x/sync/errgroup"
 
 	"bergamotstall/internal/catalogue"
+	"bergamotstall/internal/distribution"
 	"bergamotstall/internal/events"
 	"bergamotstall/internal/metrics"
 	"bergamotstall/internal/operator"
 	"bergamotstall/internal/replica"
-	"bergamotstall/internal/spread"
 	"bergamotstall/internal/table"
 )
 
@@ -34,7 +34,7 @@
 	catalogue *catalogue.Catalogue
 	log       Log
 	registrar *registrar
-	spread    *spread.Server
+	spread    *distribution.Server
 	security  security
 }
 
@@ -86,7 +86,7 @@
 func (c *Control) open(log Log) {
 	c.log = log
 	c.registrar = &registrar{vm: c.settings.Name, log: log, now: time.Now, logger: c.logger, metrics: c.metrics}
-	c.spread = spread.NewServer(spread.ServerConfig{
+	c.spread = distribution.NewServer(distribution.ServerConfig{
 		Name: c.settings.Name, Source: c, Registrar: c.registrar, TLS: c.security.subscribers,
 		Log: c.logger, Metrics: c.metrics,
 	})
@@ -106,7 +106,7 @@
 // Metrics returns the VM's counters.
 func (c *Control) Metrics() *metrics.Set { return c.metrics }
 
-// Table, Changed and ContactAge make a Control a spread.Source.
+// Table, Changed and ContactAge make a Control a distribution.Source.
 func (c *Control) Table() *table.Table { return c.catalogue.Table() }
 
 // Changed returns a channel that is closed at the next change of Table.
@@ -157,7 +157,7 @@
 		// Subscribers are told to go elsewhere.
 		stop := context.AfterFunc(ctx, c.spread.Close)
 		defer stop()
-		if err := c.spread.Serve(subscribers); !errors.Is(err, spread.ErrClosed) {
+		if err := c.spread.Serve(subscribers); !errors.Is(err, distribution.ErrClosed) {
 			return err
 		}
 		return nil
--- a/control/cost_test.go
+++ b/control/cost_test.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"testing"
 
-	"bergamotstall/internal/spread"
+	"bergamotstall/internal/distribution"
 )
 
 // BenchmarkCommand measures what an operator waits for one accepted command:
@@ -42,7 +42,7 @@
 				for pb.Next() {
 					i := next.Add(1)
 					host := fmt.Sprint("casework-", i%hosts)
-					a := spread.Announcement{
+					a := distribution.Announcement{
 						Name: host, Incarnation: 1, Attachment: i, Tunnel: "127.0.2.1:9000", Peer: "127.0.2.1:9001",
 						Service: "casework", Host: host, Slots: 4, Connections: 2000,
 					}
--- a/control/registrar.go
+++ b/control/registrar.go
@@ -8,11 +8,11 @@
 	"github.com/sirupsen/logrus"
 
 	"bergamotstall/internal/catalogue"
+	"bergamotstall/internal/distribution"
 	"bergamotstall/internal/events"
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 	"bergamotstall/internal/replica"
-	"bergamotstall/internal/spread"
 	"bergamotstall/internal/table"
 )
 
@@ -26,8 +26,8 @@
 	ContactAge() time.Duration
 	// Status is this VM's view of the cluster.
 	Status() replica.Status
-	RemoveMember(ctx context.Context, id quorum.ID) error
-	ReplaceMember(ctx context.Context, old quorum.ID) error
+	RemoveMember(ctx context.Context, id raft.ID) error
+	ReplaceMember(ctx context.Context, old raft.ID) error
 	// Done is closed once the replica has ended; Err then tells why.
 	Done() <-chan struct{}
 	Err() error
@@ -43,7 +43,7 @@
 	metrics *metrics.Set
 }
 
-var _ spread.Registrar = (*registrar)(nil)
+var _ distribution.Registrar = (*registrar)(nil)
 
 // submit proposes a command under this VM's name and clock. Where the outcome
 // is unknown it proposes the same bytes again until ctx ends: an operator's
@@ -72,8 +72,8 @@
 	return out, nil
 }
 
-// AnnounceAgent implements spread.Registrar.
-func (r *registrar) AnnounceAgent(ctx context.Context, a spread.Announcement) (table.AgentNumber, error) {
+// AnnounceAgent implements distribution.Registrar.
+func (r *registrar) AnnounceAgent(ctx context.Context, a distribution.Announcement) (table.AgentNumber, error) {
 	out, err := r.submit(ctx, &catalogue.Command{AnnounceAgent: &catalogue.AnnounceAgent{Announcement: a}})
 	if err != nil {
 		return 0, err
@@ -82,8 +82,8 @@
 	return out.Agent, out.Err()
 }
 
-// AnnounceBalancer implements spread.Registrar.
-func (r *registrar) AnnounceBalancer(ctx context.Context, a spread.Announcement) error {
+// AnnounceBalancer implements distribution.Registrar.
+func (r *registrar) AnnounceBalancer(ctx context.Context, a distribution.Announcement) error {
 	out, err := r.submit(ctx, &catalogue.Command{AnnounceBalancer: &catalogue.AnnounceBalancer{Announcement: a}})
 	if err != nil {
 		return err
@@ -92,14 +92,14 @@
 	return out.Err()
 }
 
-// AgentSilent implements spread.Registrar.
-func (r *registrar) AgentSilent(ctx context.Context, s spread.Silence) error {
+// AgentSilent implements distribution.Registrar.
+func (r *registrar) AgentSilent(ctx context.Context, s distribution.Silence) error {
 	out, err := r.submit(ctx, &catalogue.Command{AgentSilent: &s})
 	return r.silence(out, err, s.Name)
 }
 
-// BalancerSilent implements spread.Registrar.
-func (r *registrar) BalancerSilent(ctx context.Context, s spread.Silence) error {
+// BalancerSilent implements distribution.Registrar.
+func (r *registrar) BalancerSilent(ctx context.Context, s distribution.Silence) error {
 	out, err := r.submit(ctx, &catalogue.Command{BalancerSilent: &s})
 	return r.silence(out, err, s.Name)
 }
--- a/control/subscribers_test.go
+++ b/control/subscribers_test.go
@@ -10,15 +10,15 @@
 	"github.com/matryer/is"
 	"github.com/sirupsen/logrus"
 
+	"bergamotstall/internal/distribution"
 	"bergamotstall/internal/operator"
-	"bergamotstall/internal/spread"
 	"bergamotstall/internal/table"
 )
 
 // process is a balancer or agent as control sees it: its stream and the tables
 // that it applied.
 type process struct {
-	client *spread.Client
+	client *distribution.Client
 	cancel context.CancelFunc
 	ended  chan struct{}
 
@@ -38,15 +38,15 @@
 	<-p.ended
 }
 
-func (c *cluster) attach(role spread.Role, a spread.Announcement, vms ...*vm) *process {
+func (c *cluster) attach(role distribution.Role, a distribution.Announcement, vms ...*vm) *process {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	cfg := spread.ClientConfig{Role: role, Announcement: a, Log: log, Seed: 1}
+	cfg := distribution.ClientConfig{Role: role, Announcement: a, Log: log, Seed: 1}
 	for _, v := range vms {
 		cfg.Controls = append(cfg.Controls, v.settings.Subscribers)
 	}
 	p := &process{ended: make(chan struct{}), newest: &table.Table{}}
-	p.client = spread.NewClient(cfg, func(t *table.Table) error {
+	p.client = distribution.NewClient(cfg, func(t *table.Table) error {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.newest = t
@@ -63,14 +63,14 @@
 }
 
 func (c *cluster) agent(host string, vms ...*vm) *process {
-	return c.attach(spread.RoleAgent, spread.Announcement{
+	return c.attach(distribution.RoleAgent, distribution.Announcement{
 		Name: host, Incarnation: 1, DataCentre: "accra-a", Tunnel: "127.0.2.1:9000", Peer: "127.0.2.1:9001",
 		Service: "casework", Host: host, Slots: 4, Connections: 2000,
 	}, vms...)
 }
 
 func (c *cluster) balancer(name string, vms ...*vm) *process {
-	return c.attach(spread.RoleBalancer, spread.Announcement{Name: name, Incarnation: 1, DataCentre: "accra-a", Tunnel: "127.0.3.1:7000"}, vms...)
+	return c.attach(distribution.RoleBalancer, distribution.Announcement{Name: name, Incarnation: 1, DataCentre: "accra-a", Tunnel: "127.0.3.1:7000"}, vms...)
 }
 
 func states(t *table.Table) map[string]table.State {
--- a/control/watch.go
+++ b/control/watch.go
@@ -8,10 +8,10 @@
 	"github.com/sirupsen/logrus"
 
 	"bergamotstall/internal/catalogue"
+	"bergamotstall/internal/distribution"
 	"bergamotstall/internal/events"
 	"bergamotstall/internal/keys"
 	"bergamotstall/internal/replica"
-	"bergamotstall/internal/spread"
 )
 
 const (
@@ -83,15 +83,15 @@
 func (c *Control) adoptOrphans() {
 	agents, balancers := c.orphans()
 	if len(agents) > 0 {
-		c.spread.Adopt(spread.RoleAgent, agents)
+		c.spread.Adopt(distribution.RoleAgent, agents)
 	}
 	if len(balancers) > 0 {
-		c.spread.Adopt(spread.RoleBalancer, balancers)
+		c.spread.Adopt(distribution.RoleBalancer, balancers)
 	}
 }
 
 // orphans are the subscribers that this VM has to watch over.
-func (c *Control) orphans() (agents, balancers []spread.Silence) {
+func (c *Control) orphans() (agents, balancers []distribution.Silence) {
 	status := c.log.Status()
 	return c.catalogue.HeardVia(func(vm string) bool {
 		return vm == c.settings.Name || (status.Leader == status.ID && gone(status, vm))
@@ -110,7 +110,7 @@
 
 // reportSuspects reports processes again that are still silent and that the
 // state would now believe to be gone.
-func (c *Control) reportSuspects(ctx context.Context, agents, balancers []spread.Silence) {
+func (c *Control) reportSuspects(ctx context.Context, agents, balancers []distribution.Silence) {
 	for _, s := range agents {
 		_ = c.registrar.AgentSilent(ctx, s)
 	}
--- a/control/watch_test.go
+++ b/control/watch_test.go
@@ -12,11 +12,11 @@
 	"github.com/sirupsen/logrus"
 
 	"bergamotstall/internal/catalogue"
+	"bergamotstall/internal/distribution"
 	"bergamotstall/internal/metrics"
 	"bergamotstall/internal/operator"
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 	"bergamotstall/internal/replica"
-	"bergamotstall/internal/spread"
 )
 
 // fakeLog is a log of one replica in memory.
@@ -53,9 +53,9 @@
 
 func (l *fakeLog) Status() replica.Status { return l.status }
 
-func (l *fakeLog) RemoveMember(context.Context, quorum.ID) error { return nil }
+func (l *fakeLog) RemoveMember(context.Context, raft.ID) error { return nil }
 
-func (l *fakeLog) ReplaceMember(context.Context, quorum.ID) error { return nil }
+func (l *fakeLog) ReplaceMember(context.Context, raft.ID) error { return nil }
 
 func (l *fakeLog) Done() <-chan struct{} { return l.ended }
 
@@ -135,7 +135,7 @@
 	is := is.New(t)
 	l := newFakeLog()
 	for i, name := range []string{"a", "b", "c"} {
-		m := quorum.MemberStatus{Member: quorum.Member{ID: quorum.ID(i + 1), Name: name}}
+		m := raft.MemberStatus{Member: raft.Member{ID: raft.ID(i + 1), Name: name}}
 		l.status.Members = append(l.status.Members, m)
 	}
 	l.status.ID, l.status.Leader = 1, 1
@@ -143,7 +143,7 @@
 	for _, via := range []string{"a", "b", "c", "removed"} {
 		r := &registrar{vm: via, log: l, now: time.Now, logger: logrus.New(), metrics: metrics.New()}
 		r.logger.(*logrus.Logger).SetOutput(io.Discard)
-		is.NoErr(r.AnnounceBalancer(t.Context(), spread.Announcement{Name: "at-" + via, Incarnation: 1, Attachment: 1, Tunnel: "127.0.3.1:7000"}))
+		is.NoErr(r.AnnounceBalancer(t.Context(), distribution.Announcement{Name: "at-" + via, Incarnation: 1, Attachment: 1, Tunnel: "127.0.3.1:7000"}))
 	}
 	c := controlOn(l)
 	defer c.Close()
@@ -152,7 +152,7 @@
 	is.Equal(names(c.orphans()), []string{"at-a"})
 }
 
-func names(_, balancers []spread.Silence) []string {
+func names(_, balancers []distribution.Silence) []string {
 	var out []string
 	for _, s := range balancers {
 		out = append(out, s.Name)
--- a/internal/admit/admit.go
+++ b/internal/admission/admission.go
@@ -1,4 +1,4 @@
-// Package admit decides what happens to a request at one host: let in, wait or
+// Package admission decides what happens to a request at one host: let in, wait or
 // turn away. It has no network and no clock; the caller passes the time, as a
 // duration since any fixed origin.
 //
@@ -22,7 +22,7 @@
 //   - Late work: a request whose deadline would pass while it waits, judged by
 //     the slot times seen so far, is turned away at once, when the caller can
 //     still go elsewhere; one whose deadline has passed never starts.
-package admit
+package admission
 
 import (
 	"slices"
--- a/internal/admit/condition.go
+++ b/internal/admission/condition.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 import "time"
 
--- a/internal/catalogue/agents.go
+++ b/internal/catalogue/agents.go
@@ -6,7 +6,7 @@
 	"net/netip"
 	"slices"
 
-	"bergamotstall/internal/spread"
+	"bergamotstall/internal/distribution"
 	"bergamotstall/internal/table"
 )
 
@@ -32,7 +32,7 @@
 }
 
 // announcementFault says what an agent's announcement lacks.
-func announcementFault(a *spread.Announcement) string {
+func announcementFault(a *distribution.Announcement) string {
 	switch {
 	case a.Name == "" || len(a.Name) > maxNameLength:
 		return fmt.Sprintf("an agent's name has 1 to %d bytes", maxNameLength)
@@ -55,7 +55,7 @@
 
 // incarnation finds the record of an incarnation that announced itself before.
 // Only retired records are looked through beside the name's current one.
-func (c *Catalogue) incarnation(a *spread.Announcement) *Agent {
+func (c *Catalogue) incarnation(a *distribution.Announcement) *Agent {
 	for i := len(c.state.Agents) - 1; i >= 0; i-- {
 		x := &c.state.Agents[i]
 		if x.Incarnation == a.Incarnation && x.Name == a.Name {
@@ -67,7 +67,7 @@
 
 // announceAgain brings a known incarnation up to date. Its number stays; one
 // that went out on silence comes back, since nobody else ever got its number.
-func (c *Catalogue) announceAgain(x *Agent, service table.ServiceID, a *spread.Announcement, via string) Outcome {
+func (c *Catalogue) announceAgain(x *Agent, service table.ServiceID, a *distribution.Announcement, via string) Outcome {
 	if x.Service != service || x.Host != a.Host {
 		return c.outcome(NotValid, fmt.Sprintf("agent %d is bound to its service and host", x.Number))
 	}
@@ -112,7 +112,7 @@
 // An agent counts as joined at the proposer's time where that is later than the
 // state's clock: whoever asks how long an agent can have remembered keys must
 // never take it for older than it is.
-func (c *Catalogue) register(service Service, a *spread.Announcement, cmd *Command) Outcome {
+func (c *Catalogue) register(service Service, a *distribution.Announcement, cmd *Command) Outcome {
 	c.replace(c.agents[a.Name])
 	c.replace(c.hostOf[place{service.ID, a.Host}])
 	c.state.LastAgent++
--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -8,7 +8,7 @@
 	"github.com/go-faster/errors"
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/spread"
+	"bergamotstall/internal/distribution"
 	"bergamotstall/internal/table"
 )
 
@@ -86,8 +86,8 @@
 	return Command{AnnounceAgent: &AnnounceAgent{Announcement: agentOf(service, n, incarnation)}}
 }
 
-func agentOf(service string, n int, incarnation uint64) spread.Announcement {
-	return spread.Announcement{
+func agentOf(service string, n int, incarnation uint64) distribution.Announcement {
+	return distribution.Announcement{
 		Name: fmt.Sprintf("%s-agent-%d", service, n), Incarnation: incarnation, Attachment: 1,
 		DataCentre: fmt.Sprintf("accra-%c", 'a'+n%3), Tunnel: fmt.Sprintf("127.0.2.%d:9000", n+1),
 		Peer: fmt.Sprintf("127.0.2.%d:9001", n+1), Service: service, Host: fmt.Sprintf("%s-%d", service, n),
@@ -96,7 +96,7 @@
 }
 
 func silent(a *Agent) Command {
-	return Command{AgentSilent: &spread.Silence{Name: a.Name, Agent: a.Number, Incarnation: a.Incarnation, Attachment: a.Attachment}}
+	return Command{AgentSilent: &distribution.Silence{Name: a.Name, Agent: a.Number, Incarnation: a.Incarnation, Attachment: a.Attachment}}
 }
 
 // withTargets is a catalogue with n casework targets.
--- a/internal/catalogue/command.go
+++ b/internal/catalogue/command.go
@@ -3,7 +3,7 @@
 import (
 	"crypto/sha256"
 
-	"bergamotstall/internal/spread"
+	"bergamotstall/internal/distribution"
 	"bergamotstall/internal/table"
 )
 
@@ -27,16 +27,16 @@
 	// AtMS is the proposer's clock in Unix milliseconds.
 	AtMS int64 `msg:"t"`
 
-	Apply            *ApplyCatalogue   `msg:"ap,omitempty"`
-	Switch           *SwitchPreset     `msg:"sw,omitempty"`
-	Drain            *DrainHost        `msg:"dr,omitempty"`
-	Undrain          *UndrainHost      `msg:"un,omitempty"`
-	RotateKeys       *RotateKeys       `msg:"ro,omitempty"`
-	AnnounceAgent    *AnnounceAgent    `msg:"aa,omitempty"`
-	AnnounceBalancer *AnnounceBalancer `msg:"ab,omitempty"`
-	AgentSilent      *spread.Silence   `msg:"as,omitempty"`
-	BalancerSilent   *spread.Silence   `msg:"bs,omitempty"`
-	Sweep            *Sweep            `msg:"sp,omitempty"`
+	Apply            *ApplyCatalogue       `msg:"ap,omitempty"`
+	Switch           *SwitchPreset         `msg:"sw,omitempty"`
+	Drain            *DrainHost            `msg:"dr,omitempty"`
+	Undrain          *UndrainHost          `msg:"un,omitempty"`
+	RotateKeys       *RotateKeys           `msg:"ro,omitempty"`
+	AnnounceAgent    *AnnounceAgent        `msg:"aa,omitempty"`
+	AnnounceBalancer *AnnounceBalancer     `msg:"ab,omitempty"`
+	AgentSilent      *distribution.Silence `msg:"as,omitempty"`
+	BalancerSilent   *distribution.Silence `msg:"bs,omitempty"`
+	Sweep            *Sweep                `msg:"sp,omitempty"`
 }
 
 // ApplyCatalogue replaces all services and presets.
@@ -86,12 +86,12 @@
 
 // AnnounceAgent registers an agent's incarnation.
 type AnnounceAgent struct {
-	Announcement spread.Announcement `msg:"a"`
+	Announcement distribution.Announcement `msg:"a"`
 }
 
 // AnnounceBalancer registers a balancer, or takes it out where Draining is set.
 type AnnounceBalancer struct {
-	Announcement spread.Announcement `msg:"a"`
+	Announcement distribution.Announcement `msg:"a"`
 }
 
 // Sweep is the leader's alone: it sets the state's clock, and steps that are due
--- a/internal/catalogue/command_gen.go
+++ b/internal/catalogue/command_gen.go
@@ -3,7 +3,7 @@
 package catalogue
 
 import (
-	"bergamotstall/internal/spread"
+	"bergamotstall/internal/distribution"
 	"bergamotstall/internal/table"
 
 	"github.com/tinylib/msgp/msgp"
@@ -766,7 +766,7 @@
 				z.AgentSilent = nil
 			} else {
 				if z.AgentSilent == nil {
-					z.AgentSilent = new(spread.Silence)
+					z.AgentSilent = new(distribution.Silence)
 				}
 				bts, err = z.AgentSilent.UnmarshalMsg(bts)
 				if err != nil {
@@ -783,7 +783,7 @@
 				z.BalancerSilent = nil
 			} else {
 				if z.BalancerSilent == nil {
-					z.BalancerSilent = new(spread.Silence)
+					z.BalancerSilent = new(distribution.Silence)
 				}
 				bts, err = z.BalancerSilent.UnmarshalMsg(bts)
 				if err != nil {
--- a/internal/catalogue/fuzz_test.go
+++ b/internal/catalogue/fuzz_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/tinylib/msgp/msgp"
 
-	"bergamotstall/internal/spread"
+	"bergamotstall/internal/distribution"
 )
 
 // A command that crashed Apply would crash every replica, and again at each
@@ -19,8 +19,8 @@
 		{ID: "c", Drain: &DrainHost{Host: "casework-0"}}, {ID: "d", Undrain: &UndrainHost{Host: "casework-0"}},
 		{ID: "e", RotateKeys: &RotateKeys{Step: KeyFirst, Keys: someKeys()}}, {ID: "f", RotateKeys: &RotateKeys{Step: KeyDrop, Early: true}},
 		{AnnounceAgent: &AnnounceAgent{Announcement: agent}}, {AnnounceBalancer: &AnnounceBalancer{Announcement: agent}},
-		{AgentSilent: &spread.Silence{Name: agent.Name, Agent: 1, Incarnation: 1, Attachment: 1}},
-		{BalancerSilent: &spread.Silence{Name: "b"}}, {Sweep: &Sweep{}, AtMS: 1 << 62}, {Sweep: &Sweep{}, AtMS: -1 << 62},
+		{AgentSilent: &distribution.Silence{Name: agent.Name, Agent: 1, Incarnation: 1, Attachment: 1}},
+		{BalancerSilent: &distribution.Silence{Name: "b"}}, {Sweep: &Sweep{}, AtMS: 1 << 62}, {Sweep: &Sweep{}, AtMS: -1 << 62},
 	} {
 		data, err := cmd.MarshalMsg(nil)
 		if err != nil {
--- a/internal/catalogue/property_test.go
+++ b/internal/catalogue/property_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"bergamotstall/internal/spread"
+	"bergamotstall/internal/distribution"
 	"bergamotstall/internal/table"
 )
 
@@ -46,9 +46,9 @@
 		return Command{Sweep: &Sweep{}}
 	case 10:
 		name := fmt.Sprint("b", host)
-		return Command{AnnounceBalancer: &AnnounceBalancer{Announcement: spread.Announcement{Name: name, Incarnation: 1, Tunnel: "127.0.3.1:7000"}}}
+		return Command{AnnounceBalancer: &AnnounceBalancer{Announcement: distribution.Announcement{Name: name, Incarnation: 1, Tunnel: "127.0.3.1:7000"}}}
 	case 11:
-		return Command{BalancerSilent: &spread.Silence{Name: fmt.Sprint("b", host), Incarnation: 1}}
+		return Command{BalancerSilent: &distribution.Silence{Name: fmt.Sprint("b", host), Incarnation: 1}}
 	}
 	return cmd
 }
--- a/internal/catalogue/read.go
+++ b/internal/catalogue/read.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"bergamotstall/internal/spread"
+	"bergamotstall/internal/distribution"
 	"bergamotstall/internal/table"
 )
 
@@ -114,7 +114,7 @@
 
 // HeardVia returns the subscribers that are in touch, as far as the state knows,
 // via one of the control VMs that the function picks.
-func (c *Catalogue) HeardVia(vm func(string) bool) (agents, balancers []spread.Silence) {
+func (c *Catalogue) HeardVia(vm func(string) bool) (agents, balancers []distribution.Silence) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	for i := range c.state.Agents {
@@ -130,12 +130,12 @@
 	return agents, balancers
 }
 
-func (a *Agent) report() spread.Silence {
-	return spread.Silence{Name: a.Name, Agent: a.Number, Incarnation: a.Incarnation, Attachment: a.Attachment}
+func (a *Agent) report() distribution.Silence {
+	return distribution.Silence{Name: a.Name, Agent: a.Number, Incarnation: a.Incarnation, Attachment: a.Attachment}
 }
 
-func (b *BalancerRecord) report() spread.Silence {
-	return spread.Silence{Name: b.Name, Incarnation: b.Incarnation, Attachment: b.Attachment}
+func (b *BalancerRecord) report() distribution.Silence {
+	return distribution.Silence{Name: b.Name, Incarnation: b.Incarnation, Attachment: b.Attachment}
 }
 
 // suspected is a service's targets that work, or those that don't.
@@ -148,7 +148,7 @@
 // and would be at now: at most one of each kind for each service, and one
 // balancer's, since each that goes out changes the count. A suspicion ends when its process
 // announces itself anywhere, so what is left has been silent ever since.
-func (c *Catalogue) BelievableSuspects(now time.Time) (agents, balancers []spread.Silence) {
+func (c *Catalogue) BelievableSuspects(now time.Time) (agents, balancers []distribution.Silence) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	nowMS := max(now.UnixMilli(), c.state.ClockMS)
--- a/internal/catalogue/silence_test.go
+++ b/internal/catalogue/silence_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/spread"
+	"bergamotstall/internal/distribution"
 	"bergamotstall/internal/table"
 )
 
@@ -282,10 +282,10 @@
 	is := is.New(t)
 	h := newHarness()
 	for _, name := range []string{"b1", "b2", "b3"} {
-		h.do(Command{AnnounceBalancer: &AnnounceBalancer{Announcement: spread.Announcement{Name: name, Incarnation: 1, Attachment: 1, Tunnel: "127.0.3.1:7000"}}})
+		h.do(Command{AnnounceBalancer: &AnnounceBalancer{Announcement: distribution.Announcement{Name: name, Incarnation: 1, Attachment: 1, Tunnel: "127.0.3.1:7000"}}})
 	}
 	for _, name := range []string{"b1", "b2", "b3"} {
-		h.do(Command{BalancerSilent: &spread.Silence{Name: name, Incarnation: 1, Attachment: 1}})
+		h.do(Command{BalancerSilent: &distribution.Silence{Name: name, Incarnation: 1, Attachment: 1}})
 	}
 	is.Equal(len(h.Table().Balancers), 2)
 }
--- a/internal/catalogue/size_test.go
+++ b/internal/catalogue/size_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"bergamotstall/internal/spread"
+	"bergamotstall/internal/distribution"
 )
 
 // sizes are hosts and services; the last is the letter's.
@@ -177,9 +177,9 @@
 }
 
 // announcementOf repeats what one of the first agents announced.
-func announcementOf(h *harness, n int) spread.Announcement {
+func announcementOf(h *harness, n int) distribution.Announcement {
 	a := &h.state.Agents[n%len(h.state.Agents)]
-	return spread.Announcement{
+	return distribution.Announcement{
 		Name: a.Name, Incarnation: a.Incarnation, Attachment: a.Attachment + 1, DataCentre: a.DataCentre,
 		Tunnel: a.Tunnel, Peer: a.Peer, Service: h.serviceName(a.Service), Host: a.Host,
 		Slots: a.Slots, Connections: a.Connections,
--- a/internal/catalogue/state.go
+++ b/internal/catalogue/state.go
@@ -1,7 +1,7 @@
 package catalogue
 
 import (
-	"bergamotstall/internal/claim"
+	"bergamotstall/internal/idempotency"
 	"bergamotstall/internal/table"
 )
 
@@ -62,14 +62,14 @@
 }
 
 // retiredKeptMS is how long the service's retired agents stay in the table, in
-// milliseconds: long enough for stateless resets and for package claim, whose
+// milliseconds: long enough for stateless resets and for package idempotency, whose
 // keepers they were.
 func (s *Service) retiredKeptMS() int64 {
 	window := s.Spec.KeyWindow
 	if window <= 0 {
-		window = claim.DefaultWindow
+		window = idempotency.DefaultWindow
 	}
-	return max(RetiredKept, window+claim.RowsKept).Milliseconds()
+	return max(RetiredKept, window+idempotency.RowsKept).Milliseconds()
 }
 
 // Silence says what came of reports that a process is silent.
--- a/internal/spread/body.go
+++ b/internal/distribution/body.go
@@ -1,4 +1,4 @@
-package spread
+package distribution
 
 import (
 	"bytes"
@@ -12,10 +12,10 @@
 	"bergamotstall/internal/table"
 )
 
-//go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/spread/body.go -o ../internal/spread/body_gen.go -tests=false -unexported
+//go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/distribution/body.go -o ../internal/distribution/body_gen.go -tests=false -unexported
 
 // errBody is returned for an update that can't be decoded.
-var errBody = errors.New("spread: malformed update")
+var errBody = errors.New("distribution: malformed update")
 
 const (
 	// deflateOver is the size from which compression saves more than its header.
@@ -270,7 +270,7 @@
 func encodeUpdate(u *update) (data []byte, deflated bool, err error) {
 	raw, err := bodyOf(u).MarshalMsg(nil)
 	if err != nil {
-		return nil, false, errors.Wrap(err, "spread: encode update")
+		return nil, false, errors.Wrap(err, "distribution: encode update")
 	}
 	if len(raw) < deflateOver {
 		return raw, false, nil
@@ -289,13 +289,13 @@
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.DefaultCompression)
 	if err != nil {
-		return nil, errors.Wrap(err, "spread: deflate")
+		return nil, errors.Wrap(err, "distribution: deflate")
 	}
 	if _, err := w.Write(raw); err != nil {
-		return nil, errors.Wrap(err, "spread: deflate")
+		return nil, errors.Wrap(err, "distribution: deflate")
 	}
 	if err := w.Close(); err != nil {
-		return nil, errors.Wrap(err, "spread: deflate")
+		return nil, errors.Wrap(err, "distribution: deflate")
 	}
 	return out.Bytes(), nil
 }
--- a/internal/spread/client.go
+++ b/internal/distribution/client.go
@@ -1,4 +1,4 @@
-package spread
+package distribution
 
 import (
 	"context"
@@ -41,14 +41,14 @@
 // Errors that end a subscriber's stream.
 var (
 	// ErrNoControls is returned for a client without control VMs.
-	ErrNoControls = errors.New("spread: no control VMs given")
+	ErrNoControls = errors.New("distribution: no control VMs given")
 
-	errTLS      = errors.New("spread: TLS with a control VM failed")
-	errStale    = errors.New("spread: control VM is out of touch with a quorum")
-	errBehind   = errors.New("spread: control VM is behind the revision held")
-	errRefused  = errors.New("spread: control VM refused the stream")
-	errProtocol = errors.New("spread: unexpected frame")
-	errMismatch = errors.New("spread: table differs from control's again and again")
+	errTLS      = errors.New("distribution: TLS with a control VM failed")
+	errStale    = errors.New("distribution: control VM is out of touch with a quorum")
+	errBehind   = errors.New("distribution: control VM is behind the revision held")
+	errRefused  = errors.New("distribution: control VM refused the stream")
+	errProtocol = errors.New("distribution: unexpected frame")
+	errMismatch = errors.New("distribution: table differs from control's again and again")
 )
 
 // ClientConfig is what a subscriber needs.
--- a/internal/spread/client_stream.go
+++ b/internal/distribution/client_stream.go
@@ -1,4 +1,4 @@
-package spread
+package distribution
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"github.com/sirupsen/logrus"
 
 	"bergamotstall/internal/events"
+	"bergamotstall/internal/framing"
 	"bergamotstall/internal/keys"
 	"bergamotstall/internal/table"
-	"bergamotstall/internal/wire"
 )
 
 // mismatchLimit is how many tables in a row may fail their digest before the
@@ -22,7 +22,7 @@
 // clientStream is one attachment.
 type clientStream struct {
 	client     *Client
-	conn       *wire.Conn
+	conn       *framing.Conn
 	address    string
 	parts      assembly
 	mismatches int
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	conn := wire.NewConn(raw, frameLimit, writeTimeout)
+	conn := framing.NewConn(raw, frameLimit, writeTimeout)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
@@ -65,7 +65,7 @@
 	var d net.Dialer
 	raw, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return nil, errors.Wrap(err, "spread: connect")
+		return nil, errors.Wrap(err, "distribution: connect")
 	}
 	if c.cfg.TLS == nil {
 		return raw, nil
@@ -73,7 +73,7 @@
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		_ = raw.Close()
-		return nil, errors.Wrap(err, "spread: address")
+		return nil, errors.Wrap(err, "distribution: address")
 	}
 	conn, err := keys.Client(ctx, raw, c.cfg.TLS, host)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return conn, nil
 }
 
-func (s *clientStream) send(kind wire.Kind, m encodable) error {
+func (s *clientStream) send(kind framing.Kind, m encodable) error {
 	n, err := s.conn.Write(kind, m)
 	s.client.count.bytesOut.Add(int64(n))
 	return err
@@ -91,10 +91,10 @@
 
 // read waits for a frame as long as missedBeats allow: a peer whose VM lost
 // power sends no FIN, and only its silence tells.
-func (s *clientStream) read() (wire.Frame, error) {
+func (s *clientStream) read() (framing.Frame, error) {
 	limit := missedBeats * s.client.cfg.Beat
 	if err := s.conn.Raw().SetReadDeadline(time.Now().Add(limit)); err != nil {
-		return wire.Frame{}, errors.Wrap(err, "spread: read deadline")
+		return framing.Frame{}, errors.Wrap(err, "distribution: read deadline")
 	}
 	f, err := s.conn.Read()
 	s.client.count.bytesIn.Add(int64(len(f.Body) + frameHeader))
@@ -126,7 +126,7 @@
 	return s.judge(w.Beat)
 }
 
-func (s *clientStream) refused(f wire.Frame) error {
+func (s *clientStream) refused(f framing.Frame) error {
 	var r refusal
 	if err := f.Decode(&r); err != nil {
 		return err
@@ -148,7 +148,7 @@
 	}
 }
 
-func (s *clientStream) handle(f wire.Frame) error {
+func (s *clientStream) handle(f framing.Frame) error {
 	switch f.Kind {
 	case kindBeat:
 		var b beat
--- a/internal/spread/spread.go
+++ b/internal/distribution/distribution.go
@@ -1,8 +1,8 @@
-// Package spread carries the routing table from control to balancers and
+// Package distribution carries the routing table from control to balancers and
 // agents, and announcements and heartbeats back. A subscriber keeps one stream
 // to one control VM: a snapshot when it is far behind, deltas otherwise. A
 // subscriber's revision never falls.
-package spread
+package distribution
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"bergamotstall/internal/table"
 )
 
-//go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/spread/spread.go -o ../internal/spread/spread_gen.go -tests=false
-//go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/spread/messages.go -o ../internal/spread/messages_gen.go -tests=false -unexported
+//go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/distribution/distribution.go -o ../internal/distribution/distribution_gen.go -tests=false
+//go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/distribution/messages.go -o ../internal/distribution/messages_gen.go -tests=false -unexported
 
 // Role is what a subscriber is; it decides which part of the table it gets.
 type Role uint8
--- a/internal/spread/fakes_test.go
+++ b/internal/distribution/fakes_test.go
@@ -1,4 +1,4 @@
-package spread
+package distribution
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 	"github.com/go-faster/errors"
 	"github.com/sirupsen/logrus"
 
+	"bergamotstall/internal/framing"
 	"bergamotstall/internal/metrics"
 	"bergamotstall/internal/table"
-	"bergamotstall/internal/wire"
 )
 
 // fakeControl is a control VM's state: Source and Registrar in one.
@@ -395,7 +395,7 @@
 var loopback = net.IPv4(127, 0, 0, 1)
 
 // rawPeer speaks the protocol by hand.
-type rawPeer struct{ *wire.Conn }
+type rawPeer struct{ *framing.Conn }
 
 func dialRaw(t testing.TB, address string, opening hello) rawPeer {
 	t.Helper()
@@ -404,7 +404,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = raw.Close() })
-	p := rawPeer{wire.NewConn(raw, frameLimit, 0)}
+	p := rawPeer{framing.NewConn(raw, frameLimit, 0)}
 	if _, err := p.Write(kindHello, &opening); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/spread/identity.go
+++ b/internal/distribution/identity.go
@@ -1,4 +1,4 @@
-package spread
+package distribution
 
 import (
 	"crypto/tls"
@@ -11,7 +11,7 @@
 
 // errIdentity is returned for a peer whose certificate is for another role or
 // name than it says.
-var errIdentity = errors.New("spread: certificate is for another role or name")
+var errIdentity = errors.New("distribution: certificate is for another role or name")
 
 // checkIdentity holds what a peer says against its certificate: one agent must
 // not be able to announce itself as another, or as a balancer and receive every
@@ -23,7 +23,7 @@
 	}
 	peer, err := keys.PeerOf(secured.ConnectionState())
 	if err != nil {
-		return errors.Wrap(err, "spread: identity")
+		return errors.Wrap(err, "distribution: identity")
 	}
 	if string(peer.Role) != h.Role.String() || peer.Name != h.Announcement.Name {
 		return errors.Wrapf(errIdentity, "%s %s says it is %s %s", peer.Role, peer.Name, h.Role, h.Announcement.Name)
--- a/internal/spread/measure_streams_test.go
+++ b/internal/distribution/measure_streams_test.go
@@ -1,4 +1,4 @@
-package spread
+package distribution
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
+	"bergamotstall/internal/framing"
 	"bergamotstall/internal/keys"
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/wire"
 )
 
 // TestMeasureAtRest prints what an idle stream costs: bytes a second, and the
@@ -77,7 +77,7 @@
 	var beating sync.WaitGroup
 	done := make(chan struct{})
 	before := heap()
-	var all []*wire.Conn
+	var all []*framing.Conn
 	for i := range streams {
 		name := fmt.Sprintf("agent-%d", i)
 		raw, err := net.Dial("tcp", server.address)
@@ -90,7 +90,7 @@
 				t.Fatal(err)
 			}
 		}
-		c := wire.NewConn(raw, frameLimit, 0)
+		c := framing.NewConn(raw, frameLimit, 0)
 		opening := hello{Role: RoleAgent, Have: 5, Announcement: Announcement{Name: name, Incarnation: 1, Service: "none"}}
 		if _, err := c.Write(kindHello, &opening); err != nil {
 			t.Fatal(err)
@@ -136,7 +136,7 @@
 const beatGroup = 100
 
 // beatAll writes a heartbeat on each connection once a second, evenly.
-func beatAll(group []*wire.Conn, done <-chan struct{}) {
+func beatAll(group []*framing.Conn, done <-chan struct{}) {
 	pause := time.NewTicker(time.Second / beatGroup)
 	defer pause.Stop()
 	for next := 0; ; next++ {
--- a/internal/spread/messages.go
+++ b/internal/distribution/messages.go
@@ -1,18 +1,18 @@
-package spread
+package distribution
 
 import (
 	"github.com/tinylib/msgp/msgp"
 
+	"bergamotstall/internal/framing"
 	"bergamotstall/internal/table"
-	"bergamotstall/internal/wire"
 )
 
 // Kinds of frames on a subscriber's stream.
 const (
 	// Subscriber to server.
-	kindHello    wire.Kind = iota + 1 // hello, first frame
-	kindAnnounce                      // Announcement, again
-	kindBeat                          // beat, both ways
+	kindHello    framing.Kind = iota + 1 // hello, first frame
+	kindAnnounce                         // Announcement, again
+	kindBeat                             // beat, both ways
 	// Server to subscriber.
 	kindWelcome // welcome, first frame
 	kindNumber  // number
--- a/internal/spread/publish.go
+++ b/internal/distribution/publish.go
@@ -1,4 +1,4 @@
-package spread
+package distribution
 
 import (
 	"sync"
@@ -162,7 +162,7 @@
 		}
 		b, err := piece.MarshalMsg(nil)
 		if err != nil {
-			e.err = errors.Wrap(err, "spread: encode part")
+			e.err = errors.Wrap(err, "distribution: encode part")
 			return
 		}
 		e.parts = append(e.parts, b)
--- a/internal/spread/server.go
+++ b/internal/distribution/server.go
@@ -1,4 +1,4 @@
-package spread
+package distribution
 
 import (
 	"context"
@@ -39,7 +39,7 @@
 )
 
 // ErrClosed is returned by Serve after Close.
-var ErrClosed = errors.New("spread: server closed")
+var ErrClosed = errors.New("distribution: server closed")
 
 // ServerConfig is what a control VM's server needs.
 type ServerConfig struct {
@@ -192,7 +192,7 @@
 				return ErrClosed
 			}
 			if errors.Is(err, net.ErrClosed) {
-				return errors.Wrap(err, "spread: accept")
+				return errors.Wrap(err, "distribution: accept")
 			}
 			// Out of file descriptors, for one: it passes, and the streams that are
 			// open must not end for it.
--- a/internal/spread/server_stream.go
+++ b/internal/distribution/server_stream.go
@@ -1,4 +1,4 @@
-package spread
+package distribution
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"github.com/sirupsen/logrus"
 
 	"bergamotstall/internal/events"
+	"bergamotstall/internal/framing"
 	"bergamotstall/internal/table"
-	"bergamotstall/internal/wire"
 )
 
 // textLimit bounds names and addresses in an announcement.
@@ -31,7 +31,7 @@
 // subscriber is one stream at the server.
 type subscriber struct {
 	server *Server
-	conn   *wire.Conn
+	conn   *framing.Conn
 	role   Role
 	view   view
 	ctx    context.Context
@@ -143,7 +143,7 @@
 // open does the handshake and takes the hello.
 func (s *Server) open(ctx context.Context, raw net.Conn) (*subscriber, error) {
 	if err := raw.SetDeadline(time.Now().Add(openingTimeout)); err != nil {
-		return nil, errors.Wrap(err, "spread: deadline")
+		return nil, errors.Wrap(err, "distribution: deadline")
 	}
 	stop := context.AfterFunc(ctx, func() { _ = raw.Close() })
 	defer stop()
@@ -154,7 +154,7 @@
 		}
 		raw = secured
 	}
-	conn := wire.NewConn(raw, frameLimit, writeTimeout)
+	conn := framing.NewConn(raw, frameLimit, writeTimeout)
 	f, err := conn.Read()
 	if err != nil {
 		return nil, err
@@ -173,7 +173,7 @@
 		return nil, errors.Wrap(s.refuse(conn, refusedIdentity), err.Error())
 	}
 	if err := raw.SetDeadline(time.Time{}); err != nil {
-		return nil, errors.Wrap(err, "spread: deadline")
+		return nil, errors.Wrap(err, "distribution: deadline")
 	}
 	return &subscriber{
 		server:       s,
@@ -192,7 +192,7 @@
 }
 
 // refuse tells the peer why its stream ends, and when to come again.
-func (s *Server) refuse(conn *wire.Conn, reason refusalReason) error {
+func (s *Server) refuse(conn *framing.Conn, reason refusalReason) error {
 	after := retryCap
 	if reason == refusedLeaving {
 		after = leavingFor
@@ -200,7 +200,7 @@
 	return s.refuseFor(conn, reason, after)
 }
 
-func (s *Server) refuseFor(conn *wire.Conn, reason refusalReason, after time.Duration) error {
+func (s *Server) refuseFor(conn *framing.Conn, reason refusalReason, after time.Duration) error {
 	s.count.refused(reason)
 	_, err := conn.Write(kindRefusal, &refusal{Reason: reason, RetryAfterMS: after.Milliseconds()})
 	if err != nil {
@@ -233,7 +233,7 @@
 	limit := missedBeats * sub.server.cfg.Beat
 	for {
 		if err := sub.conn.Raw().SetReadDeadline(time.Now().Add(limit)); err != nil {
-			return errors.Wrap(err, "spread: read deadline")
+			return errors.Wrap(err, "distribution: read deadline")
 		}
 		f, err := sub.conn.Read()
 		if err != nil {
@@ -245,7 +245,7 @@
 	}
 }
 
-func (sub *subscriber) handle(f wire.Frame) error {
+func (sub *subscriber) handle(f framing.Frame) error {
 	switch f.Kind {
 	case kindBeat, kindResync:
 		var b beat
@@ -272,7 +272,7 @@
 	return sub.send(kindBeat, &b)
 }
 
-func (sub *subscriber) send(kind wire.Kind, m encodable) error {
+func (sub *subscriber) send(kind framing.Kind, m encodable) error {
 	n, err := sub.conn.Write(kind, m)
 	sub.server.count.bytesOut.Add(int64(n))
 	return err
--- a/internal/spread/statefile.go
+++ b/internal/distribution/statefile.go
@@ -1,4 +1,4 @@
-package spread
+package distribution
 
 import (
 	"os"
@@ -13,7 +13,7 @@
 	"bergamotstall/internal/table"
 )
 
-//go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/spread/statefile.go -o ../internal/spread/statefile_gen.go -tests=false -unexported
+//go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/distribution/statefile.go -o ../internal/distribution/statefile_gen.go -tests=false -unexported
 
 const (
 	stateFileVersion = 1
@@ -23,9 +23,9 @@
 
 // Errors of a state file that can't be used; the subscriber starts without it.
 var (
-	errStateVersion = errors.New("spread: state file of another version")
-	errStateSum     = errors.New("spread: state file damaged")
-	errStateView    = errors.New("spread: state file of another role or service")
+	errStateVersion = errors.New("distribution: state file of another version")
+	errStateSum     = errors.New("distribution: state file damaged")
+	errStateView    = errors.New("distribution: state file of another role or service")
 )
 
 // stateFile is the last table in use, as it is kept on disk.
@@ -74,7 +74,7 @@
 func loadState(path string, v view) (*table.Table, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "spread: read state file")
+		return nil, errors.Wrap(err, "distribution: read state file")
 	}
 	var f stateFile
 	if _, err := f.UnmarshalMsg(data); err != nil {
@@ -101,15 +101,15 @@
 func saveState(path string, v view, t *table.Table) error {
 	encoded, err := t.MarshalMsg(nil)
 	if err != nil {
-		return errors.Wrap(err, "spread: encode state")
+		return errors.Wrap(err, "distribution: encode state")
 	}
 	f := stateFile{Version: stateFileVersion, Role: v.role, Service: v.service, Sum: xxhash.Sum64(encoded), Table: encoded}
 	data, err := f.MarshalMsg(nil)
 	if err != nil {
-		return errors.Wrap(err, "spread: encode state")
+		return errors.Wrap(err, "distribution: encode state")
 	}
 	if err := renameio.WriteFile(path, data, stateFileMode); err != nil {
-		return errors.Wrap(err, "spread: write state file")
+		return errors.Wrap(err, "distribution: write state file")
 	}
 	return syncFolder(filepath.Dir(path))
 }
@@ -117,11 +117,11 @@
 func syncFolder(path string) error {
 	d, err := os.Open(path)
 	if err != nil {
-		return errors.Wrap(err, "spread: open folder")
+		return errors.Wrap(err, "distribution: open folder")
 	}
 	defer func() { _ = d.Close() }()
 	if err := d.Sync(); err != nil {
-		return errors.Wrap(err, "spread: sync folder")
+		return errors.Wrap(err, "distribution: sync folder")
 	}
 	return nil
 }
--- a/internal/spread/update.go
+++ b/internal/distribution/update.go
@@ -1,4 +1,4 @@
-package spread
+package distribution
 
 import (
 	"cmp"
@@ -12,9 +12,9 @@
 
 // Errors of an update that doesn't fit the table a subscriber holds.
 var (
-	errLower  = errors.New("spread: update is below the revision held")
-	errBase   = errors.New("spread: update builds on another revision")
-	errDigest = errors.New("spread: table after the update isn't the server's")
+	errLower  = errors.New("distribution: update is below the revision held")
+	errBase   = errors.New("distribution: update builds on another revision")
+	errDigest = errors.New("distribution: table after the update isn't the server's")
 )
 
 // update is what takes a subscriber's table from one revision to another. With
--- a/internal/spread/view.go
+++ b/internal/distribution/view.go
@@ -1,4 +1,4 @@
-package spread
+package distribution
 
 import (
 	"bergamotstall/internal/table"
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment drives the decisions under load (admit, place, ramp, retry)
-// in small seeded event loops with a simulated clock, against baselines, so that
-// defaults and thresholds are chosen from figures that anyone can repeat:
+// Package experiment drives the decisions of packages admission, placement, slowstart
+// and retry under load, in small seeded event loops with a simulated clock and
+// against baselines, so that defaults and thresholds are chosen from figures that anyone can repeat:
 //
 //	bergamotctl experiment placement|sweeps|slots|retries
 //
--- a/internal/experiment/placement_loop.go
+++ b/internal/experiment/placement_loop.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"bergamotstall/internal/admit"
-	"bergamotstall/internal/place"
-	"bergamotstall/internal/ramp"
+	"bergamotstall/internal/admission"
+	"bergamotstall/internal/placement"
+	"bergamotstall/internal/slowstart"
 	"bergamotstall/internal/table"
 )
 
@@ -76,10 +76,10 @@
 }
 
 type loopHost struct {
-	queue  *admit.Queue
+	queue  *admission.Queue
 	target table.Target
-	busy   time.Duration // slot time given out after the warm-up
-	report place.Load    // as the load endpoint had it at the last report
+	busy   time.Duration  // slot time given out after the warm-up
+	report placement.Load // as the load endpoint had it at the last report
 	flows  int
 }
 
@@ -95,7 +95,7 @@
 	at     time.Duration
 	work   time.Duration
 	host   int
-	ticket admit.Ticket
+	ticket admission.Ticket
 	tries  []int
 }
 
@@ -144,8 +144,8 @@
 	tune    tuning
 	hosts   []*loopHost
 	flows   []*loopFlow
-	pending map[admit.Ticket]*loopRequest
-	last    admit.Ticket
+	pending map[admission.Ticket]*loopRequest
+	last    admission.Ticket
 	turn    int
 
 	answers []float64 // milliseconds
@@ -155,10 +155,10 @@
 }
 
 func newLoop(sz size, sc scenario, p policy, tune tuning, seed uint64) *loop {
-	l := &loop{rng: rand.New(rand.NewPCG(seed, 11)), sc: sc, pol: p, tune: tune, pending: map[admit.Ticket]*loopRequest{}}
+	l := &loop{rng: rand.New(rand.NewPCG(seed, 11)), sc: sc, pol: p, tune: tune, pending: map[admission.Ticket]*loopRequest{}}
 	for i := range sz.hosts {
 		h := &loopHost{
-			queue:  admit.New(admit.Config{Slots: sz.slots, Queue: tune.queue, Patience: tune.patience}),
+			queue:  admission.New(admission.Config{Slots: sz.slots, Queue: tune.queue, Patience: tune.patience}),
 			target: table.Target{Agent: table.AgentNumber(i + 1), State: table.Active, Weight: 100, PreviousWeight: 100, Slots: sz.slots, DataCentre: string(rune('a' + i%3))},
 		}
 		// The rest joined long ago.
@@ -245,10 +245,10 @@
 		t.JoinedAtMS, t.ChangedAtMS = -1_000_000, -1_000_000
 	} else if l.tune.slowStart > 0 && t.JoinedAtMS > 0 {
 		// Stretch the age so that ramp's slow start takes this long.
-		age := float64(l.now.Milliseconds()-t.JoinedAtMS) * ramp.SlowStartMS / float64(l.tune.slowStart.Milliseconds())
+		age := float64(l.now.Milliseconds()-t.JoinedAtMS) * slowstart.SlowStartMS / float64(l.tune.slowStart.Milliseconds())
 		t.JoinedAtMS = l.now.Milliseconds() - int64(age)
 	}
-	return ramp.Share(t, l.now.Milliseconds())
+	return slowstart.Share(t, l.now.Milliseconds())
 }
 
 func (l *loop) drawHost() int {
@@ -287,7 +287,7 @@
 	home := l.loadOf(h)
 	look := !home.Room()
 	if l.pol.early {
-		look = place.LookAroundFrom(home, l.tune.from)
+		look = placement.LookAroundFrom(home, l.tune.from)
 	}
 	if !l.pol.always && !look {
 		l.offer(r, r.home)
@@ -302,7 +302,7 @@
 	l.last++
 	r.ticket, r.host = l.last, host
 	l.pending[r.ticket] = r
-	q := admit.Request{Ticket: r.ticket, Caller: l.flows[r.flow].caller}
+	q := admission.Request{Ticket: r.ticket, Caller: l.flows[r.flow].caller}
 	if !l.tune.noTold {
 		q.Deadline = r.at + patience
 	}
@@ -311,9 +311,9 @@
 		l.refuse(v.Displaced)
 	}
 	switch v.Answer {
-	case admit.Enter:
+	case admission.Enter:
 		l.start(r)
-	case admit.TurnAway:
+	case admission.TurnAway:
 		delete(l.pending, r.ticket)
 		home := l.hosts[r.home].target.State == table.Active
 		if host != r.home && home && !slices.Contains(r.tries, r.home) {
@@ -329,7 +329,7 @@
 	}
 }
 
-func (l *loop) refuse(t admit.Ticket) {
+func (l *loop) refuse(t admission.Ticket) {
 	r := l.pending[t]
 	delete(l.pending, t)
 	l.countRefused(r)
@@ -387,9 +387,9 @@
 	}
 }
 
-func (l *loop) loadOf(h *loopHost) place.Load {
+func (l *loop) loadOf(h *loopHost) placement.Load {
 	q := h.queue.Load()
-	return place.Load{Slots: q.Slots, Running: q.Running, Waiting: q.Waiting, Hold: q.Hold, Closed: h.target.State != table.Active}
+	return placement.Load{Slots: q.Slots, Running: q.Running, Waiting: q.Waiting, Hold: q.Hold, Closed: h.target.State != table.Active}
 }
 
 // change drains a data centre or shifts the weights.
--- a/internal/experiment/placement_policies.go
+++ b/internal/experiment/placement_policies.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"bergamotstall/internal/place"
+	"bergamotstall/internal/placement"
 	"bergamotstall/internal/table"
 )
 
@@ -44,11 +44,11 @@
 	return l.hosts[i].target.State == table.Active && l.share(l.hosts[i]) > 0
 }
 
-func (l *loop) peersOf(home int) []place.Peer {
-	var out []place.Peer
+func (l *loop) peersOf(home int) []placement.Peer {
+	var out []placement.Peer
 	for i, h := range l.hosts {
 		if i != home && l.active(i) {
-			out = append(out, place.Peer{Agent: h.target.Agent, Near: l.hosts[home].target.DataCentre == h.target.DataCentre, Share: l.share(h)})
+			out = append(out, placement.Peer{Agent: h.target.Agent, Near: l.hosts[home].target.DataCentre == h.target.DataCentre, Share: l.share(h)})
 		}
 	}
 	return out
@@ -110,16 +110,16 @@
 	l.send(r, best)
 }
 
-// overflowProbes is the product's: place.Draw and place.Best, near peers first.
-func overflowProbes(l *loop, r *loopRequest) { l.probe(r, true, place.Best) }
+// overflowProbes is the product's: placement.Draw and placement.Best, near peers first.
+func overflowProbes(l *loop, r *loopRequest) { l.probe(r, true, placement.Best) }
 
 // overflowAny draws near and far peers alike.
-func overflowAny(l *loop, r *loopRequest) { l.probe(r, false, place.Best) }
+func overflowAny(l *loop, r *loopRequest) { l.probe(r, false, placement.Best) }
 
 // overflowByRunning compares only what runs, not how long it takes there.
 func overflowByRunning(l *loop, r *loopRequest) { l.probe(r, true, leastRunning) }
 
-func leastRunning(_ place.Load, loads []place.Load) int {
+func leastRunning(_ placement.Load, loads []placement.Load) int {
 	best := -1
 	for i, l := range loads {
 		if l.Room() && (best < 0 || l.Running < loads[best].Running) {
@@ -139,18 +139,18 @@
 }
 
 func (l *loop) probeNear(r *loopRequest) {
-	drawn := place.DrawUpTo(l.rng, l.peersOf(r.home), true, nil, l.tune.draws)
+	drawn := placement.DrawUpTo(l.rng, l.peersOf(r.home), true, nil, l.tune.draws)
 	if len(drawn) == 0 {
 		l.stay(r)
 		return
 	}
 	l.probes += len(drawn)
 	l.after(nearRTT, func() {
-		var loads []place.Load
+		var loads []placement.Load
 		for _, p := range drawn {
 			loads = append(loads, l.loadOf(l.hosts[p.Agent-1]))
 		}
-		if i := place.Best(l.loadOf(l.hosts[r.home]), loads); i >= 0 {
+		if i := placement.Best(l.loadOf(l.hosts[r.home]), loads); i >= 0 {
 			l.send(r, int(drawn[i].Agent)-1)
 			return
 		}
@@ -159,7 +159,7 @@
 }
 
 // probe asks in rounds; each takes a round trip, then the loads are a half old.
-func (l *loop) probe(r *loopRequest, nearFirst bool, choose func(place.Load, []place.Load) int) {
+func (l *loop) probe(r *loopRequest, nearFirst bool, choose func(placement.Load, []placement.Load) int) {
 	peers := l.peersOf(r.home)
 	if !nearFirst {
 		for i := range peers {
@@ -168,7 +168,7 @@
 	}
 	var round func(near bool)
 	round = func(near bool) {
-		drawn := place.DrawUpTo(l.rng, peers, near, nil, l.tune.draws)
+		drawn := placement.DrawUpTo(l.rng, peers, near, nil, l.tune.draws)
 		if len(drawn) == 0 {
 			l.nextRound(near, round, r)
 			return
@@ -178,7 +178,7 @@
 		if !near {
 			rtt = farRTT
 		}
-		loads := make([]place.Load, len(drawn))
+		loads := make([]placement.Load, len(drawn))
 		l.after(rtt/2, func() {
 			for i, p := range drawn {
 				loads[i] = l.loadOf(l.hosts[p.Agent-1])
@@ -255,7 +255,7 @@
 	{name: "early: two probes, bounded flows", overflow: overflowProbes, early: true, bounded: true},
 }
 
-// productPolicy is what package relay does.
+// productPolicy is what package proxy does.
 const productPolicy = "early: two probes (kept)"
 
-var standard = tuning{draws: place.Draws, from: place.From, queue: 16, patience: 500 * time.Millisecond}
+var standard = tuning{draws: placement.Draws, from: placement.From, queue: 16, patience: 500 * time.Millisecond}
--- a/internal/experiment/slots.go
+++ b/internal/experiment/slots.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"bergamotstall/internal/admit"
+	"bergamotstall/internal/admission"
 )
 
 // A target with as many cores as slots, which share themselves evenly over what
@@ -17,7 +17,7 @@
 
 type slotJob struct {
 	kind    string
-	ticket  admit.Ticket
+	ticket  admission.Ticket
 	at      time.Duration
 	work    time.Duration // left, of the present part
 	tail    time.Duration // computing behind the head
@@ -42,25 +42,25 @@
 type slotLoop struct {
 	rng      *rand.Rand
 	now      time.Duration
-	queue    *admit.Queue
+	queue    *admission.Queue
 	cores    int
 	rule     slotRule
 	active   []*slotJob
-	waiting  map[admit.Ticket]*slotJob
+	waiting  map[admission.Ticket]*slotJob
 	timers   []slotTimer
 	answers  []float64 // of short requests, ms
 	shorts   int
 	refused  int
 	busy     time.Duration // core time used
 	crowded  time.Duration // time with more computing than cores
-	lastTick admit.Ticket
+	lastTick admission.Ticket
 }
 
 const slotRun = 60 * time.Second
 
 func runSlots(cores int, rule slotRule, seed uint64) *slotLoop {
-	l := &slotLoop{rng: rand.New(rand.NewPCG(seed, 3)), cores: cores, rule: rule, waiting: map[admit.Ticket]*slotJob{}}
-	l.queue = admit.New(admit.Config{Slots: cores, Queue: 8, Connections: 2000})
+	l := &slotLoop{rng: rand.New(rand.NewPCG(seed, 3)), cores: cores, rule: rule, waiting: map[admission.Ticket]*slotJob{}}
+	l.queue = admission.New(admission.Config{Slots: cores, Queue: 8, Connections: 2000})
 	l.arriveLater()
 	for l.now < slotRun {
 		l.step()
@@ -101,16 +101,16 @@
 	if j.kind == "short" {
 		l.shorts++
 	}
-	v := l.queue.Offer(l.now, admit.Request{Ticket: j.ticket, Caller: fmt.Sprint(l.rng.IntN(50)), Deadline: l.now + 2*time.Second})
+	v := l.queue.Offer(l.now, admission.Request{Ticket: j.ticket, Caller: fmt.Sprint(l.rng.IntN(50)), Deadline: l.now + 2*time.Second})
 	if v.Displaced != 0 {
 		l.refuse(l.waiting[v.Displaced])
 	}
 	switch v.Answer {
-	case admit.Enter:
+	case admission.Enter:
 		l.active = append(l.active, j)
-	case admit.Wait:
+	case admission.Wait:
 		l.waiting[j.ticket] = j
-	case admit.TurnAway:
+	case admission.TurnAway:
 		l.refuse(j)
 	}
 }
@@ -122,7 +122,7 @@
 	}
 }
 
-func (l *slotLoop) apply(c admit.Change) {
+func (l *slotLoop) apply(c admission.Change) {
 	for _, t := range c.Drop {
 		l.refuse(l.waiting[t])
 	}
--- a/internal/flow/deflect.go
+++ b/internal/flow/deflect.go
@@ -6,7 +6,7 @@
 
 	"bergamotstall/internal/connid"
 	"bergamotstall/internal/envelope"
-	"bergamotstall/internal/steer"
+	"bergamotstall/internal/steering"
 	"bergamotstall/internal/table"
 )
 
@@ -49,9 +49,9 @@
 	Self table.AgentNumber
 	// Tunnel is where packets for this agent arrive.
 	Tunnel netip.AddrPort
-	Map    *steer.Map
+	Map    *steering.Map
 	// Service is the agent's own, as the table has it.
-	Service *steer.Service
+	Service *steering.Service
 	// Draining is set while the agent takes no new flows.
 	Draining bool
 	// Flows are open now, Limit may be.
@@ -192,7 +192,7 @@
 }
 
 // sharesTunnel tells whether an older agent has this one's address.
-func (s *Standing) sharesTunnel(other *steer.Agent) bool {
+func (s *Standing) sharesTunnel(other *steering.Agent) bool {
 	return other.Number < s.Self && other.Tunnel == s.Tunnel
 }
 
--- a/internal/flow/deflect_test.go
+++ b/internal/flow/deflect_test.go
@@ -11,7 +11,7 @@
 
 	"bergamotstall/internal/connid"
 	"bergamotstall/internal/envelope"
-	"bergamotstall/internal/steer"
+	"bergamotstall/internal/steering"
 	"bergamotstall/internal/table"
 )
 
@@ -24,7 +24,7 @@
 var start = time.Unix(1000, 0)
 
 // fourAgents has agents 1 to 4 active, 5 draining, 6 retired.
-func fourAgents(revision table.Revision, weights ...uint32) *steer.Map {
+func fourAgents(revision table.Revision, weights ...uint32) *steering.Map {
 	fill := make([]byte, 32)
 	t := &table.Table{
 		Revision: revision,
@@ -41,14 +41,14 @@
 	}
 	t.Targets[4].State = table.Draining
 	t.Targets[5].State = table.Retired
-	m, err := steer.Compile(t, start, nil)
+	m, err := steering.Compile(t, start, nil)
 	if err != nil {
 		panic(err)
 	}
 	return m
 }
 
-func standingOf(self table.AgentNumber, m *steer.Map) *Standing {
+func standingOf(self table.AgentNumber, m *steering.Map) *Standing {
 	s, _ := m.ServiceNamed("desk")
 	tunnel := netip.MustParseAddrPort("192.0.2.99:9")
 	if a, ok := m.Agent(self); ok {
@@ -166,7 +166,7 @@
 			deflector *Deflector
 		}
 		agents := make(map[table.AgentNumber]*agent)
-		tables := make(map[table.Revision]*steer.Map)
+		tables := make(map[table.Revision]*steering.Map)
 		for r := table.Revision(5); r <= 7; r++ {
 			tables[r] = fourAgents(r, rapid.SliceOfN(rapid.Uint32Range(0, 3), 4, 4).Draw(t, "weights")...)
 		}
--- a/internal/flow/direct.go
+++ b/internal/flow/direct.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 
 	"bergamotstall/internal/events"
-	"bergamotstall/internal/steer"
+	"bergamotstall/internal/steering"
 )
 
 // direct is the way back that leaves the balancers out.
@@ -20,7 +20,7 @@
 // openDirect opens the service's address for answers, where the config asks for
 // it. Where the VM doesn't hold the address, answers go on by the balancers, and
 // the next table tries again.
-func (e *Endpoint) openDirect(s *steer.Service) {
+func (e *Endpoint) openDirect(s *steering.Service) {
 	if !e.config.Direct || s == nil || e.direct.address == s.Address {
 		return
 	}
--- a/internal/flow/endpoint.go
+++ b/internal/flow/endpoint.go
@@ -27,7 +27,7 @@
 	"bergamotstall/internal/envelope"
 	"bergamotstall/internal/events"
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/steer"
+	"bergamotstall/internal/steering"
 	"bergamotstall/internal/table"
 )
 
@@ -126,8 +126,8 @@
 
 // view is what a table says to this agent.
 type view struct {
-	steering *steer.Map
-	service  *steer.Service
+	steering *steering.Map
+	service  *steering.Service
 	limit    int
 }
 
@@ -140,7 +140,7 @@
 // reader is the working memory of the goroutine that reads the tunnel.
 type reader struct {
 	scratch  connid.Scratch
-	shape    steer.Shape
+	shape    steering.Shape
 	header   envelope.Header
 	arrival  Arrival
 	standing Standing
@@ -218,11 +218,11 @@
 	if v := e.view.Load(); v != nil && v.steering.Revision >= t.Revision {
 		return nil
 	}
-	var before *steer.Map
+	var before *steering.Map
 	if v := e.view.Load(); v != nil {
 		before = v.steering
 	}
-	m, err := steer.Compile(t, time.Now(), before)
+	m, err := steering.Compile(t, time.Now(), before)
 	if err != nil {
 		e.counts.tableRefused.Add(1)
 		events.Log(e.config.Log, events.FlowTableRefused, logrus.Fields{"revision": t.Revision, "error": err})
@@ -245,7 +245,7 @@
 }
 
 // drainedBy tells whether a table takes this agent out of new work.
-func (e *Endpoint) drainedBy(m *steer.Map) bool {
+func (e *Endpoint) drainedBy(m *steering.Map) bool {
 	own, ok := m.Agent(table.AgentNumber(e.self.Load()))
 	return ok && own.State != table.Active
 }
--- a/internal/flow/inquire.go
+++ b/internal/flow/inquire.go
@@ -12,8 +12,8 @@
 
 	"bergamotstall/internal/envelope"
 	"bergamotstall/internal/events"
-	"bergamotstall/internal/reach"
-	"bergamotstall/internal/steer"
+	"bergamotstall/internal/reachability"
+	"bergamotstall/internal/steering"
 	"bergamotstall/internal/table"
 )
 
@@ -34,7 +34,7 @@
 }
 
 type inquiry struct {
-	agent *steer.Agent
+	agent *steering.Agent
 	// held are envelopes to look at again once the agent is known to be dead.
 	// Without them callers would learn it only at a retransmission, and those
 	// are a second apart by then.
@@ -67,7 +67,7 @@
 
 // inquiryAbout returns the inquiry about an agent, a new one where none is under
 // way, and nil where there are too many.
-func (e *Endpoint) inquiryAbout(v *view, agent *steer.Agent) *inquiry {
+func (e *Endpoint) inquiryAbout(v *view, agent *steering.Agent) *inquiry {
 	e.inquiries.mu.Lock()
 	defer e.inquiries.mu.Unlock()
 	if q := e.inquiries.running[agent.Number]; q != nil {
@@ -85,9 +85,9 @@
 // inquire probes an agent until it answers or is found dead.
 func (e *Endpoint) inquire(v *view, q *inquiry) {
 	began := time.Now()
-	inquiry := reach.NewInquiry(began)
-	finding := reach.Open
-	for finding == reach.Open {
+	inquiry := reachability.NewInquiry(began)
+	finding := reachability.Open
+	for finding == reachability.Open {
 		select {
 		case <-e.closed:
 			return
@@ -96,9 +96,9 @@
 		sign := e.probe(v, q.agent)
 		finding = inquiry.Note(time.Now(), sign)
 	}
-	if finding == reach.Dead {
+	if finding == reachability.Dead {
 		q.agent.Reach.GiveUp()
-		time.AfterFunc(reach.GivenUp, q.agent.Reach.Restore)
+		time.AfterFunc(reachability.GivenUp, q.agent.Reach.Restore)
 		events.Log(e.config.Log, events.FlowAgentDead, logrus.Fields{
 			"agent": q.agent.Number, "after": time.Since(began).String(),
 		})
@@ -107,7 +107,7 @@
 	delete(e.inquiries.running, q.agent.Number)
 	held := q.held
 	e.inquiries.mu.Unlock()
-	if finding != reach.Dead {
+	if finding != reachability.Dead {
 		return
 	}
 	for _, envelope := range held {
@@ -118,19 +118,19 @@
 
 // probe sends one probe and waits a tick for what becomes of it. The socket is
 // connected, as only such a one is told by the other VM that nobody listens.
-func (e *Endpoint) probe(v *view, agent *steer.Agent) reach.Sign {
+func (e *Endpoint) probe(v *view, agent *steering.Agent) reachability.Sign {
 	e.counts.probes.Add(1)
-	deadline := time.Now().Add(reach.Tick)
+	deadline := time.Now().Add(reachability.Tick)
 	socket, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(agent.Tunnel))
 	if err != nil {
-		time.Sleep(reach.Tick)
-		return reach.Silent
+		time.Sleep(reachability.Tick)
+		return reachability.Silent
 	}
 	defer socket.Close()
 	h := envelope.Header{Kind: envelope.Probe, Generation: v.steering.Generation, Service: agent.Service, Agent: agent.Number}
 	out, err := v.steering.Envelopes.Append(nil, &h, nil)
 	if err != nil {
-		return reach.Silent
+		return reachability.Silent
 	}
 	_ = socket.SetDeadline(deadline)
 	if _, err := socket.Write(out); err != nil {
@@ -144,15 +144,15 @@
 	var answer envelope.Header
 	if _, err := v.steering.Envelopes.Open(buffer[:n], &answer); err != nil || answer.Kind != envelope.Alive || answer.Agent != agent.Number {
 		time.Sleep(time.Until(deadline))
-		return reach.Silent
+		return reachability.Silent
 	}
-	return reach.Alive
+	return reachability.Alive
 }
 
-func signOf(err error, deadline time.Time) reach.Sign {
+func signOf(err error, deadline time.Time) reachability.Sign {
 	time.Sleep(time.Until(deadline))
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return reach.Refused
+		return reachability.Refused
 	}
-	return reach.Silent
+	return reachability.Silent
 }
--- a/internal/flow/receive.go
+++ b/internal/flow/receive.go
@@ -7,7 +7,7 @@
 
 	"bergamotstall/internal/connid"
 	"bergamotstall/internal/envelope"
-	"bergamotstall/internal/steer"
+	"bergamotstall/internal/steering"
 	"bergamotstall/internal/table"
 )
 
@@ -67,7 +67,7 @@
 // readArrival fills in the router's arrival and standing for a packet.
 func (e *Endpoint) readArrival(now time.Time, v *view, packet []byte) bool {
 	r := &e.router
-	if !steer.ReadShape(packet, &r.shape) {
+	if !steering.ReadShape(packet, &r.shape) {
 		e.counts.malformed.Add(1)
 		return false
 	}
@@ -85,7 +85,7 @@
 	}
 	if origin != connid.Ours && r.shape.Opening {
 		r.arrival.Key = v.steering.FlowKey(r.shape.Destination, r.header.Caller)
-		r.arrival.Memory = steer.HashFlow(e.memory.k0, e.memory.k1, r.shape.Destination, r.header.Caller)
+		r.arrival.Memory = steering.HashFlow(e.memory.k0, e.memory.k1, r.shape.Destination, r.header.Caller)
 	}
 	r.standing = Standing{
 		Self:       table.AgentNumber(e.self.Load()),
--- a/internal/flow/watch.go
+++ b/internal/flow/watch.go
@@ -5,13 +5,13 @@
 	"time"
 
 	"bergamotstall/internal/envelope"
-	"bergamotstall/internal/reach"
+	"bergamotstall/internal/reachability"
 	"bergamotstall/internal/table"
 )
 
 // watch moves shares on, until the endpoint is closed.
 func (e *Endpoint) watch() {
-	tick := time.NewTicker(reach.Tick)
+	tick := time.NewTicker(reachability.Tick)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/wire/wire.go
+++ b/internal/framing/framing.go
@@ -1,7 +1,7 @@
-// Package wire frames messages between the system's own processes over TCP: a
+// Package framing frames messages between the system's own processes over TCP: a
 // four-byte big-endian length, one byte of kind, and a msgpack body. It knows
 // no protocol; each slice defines its kinds and messages.
-package wire
+package framing
 
 import (
 	"bufio"
@@ -28,7 +28,7 @@
 )
 
 // ErrTooLarge is returned for a frame over the connection's limit.
-var ErrTooLarge = errors.New("wire: frame over the limit")
+var ErrTooLarge = errors.New("framing: frame over the limit")
 
 // Frame is one received message.
 type Frame struct {
@@ -40,7 +40,7 @@
 // Decode reads the frame's body into m.
 func (f Frame) Decode(m msgp.Unmarshaler) error {
 	if _, err := m.UnmarshalMsg(f.Body); err != nil {
-		return errors.Wrapf(err, "wire: frame kind %d", f.Kind)
+		return errors.Wrapf(err, "framing: frame kind %d", f.Kind)
 	}
 	return nil
 }
@@ -80,7 +80,7 @@
 	buf := append(c.out[:0], 0, 0, 0, 0, byte(kind))
 	buf, err := m.MarshalMsg(buf)
 	if err != nil {
-		return 0, errors.Wrapf(err, "wire: encode kind %d", kind)
+		return 0, errors.Wrapf(err, "framing: encode kind %d", kind)
 	}
 	size := len(buf) - headerSize
 	if size > c.limit {
@@ -90,12 +90,12 @@
 	c.out = buf
 	if c.writeTimeout > 0 {
 		if err := c.raw.SetWriteDeadline(time.Now().Add(c.writeTimeout)); err != nil {
-			return 0, errors.Wrap(err, "wire: write deadline")
+			return 0, errors.Wrap(err, "framing: write deadline")
 		}
 	}
 	n, err := c.raw.Write(buf)
 	if err != nil {
-		return n, errors.Wrap(err, "wire: write")
+		return n, errors.Wrap(err, "framing: write")
 	}
 	return n, nil
 }
@@ -104,7 +104,7 @@
 func (c *Conn) Read() (Frame, error) {
 	var head [headerSize]byte
 	if _, err := io.ReadFull(c.in, head[:]); err != nil {
-		return Frame{}, errors.Wrap(err, "wire: read")
+		return Frame{}, errors.Wrap(err, "framing: read")
 	}
 	size := int(binary.BigEndian.Uint32(head[:4]))
 	if size > c.limit {
@@ -115,7 +115,7 @@
 	}
 	c.body = c.body[:size]
 	if _, err := io.ReadFull(c.in, c.body); err != nil {
-		return Frame{}, errors.Wrap(err, "wire: read body")
+		return Frame{}, errors.Wrap(err, "framing: read body")
 	}
 	return Frame{Kind: Kind(head[4]), Body: c.body}, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/framing/framing_test.go
@@ -1,4 +1,4 @@
-package wire
+package framing
 
 import (
 	"net"
--- a/internal/claim/claim.go
+++ b/internal/idempotency/idempotency.go
@@ -1,4 +1,4 @@
-// Package claim makes a request with an idempotency key run at most once,
+// Package idempotency makes a request with an idempotency key run at most once,
 // whichever agents the caller's resends meet. It holds the state machines of
 // both sides, claimants (agents about to run a request) and keepers (agents that
 // vote); it has no network and no clock.
@@ -45,7 +45,7 @@
 // all votes of the live top but one, so both share a voter; or the winner used
 // the vote of a keeper that has closed since, and every valid voter has that
 // record. model_test.go explores this with planted faults.
-package claim
+package idempotency
 
 import (
 	"cmp"
--- a/internal/claim/keeper.go
+++ b/internal/idempotency/keeper.go
@@ -1,4 +1,4 @@
-package claim
+package idempotency
 
 import (
 	"slices"
--- a/internal/claim/messages.go
+++ b/internal/idempotency/messages.go
@@ -1,8 +1,8 @@
-package claim
+package idempotency
 
 import "bergamotstall/internal/table"
 
-//go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/claim/messages.go -o ../internal/claim/messages_gen.go -tests=false
+//go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/idempotency/messages.go -o ../internal/idempotency/messages_gen.go -tests=false
 
 // Sum is a truncated SHA-256.
 type Sum [16]byte
--- a/internal/claim/model_test.go
+++ b/internal/idempotency/model_test.go
@@ -1,4 +1,4 @@
-package claim
+package idempotency
 
 import (
 	"math/rand/v2"
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -16,7 +16,7 @@
 
 	"github.com/go-faster/errors"
 
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 )
 
 const (
@@ -64,47 +64,47 @@
 	FS     FS
 	Folder string
 	// NewID draws the identity of a fresh folder.
-	NewID func() quorum.ID
+	NewID func() raft.ID
 }
 
 // Open opens or makes a data folder and returns what it holds. Everything that
 // the replica will rely on is written and synced anew into a segment of its
 // own: what was read may exist only in the system's memory since a failed sync.
-func Open(o Options) (*Journal, quorum.Stored, error) {
+func Open(o Options) (*Journal, raft.Stored, error) {
 	if err := o.FS.MakeDir(o.Folder); err != nil {
-		return nil, quorum.Stored{}, errors.Wrap(err, "journal: make folder")
+		return nil, raft.Stored{}, errors.Wrap(err, "journal: make folder")
 	}
 	lock, err := o.FS.Lock(filepath.Join(o.Folder, lockFile))
 	if err != nil {
-		return nil, quorum.Stored{}, errors.Wrapf(err, "journal: lock %s", o.Folder)
+		return nil, raft.Stored{}, errors.Wrapf(err, "journal: lock %s", o.Folder)
 	}
 	j := &Journal{fs: o.FS, dir: o.Folder, lock: lock}
 	stored, err := j.load(o.NewID)
 	if err != nil {
 		_ = lock.Close()
-		return nil, quorum.Stored{}, err
+		return nil, raft.Stored{}, err
 	}
 	return j, stored, nil
 }
 
-func (j *Journal) load(newID func() quorum.ID) (quorum.Stored, error) {
+func (j *Journal) load(newID func() raft.ID) (raft.Stored, error) {
 	files, err := j.list()
 	if err != nil {
-		return quorum.Stored{}, err
+		return raft.Stored{}, err
 	}
 	if !files.identity {
-		return quorum.Stored{}, j.create(files, newID)
+		return raft.Stored{}, j.create(files, newID)
 	}
 	if err := j.readIdentity(); err != nil {
-		return quorum.Stored{}, err
+		return raft.Stored{}, err
 	}
 	stored, err := j.replay(files)
 	if err != nil {
-		return quorum.Stored{}, err
+		return raft.Stored{}, err
 	}
 	whole := Batch{Hard: stored.Hard, Commit: stored.Commit, Entries: stored.Entries}
 	if err := j.restart(whole); err != nil {
-		return quorum.Stored{}, err
+		return raft.Stored{}, err
 	}
 	return stored, j.removeBefore(j.segment, stored.Snapshot.Index)
 }
@@ -158,7 +158,7 @@
 // create makes a new replica of a fresh folder. The identity comes last: a
 // folder with an identity but no segment has lost files, and starting it empty
 // would let an old identity vote twice.
-func (j *Journal) create(files folderFiles, newID func() quorum.ID) error {
+func (j *Journal) create(files folderFiles, newID func() raft.ID) error {
 	if len(files.snapshots) > 0 || len(files.segments) > 1 {
 		return errors.Wrapf(ErrIncomplete, "%s has no identity", j.dir)
 	}
@@ -214,11 +214,11 @@
 
 // Batch is what one sync makes durable.
 type Batch struct {
-	Hard quorum.HardState
+	Hard raft.HardState
 	// Commit is an entry known to be committed.
-	Commit quorum.Index
+	Commit raft.Index
 	// Entries replace the stored ones from their first index on.
-	Entries []quorum.Entry
+	Entries []raft.Entry
 }
 
 // Save makes a batch durable. After an error nothing more is saved.
@@ -236,7 +236,7 @@
 
 // SaveSnapshot makes a snapshot durable, begins a segment with whole, which
 // holds all entries after it, and removes what both replace.
-func (j *Journal) SaveSnapshot(s quorum.Snapshot, whole Batch) error {
+func (j *Journal) SaveSnapshot(s raft.Snapshot, whole Batch) error {
 	if j.failure != nil {
 		return j.failure
 	}
@@ -312,7 +312,7 @@
 
 // removeBefore removes older segments, oldest first so that those left have no
 // gap, and older snapshots.
-func (j *Journal) removeBefore(segment uint64, snapshot quorum.Index) error {
+func (j *Journal) removeBefore(segment uint64, snapshot raft.Index) error {
 	files, err := j.list()
 	if err != nil {
 		return j.poison(err)
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -11,32 +11,32 @@
 	"github.com/go-faster/errors"
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 )
 
 const folder = "/data"
 
-func openMemory(m *memory, id quorum.ID) (*Journal, quorum.Stored, error) {
-	return Open(Options{FS: m, Folder: folder, NewID: func() quorum.ID { return id }})
+func openMemory(m *memory, id raft.ID) (*Journal, raft.Stored, error) {
+	return Open(Options{FS: m, Folder: folder, NewID: func() raft.ID { return id }})
 }
 
 // script is what a replica does, step by step, with the state that it may rely
 // on after each.
 type script struct {
 	rng  *rand.Rand
-	want quorum.Stored
+	want raft.Stored
 }
 
-func (s *script) entries(n int) []quorum.Entry {
-	next := s.want.Snapshot.Index + quorum.Index(len(s.want.Entries)) + 1
+func (s *script) entries(n int) []raft.Entry {
+	next := s.want.Snapshot.Index + raft.Index(len(s.want.Entries)) + 1
 	if len(s.want.Entries) > 0 && s.rng.IntN(4) == 0 {
 		next-- // a new leader replaces the last entry
 		s.want.Entries = s.want.Entries[:len(s.want.Entries)-1]
 	}
-	var out []quorum.Entry
+	var out []raft.Entry
 	for i := range n {
 		data := bytes.Repeat([]byte{byte(next) | 1}, s.rng.IntN(900))
-		out = append(out, quorum.Entry{Index: next + quorum.Index(i), Term: s.want.Hard.Term, Kind: quorum.EntryCommand, Data: data})
+		out = append(out, raft.Entry{Index: next + raft.Index(i), Term: s.want.Hard.Term, Kind: raft.EntryCommand, Data: data})
 	}
 	return out
 }
@@ -44,14 +44,14 @@
 // step does one thing; want is only moved once it has succeeded.
 func (s *script) step(j *Journal) error {
 	before := s.want
-	before.Entries = append([]quorum.Entry(nil), before.Entries...)
+	before.Entries = append([]raft.Entry(nil), before.Entries...)
 	s.want.Hard.Term++
-	s.want.Hard.Vote = quorum.ID(s.rng.Uint64())
+	s.want.Hard.Vote = raft.ID(s.rng.Uint64())
 	var err error
 	if n := len(s.want.Entries); n > 3 && s.rng.IntN(3) == 0 {
 		at := s.want.Entries[n/2]
-		s.want.Snapshot = quorum.Snapshot{Index: at.Index, Term: at.Term, Data: []byte("state")}
-		s.want.Entries = append([]quorum.Entry(nil), s.want.Entries[n/2+1:]...)
+		s.want.Snapshot = raft.Snapshot{Index: at.Index, Term: at.Term, Data: []byte("state")}
+		s.want.Entries = append([]raft.Entry(nil), s.want.Entries[n/2+1:]...)
 		err = j.SaveSnapshot(s.want.Snapshot, Batch{Hard: s.want.Hard, Entries: s.want.Entries})
 	} else {
 		es := s.entries(1 + s.rng.IntN(3))
@@ -66,7 +66,7 @@
 
 // holds says whether a state has all that was acknowledged: the term, and each
 // entry or a snapshot of it. It may have the step that the power cut short.
-func holds(got, want quorum.Stored) bool {
+func holds(got, want raft.Stored) bool {
 	if got.Hard.Term < want.Hard.Term || got.Hard.Term == want.Hard.Term && got.Hard.Vote != want.Hard.Vote {
 		return false
 	}
@@ -181,25 +181,25 @@
 	j, _, err := openMemory(m, 7)
 	is.NoErr(err)
 	m.budget = 1 // the write succeeds, its sync doesn't
-	is.True(errors.Is(j.Save(Batch{Hard: quorum.HardState{Term: 1}}), ErrPoisoned))
+	is.True(errors.Is(j.Save(Batch{Hard: raft.HardState{Term: 1}}), ErrPoisoned))
 	m.budget = -1
-	is.True(errors.Is(j.Save(Batch{Hard: quorum.HardState{Term: 1}}), ErrPoisoned))
+	is.True(errors.Is(j.Save(Batch{Hard: raft.HardState{Term: 1}}), ErrPoisoned))
 }
 
 func TestSecondProcessIsLockedOut(t *testing.T) {
 	is := is.New(t)
-	o := Options{FS: Disk{}, Folder: t.TempDir(), NewID: func() quorum.ID { return 7 }}
+	o := Options{FS: Disk{}, Folder: t.TempDir(), NewID: func() raft.ID { return 7 }}
 	j, stored, err := Open(o)
 	is.NoErr(err)
 	is.True(stored.Empty())
 	_, _, err = Open(o)
 	is.True(errors.Is(err, ErrLocked))
-	is.NoErr(j.Save(Batch{Hard: quorum.HardState{Term: 3, Vote: 9}}))
+	is.NoErr(j.Save(Batch{Hard: raft.HardState{Term: 3, Vote: 9}}))
 	is.NoErr(j.SetCluster(5))
 	is.NoErr(j.Close())
 	j, stored, err = Open(o)
 	is.NoErr(err)
-	is.Equal(stored.Hard, quorum.HardState{Term: 3, Vote: 9})
+	is.Equal(stored.Hard, raft.HardState{Term: 3, Vote: 9})
 	is.Equal(j.Identity(), Identity{Replica: 7, Cluster: 5})
 	is.NoErr(j.Close())
 }
@@ -208,7 +208,7 @@
 func damagedFolder(t *testing.T, pattern string, damage func([]byte) []byte) (Options, string) {
 	t.Helper()
 	is := is.New(t)
-	o := Options{FS: Disk{}, Folder: t.TempDir(), NewID: func() quorum.ID { return 7 }}
+	o := Options{FS: Disk{}, Folder: t.TempDir(), NewID: func() raft.ID { return 7 }}
 	j, _, err := Open(o)
 	is.NoErr(err)
 	s := &script{rng: rand.New(rand.NewPCG(4, 2))}
@@ -278,7 +278,7 @@
 		o, _ := damagedFolder(t, "segment-*", damage)
 		j, stored, err := Open(o)
 		is.NoErr(err)
-		is.NoErr(j.Save(Batch{Hard: quorum.HardState{Term: stored.Hard.Term + 1}}))
+		is.NoErr(j.Save(Batch{Hard: raft.HardState{Term: stored.Hard.Term + 1}}))
 		is.NoErr(j.Close())
 		_, again, err := Open(o)
 		is.NoErr(err)
@@ -307,11 +307,11 @@
 // not take records that were never written, and what it accepts must open the
 // same way again.
 func FuzzOpen(f *testing.F) {
-	whole, err := frame(&record{Number: 1, Replica: 7, Reset: true, Hard: quorum.HardState{Term: 2}})
+	whole, err := frame(&record{Number: 1, Replica: 7, Reset: true, Hard: raft.HardState{Term: 2}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	second, err := frame(&record{Number: 2, Replica: 7, Hard: quorum.HardState{Term: 3}, Entries: []quorum.Entry{{Index: 1, Term: 3, Kind: quorum.EntryCommand, Data: []byte("x")}}})
+	second, err := frame(&record{Number: 2, Replica: 7, Hard: raft.HardState{Term: 3}, Entries: []raft.Entry{{Index: 1, Term: 3, Kind: raft.EntryCommand, Data: []byte("x")}}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/journal/record.go
+++ b/internal/journal/record.go
@@ -9,7 +9,7 @@
 	"github.com/go-faster/errors"
 	"github.com/tinylib/msgp/msgp"
 
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 )
 
 //go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/journal/record.go -o ../internal/journal/record_gen.go -tests=false -unexported -io=false
@@ -18,22 +18,22 @@
 // so that at most the last one can be torn.
 type record struct {
 	// Number counts the replica's records without a gap.
-	Number  uint64    `msg:"n"`
-	Replica quorum.ID `msg:"r"`
+	Number  uint64  `msg:"n"`
+	Replica raft.ID `msg:"r"`
 	// Reset drops all that came before: the record holds the whole log after
 	// the snapshot.
-	Reset bool             `msg:"x"`
-	Hard  quorum.HardState `msg:"h"`
+	Reset bool           `msg:"x"`
+	Hard  raft.HardState `msg:"h"`
 	// Commit is an entry known to be committed when the record was written.
-	Commit  quorum.Index   `msg:"c"`
-	Entries []quorum.Entry `msg:"e"`
+	Commit  raft.Index   `msg:"c"`
+	Entries []raft.Entry `msg:"e"`
 }
 
 // Identity says who a data folder is.
 type Identity struct {
 	// Replica is random and never changes. A VM whose disk is lost gets another
 	// one, so it can't speak for what the lost disk had promised.
-	Replica quorum.ID `msg:"r"`
+	Replica raft.ID `msg:"r"`
 	// Cluster is 0 until the replica has joined one.
 	Cluster uint64 `msg:"c"`
 }
--- a/internal/journal/record_gen.go
+++ b/internal/journal/record_gen.go
@@ -3,7 +3,7 @@
 package journal
 
 import (
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 
 	"github.com/tinylib/msgp/msgp"
 )
@@ -245,7 +245,7 @@
 			if cap(z.Entries) >= int(zb0002) {
 				z.Entries = (z.Entries)[:zb0002]
 			} else {
-				z.Entries = make([]quorum.Entry, zb0002)
+				z.Entries = make([]raft.Entry, zb0002)
 			}
 			for za0001 := range z.Entries {
 				bts, err = z.Entries[za0001].UnmarshalMsg(bts)
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -5,18 +5,18 @@
 
 	"github.com/go-faster/errors"
 
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 )
 
 // replay reads the newest snapshot and all segments.
-func (j *Journal) replay(files folderFiles) (quorum.Stored, error) {
+func (j *Journal) replay(files folderFiles) (raft.Stored, error) {
 	if len(files.segments) == 0 {
-		return quorum.Stored{}, errors.Wrapf(ErrIncomplete, "%s has no segment", j.dir)
+		return raft.Stored{}, errors.Wrapf(ErrIncomplete, "%s has no segment", j.dir)
 	}
 	r := replayer{journal: j}
 	if n := len(files.snapshots); n > 0 {
 		if err := j.readSnapshot(files.snapshots[n-1], &r.stored.Snapshot); err != nil {
-			return quorum.Stored{}, err
+			return raft.Stored{}, err
 		}
 	}
 	for i, n := range files.segments {
@@ -24,7 +24,7 @@
 			r.startOver()
 		}
 		if err := r.segment(n, i == len(files.segments)-1); err != nil {
-			return quorum.Stored{}, err
+			return raft.Stored{}, err
 		}
 	}
 	j.number = r.number
@@ -32,7 +32,7 @@
 	return r.finish()
 }
 
-func (j *Journal) readSnapshot(n uint64, s *quorum.Snapshot) error {
+func (j *Journal) readSnapshot(n uint64, s *raft.Snapshot) error {
 	name := j.path(snapshotName(n))
 	data, err := j.fs.Read(name)
 	if err != nil {
@@ -54,7 +54,7 @@
 // replayer builds the stored state record by record.
 type replayer struct {
 	journal *Journal
-	stored  quorum.Stored
+	stored  raft.Stored
 	number  uint64
 	// whole is set once a record was seen that needs none before it.
 	whole bool
@@ -66,7 +66,7 @@
 func (r *replayer) startOver() {
 	r.whole = false
 	r.number = 0
-	r.stored = quorum.Stored{Snapshot: r.stored.Snapshot}
+	r.stored = raft.Stored{Snapshot: r.stored.Snapshot}
 }
 
 func (r *replayer) segment(n uint64, last bool) error {
@@ -130,7 +130,7 @@
 }
 
 // entry appends e and drops what it replaces.
-func (r *replayer) entry(e quorum.Entry) error {
+func (r *replayer) entry(e raft.Entry) error {
 	es := r.stored.Entries
 	if len(es) == 0 {
 		r.stored.Entries = append(es, e)
@@ -147,7 +147,7 @@
 // finish joins the entries with the snapshot. A power cut between the snapshot
 // and its segment leaves the segments from before it: entries up to it are
 // dropped, and those after it too unless the log agrees with the snapshot.
-func (r *replayer) finish() (quorum.Stored, error) {
+func (r *replayer) finish() (raft.Stored, error) {
 	s := r.stored
 	if !r.whole {
 		return s, errors.Wrapf(ErrIncomplete, "%s has no segment that begins a log", r.journal.dir)
--- a/internal/load/flow.go
+++ b/internal/loadgen/flow.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
@@ -45,7 +45,7 @@
 
 // errGoingAway is what a flow reports when the other end shuts it down
 // gracefully: its caller opens another.
-var errGoingAway = errors.New("load: flow is going away")
+var errGoingAway = errors.New("loadgen: flow is going away")
 
 // open dials a flow. A flow has its own socket, like a caller of its own.
 func open(ctx context.Context, spec Spec, rec *Recorder, id string, rng *rand.Rand) (*flow, error) {
@@ -66,11 +66,11 @@
 func dial(ctx context.Context, spec Spec, rec *Recorder, id string, rng *rand.Rand) (*flow, error) {
 	addr, err := net.ResolveUDPAddr("udp", spec.Address)
 	if err != nil {
-		return nil, errors.Wrap(err, "load: address")
+		return nil, errors.Wrap(err, "loadgen: address")
 	}
 	socket, err := net.ListenUDP("udp", nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "load: socket")
+		return nil, errors.Wrap(err, "loadgen: socket")
 	}
 	conn, err := quic.Dial(ctx, socket, addr, spec.TLS, &quic.Config{
 		HandshakeIdleTimeout: handshakeTimeout,
@@ -80,7 +80,7 @@
 	})
 	if err != nil {
 		_ = socket.Close()
-		return nil, errors.Wrap(err, "load: handshake")
+		return nil, errors.Wrap(err, "loadgen: handshake")
 	}
 	rec.flowOpened()
 	transport := &http3.Transport{DisableCompression: true}
--- a/internal/load/request.go
+++ b/internal/loadgen/request.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"bytes"
@@ -121,7 +121,7 @@
 	url := fmt.Sprintf("https://%s/download?bytes=%d&seed=%d", f.spec.Address, f.spec.DownloadBytes, seed)
 	r, err := http.NewRequestWithContext(own, http.MethodGet, url, nil)
 	if err != nil {
-		return errors.Wrap(err, "load: download")
+		return errors.Wrap(err, "loadgen: download")
 	}
 	a, pause := f.do(own, Download, check.Attempt{ID: id}, r, func(resp *http.Response, a *check.Attempt) int64 {
 		return f.compare(own, resp, a, seed)
@@ -153,7 +153,7 @@
 	defer cancel()
 	r, err := http.NewRequestWithContext(open, http.MethodGet, "https://"+f.spec.Address+"/feed", nil)
 	if err != nil {
-		return errors.Wrap(err, "load: feed")
+		return errors.Wrap(err, "loadgen: feed")
 	}
 	a, pause := f.do(open, Feed, check.Attempt{ID: id}, r, func(resp *http.Response, a *check.Attempt) int64 {
 		n, err := io.Copy(io.Discard, resp.Body)
@@ -219,7 +219,7 @@
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+f.spec.Address+"/submit", bytes.NewReader(body))
 	if err != nil {
-		return check.Attempt{}, 0, errors.Wrap(err, "load: submit")
+		return check.Attempt{}, 0, errors.Wrap(err, "loadgen: submit")
 	}
 	if f.spec.Keyed {
 		r.Header.Set(keyHeader, id)
--- a/internal/load/run.go
+++ b/internal/loadgen/run.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
--- a/internal/load/spec.go
+++ b/internal/loadgen/spec.go
@@ -1,7 +1,7 @@
-// Package load plays callers: it opens flows to a service, downloads, keeps
+// Package loadgen plays callers: it opens flows to a service, downloads, keeps
 // feeds open and submits, in a closed loop (a number of flows at once) or an
 // open loop (a rate of new flows), and records what each caller was told.
-package load
+package loadgen
 
 import (
 	"crypto/tls"
@@ -65,7 +65,7 @@
 }
 
 // ErrSpec is returned for a load that can't be played.
-var ErrSpec = errors.New("load: impossible specification")
+var ErrSpec = errors.New("loadgen: impossible specification")
 
 // withDefaults fills what was left out.
 func (s Spec) withDefaults() Spec {
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -15,8 +15,8 @@
 	"github.com/tinylib/msgp/msgp"
 
 	"bergamotstall/internal/catalogue"
+	"bergamotstall/internal/framing"
 	"bergamotstall/internal/keys"
-	"bergamotstall/internal/wire"
 )
 
 const (
@@ -114,7 +114,7 @@
 
 // anyOf asks each address in turn. A VM that has no quorum or is busy is passed
 // over like one that is down; any other failure is the answer.
-func (c *Client) anyOf(ctx context.Context, id string, kind wire.Kind, request msgp.Marshaler, want wire.Kind, out msgp.Unmarshaler) error {
+func (c *Client) anyOf(ctx context.Context, id string, kind framing.Kind, request msgp.Marshaler, want framing.Kind, out msgp.Unmarshaler) error {
 	if len(c.Addresses) == 0 {
 		return ErrNoAddress
 	}
@@ -137,7 +137,7 @@
 }
 
 // ask sends one request to one VM.
-func (c *Client) ask(ctx context.Context, address string, kind wire.Kind, request msgp.Marshaler, want wire.Kind, out msgp.Unmarshaler) error {
+func (c *Client) ask(ctx context.Context, address string, kind framing.Kind, request msgp.Marshaler, want framing.Kind, out msgp.Unmarshaler) error {
 	raw, err := c.dial(ctx, address)
 	if err != nil {
 		return errors.Wrap(err, "connect")
@@ -145,7 +145,7 @@
 	defer raw.Close()
 	stop := context.AfterFunc(ctx, func() { raw.Close() })
 	defer stop()
-	conn := wire.NewConn(raw, frameLimit, writeTimeout)
+	conn := framing.NewConn(raw, frameLimit, writeTimeout)
 	if _, err := conn.Write(kind, request); err != nil {
 		return errors.Wrap(err, "send")
 	}
@@ -172,7 +172,7 @@
 	return errors.Wrap(err, "no answer")
 }
 
-func decodeReply(frame wire.Frame, want wire.Kind, out msgp.Unmarshaler) error {
+func decodeReply(frame framing.Frame, want framing.Kind, out msgp.Unmarshaler) error {
 	switch frame.Kind {
 	case want:
 		return frame.Decode(out)
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -8,7 +8,7 @@
 
 	"github.com/go-faster/errors"
 
-	"bergamotstall/internal/spread"
+	"bergamotstall/internal/distribution"
 	"bergamotstall/internal/table"
 )
 
@@ -69,7 +69,7 @@
 	f.View = view
 	words := f.newest()
 	for _, b := range view.Balancers {
-		word, heard := words[subject{spread.RoleBalancer.String(), b.Name}]
+		word, heard := words[subject{distribution.RoleBalancer.String(), b.Name}]
 		f.Balancers = append(f.Balancers, BalancerStatus{Balancer: b, Heard: heard, Revision: word.Revision, AgeMS: word.AgeMS})
 	}
 	return f
@@ -104,7 +104,7 @@
 		out = append(out, "balancer "+b.Name)
 	}
 	for k, s := range f.newest() {
-		if k.role == spread.RoleAgent.String() && s.Revision < revision {
+		if k.role == distribution.RoleAgent.String() && s.Revision < revision {
 			out = append(out, "agent "+k.name)
 		}
 	}
--- a/internal/operator/messages.go
+++ b/internal/operator/messages.go
@@ -8,8 +8,8 @@
 
 import (
 	"bergamotstall/internal/catalogue"
+	"bergamotstall/internal/framing"
 	"bergamotstall/internal/table"
-	"bergamotstall/internal/wire"
 )
 
 //msgp:limit arrays:262144 maps:64
@@ -18,7 +18,7 @@
 
 // Requests and replies.
 const (
-	kindCommand wire.Kind = iota + 1
+	kindCommand framing.Kind = iota + 1
 	kindRead
 	kindMembers
 	kindLocal
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -14,9 +14,9 @@
 	"go.uber.org/goleak"
 
 	"bergamotstall/internal/catalogue"
+	"bergamotstall/internal/distribution"
+	"bergamotstall/internal/framing"
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/spread"
-	"bergamotstall/internal/wire"
 )
 
 // fakeLog is the replicated log that fake control VMs share.
@@ -112,7 +112,7 @@
 func (l *fakeLog) balancer(name string) {
 	v := &fakeVM{log: l}
 	_, _ = v.Submit(context.Background(), &catalogue.Command{AnnounceBalancer: &catalogue.AnnounceBalancer{
-		Announcement: spread.Announcement{Name: name, Incarnation: 1, Tunnel: "127.0.3.1:7000"},
+		Announcement: distribution.Announcement{Name: name, Incarnation: 1, Tunnel: "127.0.3.1:7000"},
 	}})
 }
 
@@ -136,7 +136,7 @@
 		if err != nil {
 			return
 		}
-		frame, err := wire.NewConn(raw, frameLimit, 0).Read()
+		frame, err := framing.NewConn(raw, frameLimit, 0).Read()
 		var cmd catalogue.Command
 		if err == nil && frame.Decode(&cmd) == nil {
 			_, _ = (&fakeVM{log: l}).Submit(context.Background(), &cmd)
@@ -256,7 +256,7 @@
 	l := newLog()
 	l.balancer("b1")
 	address, _ := serve(t, &fakeVM{log: l})
-	_, err := (&Client{Addresses: []string{address}}).Command(t.Context(), catalogue.Command{BalancerSilent: &spread.Silence{Name: "b1", Incarnation: 1}})
+	_, err := (&Client{Addresses: []string{address}}).Command(t.Context(), catalogue.Command{BalancerSilent: &distribution.Silence{Name: "b1", Incarnation: 1}})
 	var failure *Failure
 	is.True(errors.As(err, &failure))
 	is.Equal(failure.Code, Malformed)
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -13,9 +13,9 @@
 
 	"bergamotstall/internal/catalogue"
 	"bergamotstall/internal/events"
+	"bergamotstall/internal/framing"
 	"bergamotstall/internal/keys"
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/wire"
 )
 
 const (
@@ -106,11 +106,11 @@
 		s.Metrics.Counter("operator_denied").Add(1)
 		events.Log(s.Log, events.OperatorDenied, logrus.Fields{"from": raw.RemoteAddr().String(), "why": err.Error()})
 		if secured != nil {
-			s.deny(wire.NewConn(secured, frameLimit, writeTimeout), err)
+			s.deny(framing.NewConn(secured, frameLimit, writeTimeout), err)
 		}
 		return
 	}
-	conn := wire.NewConn(secured, frameLimit, writeTimeout)
+	conn := framing.NewConn(secured, frameLimit, writeTimeout)
 	// A graceful stop wakes the read between requests; one in progress ends.
 	stop := context.AfterFunc(ctx, func() { _ = secured.SetReadDeadline(time.Unix(1, 0)) })
 	defer stop()
@@ -134,7 +134,7 @@
 
 // deny says why. It reads the request first: closing a connection with unread
 // bytes resets it, and the reply might be lost.
-func (s *Server) deny(conn *wire.Conn, why error) {
+func (s *Server) deny(conn *framing.Conn, why error) {
 	if err := conn.Raw().SetReadDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return
 	}
@@ -167,7 +167,7 @@
 }
 
 // answer runs one request.
-func (s *Server) answer(frame wire.Frame, name string) (wire.Kind, msgp.Marshaler) {
+func (s *Server) answer(frame framing.Frame, name string) (framing.Kind, msgp.Marshaler) {
 	// Requests in progress outlive a graceful stop, so they have a bound of
 	// their own.
 	ctx, cancel := context.WithTimeout(context.Background(), answerLimit)
@@ -189,7 +189,7 @@
 	return kindFailure, s.failure(Malformed, "this version of control doesn't know the request")
 }
 
-func (s *Server) command(ctx context.Context, frame wire.Frame, name string) (wire.Kind, msgp.Marshaler) {
+func (s *Server) command(ctx context.Context, frame framing.Frame, name string) (framing.Kind, msgp.Marshaler) {
 	var cmd catalogue.Command
 	if err := frame.Decode(&cmd); err != nil || !cmd.Operators() {
 		return kindFailure, s.failure(Malformed, "the command can't be read, or isn't an operator's")
@@ -204,7 +204,7 @@
 	return kindOutcome, &out
 }
 
-func (s *Server) read(ctx context.Context, frame wire.Frame) (wire.Kind, msgp.Marshaler) {
+func (s *Server) read(ctx context.Context, frame framing.Frame) (framing.Kind, msgp.Marshaler) {
 	var read Read
 	if err := frame.Decode(&read); err != nil {
 		return kindFailure, s.failure(Malformed, "the read can't be read")
@@ -217,7 +217,7 @@
 	return kindView, view
 }
 
-func (s *Server) members(ctx context.Context, frame wire.Frame, name string) (wire.Kind, msgp.Marshaler) {
+func (s *Server) members(ctx context.Context, frame framing.Frame, name string) (framing.Kind, msgp.Marshaler) {
 	var change MembersChange
 	if err := frame.Decode(&change); err != nil {
 		return kindFailure, s.failure(Malformed, "the change of members can't be read")
--- a/internal/pass/agent/agent.go
+++ b/internal/passthrough/agent/agent.go
@@ -19,14 +19,14 @@
 
 	"bergamotstall/internal/events"
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/pass/datagram"
-	"bergamotstall/internal/pass/flowlog"
-	"bergamotstall/internal/pass/flowtable"
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
-	"bergamotstall/internal/pass/roster"
-	"bergamotstall/internal/pass/route"
-	"bergamotstall/internal/pass/traffic"
+	"bergamotstall/internal/passthrough/datagram"
+	"bergamotstall/internal/passthrough/flowlog"
+	"bergamotstall/internal/passthrough/flowtable"
+	"bergamotstall/internal/passthrough/membership"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
+	"bergamotstall/internal/passthrough/route"
+	"bergamotstall/internal/passthrough/traffic"
 	"bergamotstall/internal/wait"
 )
 
@@ -80,7 +80,7 @@
 	started  time.Time
 	outbound *datagram.Socket
 	nodes    *datagram.Socket
-	client   *roster.Client
+	client   *membership.Client
 	meter    *traffic.Meter
 
 	mu      sync.Mutex
@@ -116,8 +116,8 @@
 		ColdOverage: cfg.ColdOverage, ColdSlack: cfg.ColdSlack,
 		Heartbeat: cfg.Heartbeat, StartedAt: a.now(), StartedWall: a.started, Policy: flowtable.DefaultPolicy(), Codec: cfg.Codec, Out: a,
 	})
-	a.client = roster.NewClient(roster.ClientConfig{
-		Node:  roster.Node{Role: roster.Agent, Address: cfg.Nodes.String(), Zone: cfg.Zone, Service: uint64(route.IDOf(cfg.Service)), Process: process},
+	a.client = membership.NewClient(membership.ClientConfig{
+		Node:  membership.Node{Role: membership.Agent, Address: cfg.Nodes.String(), Zone: cfg.Zone, Service: uint64(route.IDOf(cfg.Service)), Process: process},
 		Seeds: cfg.Seeds, Port: cfg.ControlPort, Table: a.setTable, Evacuated: a.setEvacuated, Recalled: a.recalled, Meter: a.meter, Log: cfg.Log,
 	})
 	for v := flowtable.Verdict(0); v.String() != "unknown"; v++ {
--- a/internal/pass/agent/output.go
+++ b/internal/passthrough/agent/output.go
@@ -7,9 +7,9 @@
 	"github.com/sirupsen/logrus"
 
 	"bergamotstall/internal/events"
-	"bergamotstall/internal/pass/flowtable"
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
+	"bergamotstall/internal/passthrough/flowtable"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
 )
 
 var _ flowtable.Output = (*Agent)(nil)
--- a/internal/pass/balancer/balancer.go
+++ b/internal/passthrough/balancer/balancer.go
@@ -15,13 +15,13 @@
 
 	"bergamotstall/internal/events"
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/pass/datagram"
-	"bergamotstall/internal/pass/forward"
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
-	"bergamotstall/internal/pass/roster"
-	"bergamotstall/internal/pass/route"
-	"bergamotstall/internal/pass/traffic"
+	"bergamotstall/internal/passthrough/datagram"
+	"bergamotstall/internal/passthrough/forward"
+	"bergamotstall/internal/passthrough/membership"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
+	"bergamotstall/internal/passthrough/route"
+	"bergamotstall/internal/passthrough/traffic"
 	"bergamotstall/internal/wait"
 )
 
@@ -68,7 +68,7 @@
 	started time.Time
 	fabric  *datagram.Socket
 	nodes   *datagram.Socket
-	client  *roster.Client
+	client  *membership.Client
 	meter   *traffic.Meter
 
 	mu     sync.Mutex
@@ -103,8 +103,8 @@
 		Zone: cfg.Zone, Regions: cfg.Regions, Rand: rand.New(rand.NewPCG(seed, seed)), Policy: forward.DefaultPolicy(),
 		QuestionBudget: questionShare * cfg.LinkRate, Out: b,
 	})
-	b.client = roster.NewClient(roster.ClientConfig{
-		Node:  roster.Node{Role: roster.Balancer, Address: cfg.Nodes.String(), Zone: cfg.Zone, Process: seed},
+	b.client = membership.NewClient(membership.ClientConfig{
+		Node:  membership.Node{Role: membership.Balancer, Address: cfg.Nodes.String(), Zone: cfg.Zone, Process: seed},
 		Seeds: cfg.Seeds, Port: cfg.ControlPort, Table: b.setTable, Evacuated: b.setEvacuated, Agents: b.setAgents, Meter: b.meter, Log: cfg.Log,
 	})
 	b.verdicts = counters(cfg.Metrics)
@@ -178,7 +178,7 @@
 }
 
 // setAgents tells the engine which agents there are.
-func (b *Balancer) setAgents(c roster.Changes) {
+func (b *Balancer) setAgents(c membership.Changes) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
--- a/internal/pass/balancer/output.go
+++ b/internal/passthrough/balancer/output.go
@@ -9,10 +9,10 @@
 
 	"bergamotstall/internal/events"
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/pass/forward"
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/forward"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
+	"bergamotstall/internal/passthrough/route"
 )
 
 type counter = *expvar.Int
--- a/internal/pass/control/control.go
+++ b/internal/passthrough/control/control.go
@@ -24,10 +24,10 @@
 
 	"bergamotstall/internal/events"
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/pass/flowlog"
-	"bergamotstall/internal/pass/roster"
-	"bergamotstall/internal/pass/route"
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/passthrough/flowlog"
+	"bergamotstall/internal/passthrough/membership"
+	"bergamotstall/internal/passthrough/route"
+	"bergamotstall/internal/raft"
 	"bergamotstall/internal/replica"
 	"bergamotstall/internal/wait"
 )
@@ -111,7 +111,7 @@
 		_ = streams.Close()
 		return err
 	}
-	server := roster.NewServer(roster.ServerConfig{Store: c.store, Source: c, Flows: flows, Log: c.cfg.Log, Metrics: c.cfg.Metrics})
+	server := membership.NewServer(membership.ServerConfig{Store: c.store, Source: c, Flows: flows, Log: c.cfg.Log, Metrics: c.cfg.Metrics})
 	c.cfg.Metrics.Gauge("definition_version", func() int64 { return int64(c.store.Version()) })
 	c.cfg.Metrics.Gauge("evacuated_zones", func() int64 { return int64(len(c.Evacuated())) })
 	group, ctx := errgroup.WithContext(ctx)
@@ -230,7 +230,7 @@
 // as if the disk were lost, and the VM comes back as a fresh replica.
 func (c *Control) afterFailure(cause error) {
 	events.Log(c.cfg.Log, events.ReplicaReopened, logrus.Fields{"cause": events.ErrorText(cause)})
-	if !errors.Is(cause, quorum.ErrRemoved) && !errors.Is(cause, quorum.ErrRegressed) {
+	if !errors.Is(cause, raft.ErrRemoved) && !errors.Is(cause, raft.ErrRegressed) {
 		return
 	}
 	aside := c.folder() + ".aside"
@@ -245,7 +245,7 @@
 	events.Log(c.cfg.Log, events.FolderAbandoned, logrus.Fields{"folder": aside})
 }
 
-// Barrier implements roster.Source.
+// Barrier implements membership.Source.
 func (c *Control) Barrier(ctx context.Context) error {
 	r := c.replica.Load()
 	if r == nil {
@@ -257,7 +257,7 @@
 // notOpen is the contact age told while no replica is open.
 const notOpen = time.Hour
 
-// ContactAge implements roster.Source.
+// ContactAge implements membership.Source.
 func (c *Control) ContactAge() time.Duration {
 	r := c.replica.Load()
 	if r == nil {
@@ -266,7 +266,7 @@
 	return r.ContactAge()
 }
 
-// Controls implements roster.Source.
+// Controls implements membership.Source.
 func (c *Control) Controls() []string {
 	r := c.replica.Load()
 	if r == nil {
--- a/internal/pass/control/control_test.go
+++ b/internal/passthrough/control/control_test.go
@@ -16,8 +16,8 @@
 	"github.com/sirupsen/logrus"
 
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/pass/route"
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/passthrough/route"
+	"bergamotstall/internal/raft"
 )
 
 const patience = 30 * time.Second
@@ -167,7 +167,7 @@
 	is.NoErr(err)
 	for range 2 { // also where an older one stands aside
 		keep()
-		c.afterFailure(quorum.ErrRemoved)
+		c.afterFailure(raft.ErrRemoved)
 		_, err = os.Stat(c.folder())
 		is.True(os.IsNotExist(err))
 	}
--- a/internal/pass/control/evacuation.go
+++ b/internal/passthrough/control/evacuation.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 
 	"bergamotstall/internal/events"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // errOvertaken and errLateCopy say why an order isn't taken now.
--- a/internal/pass/control/evacuation_test.go
+++ b/internal/passthrough/control/evacuation_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // awaitEvacuated waits until each VM knows the same evacuations.
--- a/internal/pass/control/operator.go
+++ b/internal/passthrough/control/operator.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 
 	"bergamotstall/internal/events"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/route"
 )
 
 const (
--- a/internal/pass/datagram/datagram.go
+++ b/internal/passthrough/datagram/datagram.go
@@ -12,7 +12,7 @@
 	"github.com/sirupsen/logrus"
 
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/pass/traffic"
+	"bergamotstall/internal/passthrough/traffic"
 )
 
 const (
--- a/internal/pass/flowlog/flowlog.go
+++ b/internal/passthrough/flowlog/flowlog.go
@@ -17,7 +17,7 @@
 	"slices"
 	"sync"
 
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/packet"
 )
 
 // maxFlows bounds the flows kept for one agent, some 30 bytes each.
--- a/internal/pass/flowlog/flowlog_test.go
+++ b/internal/passthrough/flowlog/flowlog_test.go
@@ -11,7 +11,7 @@
 	"github.com/sirupsen/logrus"
 
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/packet"
 )
 
 func quiet() logrus.FieldLogger {
--- a/internal/pass/flowlog/messages.go
+++ b/internal/passthrough/flowlog/messages.go
@@ -1,6 +1,6 @@
 package flowlog
 
-//go:generate env GOWORK=off go -C ../../../tools tool msgp -file ../internal/pass/flowlog/messages.go -o ../internal/pass/flowlog/messages_gen.go -tests=false -io=false
+//go:generate env GOWORK=off go -C ../../../tools tool msgp -file ../internal/passthrough/flowlog/messages.go -o ../internal/passthrough/flowlog/messages_gen.go -tests=false -io=false
 
 // Record is one open flow.
 type Record struct {
--- a/internal/pass/flowtable/admission.go
+++ b/internal/passthrough/flowtable/admission.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // Admission of requests at a target that has no room.
--- a/internal/pass/flowtable/admission_test.go
+++ b/internal/passthrough/flowtable/admission_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
+	"bergamotstall/internal/passthrough/route"
 )
 
 var policy = DefaultPolicy()
--- a/internal/pass/flowtable/ask.go
+++ b/internal/passthrough/flowtable/ask.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"time"
 
-	"bergamotstall/internal/pass/peer"
+	"bergamotstall/internal/passthrough/peer"
 )
 
 // Ask answers a balancer's question who holds a flow. While a target may be
--- a/internal/pass/flowtable/cold_test.go
+++ b/internal/passthrough/flowtable/cold_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // coldRig is an engine whose service's cold targets bear two new flows a second, exceeded
--- a/internal/pass/flowtable/cost_test.go
+++ b/internal/passthrough/flowtable/cost_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/packet"
 )
 
 // BenchmarkFlowMemory measures what an open flow takes at its agent.
--- a/internal/pass/flowtable/evacuation.go
+++ b/internal/passthrough/flowtable/evacuation.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/packet"
 )
 
 // SetEvacuated tells whether the data centre's targets take no new flows.
--- a/internal/pass/flowtable/evacuation_test.go
+++ b/internal/passthrough/flowtable/evacuation_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/pass/peer"
+	"bergamotstall/internal/passthrough/peer"
 )
 
 // Guards against flows that a balancer which hasn't heard of an evacuation still sends.
--- a/internal/pass/flowtable/flowtable.go
+++ b/internal/passthrough/flowtable/flowtable.go
@@ -13,10 +13,10 @@
 	"net/netip"
 	"time"
 
-	"bergamotstall/internal/pass/flowlog"
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/flowlog"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
+	"bergamotstall/internal/passthrough/route"
 )
 
 const (
--- a/internal/pass/flowtable/load.go
+++ b/internal/passthrough/flowtable/load.go
@@ -5,7 +5,7 @@
 	"net/netip"
 	"time"
 
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/packet"
 )
 
 // load counts what a target carries.
--- a/internal/pass/flowtable/outcomes_test.go
+++ b/internal/passthrough/flowtable/outcomes_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/packet"
 )
 
 // brokenOff has callers open flows and ask, and the target reset each of them
--- a/internal/pass/flowtable/pace_test.go
+++ b/internal/passthrough/flowtable/pace_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/packet"
 )
 
 // play lets some callers open flows and ask, one after the other.
--- a/internal/pass/flowtable/queue.go
+++ b/internal/passthrough/flowtable/queue.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
 )
 
 const (
--- a/internal/pass/flowtable/queue_test.go
+++ b/internal/passthrough/flowtable/queue_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
 )
 
 // idleFlow opens a flow, has one request answered, and leaves it idle.
--- a/internal/pass/flowtable/recall.go
+++ b/internal/passthrough/flowtable/recall.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"bergamotstall/internal/pass/flowlog"
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/flowlog"
+	"bergamotstall/internal/passthrough/packet"
 )
 
 const (
--- a/internal/pass/flowtable/recall_test.go
+++ b/internal/passthrough/flowtable/recall_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/pass/flowlog"
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
+	"bergamotstall/internal/passthrough/flowlog"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
 )
 
 // restarted returns a rig whose agent has just started and knows no target.
--- a/internal/pass/flowtable/report.go
+++ b/internal/passthrough/flowtable/report.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bergamotstall/internal/pass/peer"
+	"bergamotstall/internal/passthrough/peer"
 )
 
 // Empty tells whether no target is there that could hold flows.
--- a/internal/pass/flowtable/rig_test.go
+++ b/internal/passthrough/flowtable/rig_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
+	"bergamotstall/internal/passthrough/route"
 )
 
 const (
--- a/internal/pass/flowtable/target.go
+++ b/internal/passthrough/flowtable/target.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // Announcement is what a target says of itself, again and again.
--- a/internal/pass/flowtable/target_test.go
+++ b/internal/passthrough/flowtable/target_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
 )
 
 // A target that leaves gets no flow from the moment its announcement is taken,
--- a/internal/pass/flowtable/tick.go
+++ b/internal/passthrough/flowtable/tick.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
 )
 
 // Tick lets time pass.
--- a/internal/pass/forward/agents.go
+++ b/internal/passthrough/forward/agents.go
@@ -4,8 +4,8 @@
 	"net/netip"
 	"time"
 
-	"bergamotstall/internal/pass/peer"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/peer"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // noAgent is the number of no agent.
--- a/internal/pass/forward/budget.go
+++ b/internal/passthrough/forward/budget.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bergamotstall/internal/pass/peer"
+	"bergamotstall/internal/passthrough/peer"
 )
 
 const (
--- a/internal/pass/forward/choose.go
+++ b/internal/passthrough/forward/choose.go
@@ -4,15 +4,15 @@
 	"slices"
 	"time"
 
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/place"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/placement"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // candidates are the agents that a flow may be placed at, and their targets.
 type candidates struct {
 	numbers [maxCandidates]uint32
-	targets [maxCandidates]place.Target
+	targets [maxCandidates]placement.Target
 	n       int
 }
 
@@ -20,7 +20,7 @@
 // near and far, of up to eight services.
 const maxCandidates = 2 * preferred * 8
 
-func (c *candidates) add(number uint32, t place.Target) {
+func (c *candidates) add(number uint32, t placement.Target) {
 	if c.n == maxCandidates {
 		return
 	}
@@ -30,11 +30,11 @@
 }
 
 // list is what there is to choose from.
-func (c *candidates) list() []place.Target { return c.targets[:c.n] }
+func (c *candidates) list() []placement.Target { return c.targets[:c.n] }
 
 // keepRelieving leaves the targets that take flows of a service with the given targets,
 // all of them saturated.
-func (c *candidates) keepRelieving(p *place.Policy, own []place.Target) {
+func (c *candidates) keepRelieving(p *placement.Policy, own []placement.Target) {
 	n := c.n
 	c.n = 0
 	for i := range n {
@@ -198,9 +198,9 @@
 	return a.report.Open && !a.report.Leaving && !a.fresh(now) && now-a.heardAt < guessFor
 }
 
-func (e *Engine) targetOf(number uint32, near bool) place.Target {
+func (e *Engine) targetOf(number uint32, near bool) placement.Target {
 	a := &e.agents.list[number]
-	return place.Target{
+	return placement.Target{
 		Near: near, Slots: a.report.Slots, Running: float64(a.report.Running), Mean: float64(a.report.Load) / 100,
 		Flows: a.report.Flows, Sent: a.sent, Cold: a.report.ColdMS > 0, Unsteady: a.report.Unsteady,
 	}
--- a/internal/pass/forward/decision.go
+++ b/internal/passthrough/forward/decision.go
@@ -4,9 +4,9 @@
 	"net/netip"
 	"time"
 
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // Output takes what the engine decides. Slices are valid during the call.
--- a/internal/pass/forward/early.go
+++ b/internal/passthrough/forward/early.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/packet"
 )
 
 // A balancer that has just started gets packets before it knows the table and
--- a/internal/pass/forward/early_test.go
+++ b/internal/passthrough/forward/early_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/pass/peer"
+	"bergamotstall/internal/passthrough/peer"
 )
 
 // All VMs lost power; the fabric hands first packets to a balancer that has no
--- a/internal/pass/forward/evacuation_test.go
+++ b/internal/passthrough/forward/evacuation_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/pass/peer"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/peer"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // agentIn has an agent of a data centre report that its target takes flows.
--- a/internal/pass/forward/fleet_test.go
+++ b/internal/passthrough/forward/fleet_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // A fleet of balancers with thin links, played without a network: engines, agents that
--- a/internal/pass/forward/forward.go
+++ b/internal/passthrough/forward/forward.go
@@ -23,10 +23,10 @@
 	"net/netip"
 	"time"
 
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
-	"bergamotstall/internal/pass/place"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
+	"bergamotstall/internal/passthrough/placement"
+	"bergamotstall/internal/passthrough/route"
 )
 
 const (
@@ -64,7 +64,7 @@
 
 // Policy holds the thresholds that what callers get depends on most.
 type Policy struct {
-	Place place.Policy
+	Place placement.Policy
 	// Youth is how long after the first table control may take to list all agents:
 	// those that restart with it attach to it one after the other.
 	Youth time.Duration
@@ -76,7 +76,7 @@
 
 // DefaultPolicy is the policy in use.
 func DefaultPolicy() Policy {
-	return Policy{Place: place.Default(), Youth: 150 * time.Millisecond}
+	return Policy{Place: placement.Default(), Youth: 150 * time.Millisecond}
 }
 
 // holder is where a flow's packets go.
--- a/internal/pass/forward/placement.go
+++ b/internal/passthrough/forward/placement.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
 )
 
 // How busy a target is is asked for when a flow is to be placed, and the answer serves
@@ -36,8 +36,8 @@
 	maxPlacing = 4_096
 )
 
-// placement is a first packet that waits for its candidates' loads.
-type placement struct {
+// pendingPlacement is a first packet that waits for its candidates' loads.
+type pendingPlacement struct {
 	arrival
 	at    holder
 	why   peer.Reason
@@ -46,7 +46,7 @@
 
 // placements are the first packets that wait, in the order in which they came.
 type placements struct {
-	byFlow map[packet.Flow]*placement
+	byFlow map[packet.Flow]*pendingPlacement
 	order  []packet.Flow
 	// waiting are the flows that wait for an agent's report.
 	waiting map[uint32][]packet.Flow
@@ -55,7 +55,7 @@
 }
 
 func newPlacements() placements {
-	return placements{byFlow: map[packet.Flow]*placement{}, waiting: map[uint32][]packet.Flow{}}
+	return placements{byFlow: map[packet.Flow]*pendingPlacement{}, waiting: map[uint32][]packet.Flow{}}
 }
 
 // place offers a first packet to a target that hasn't handed it back.
@@ -64,11 +64,11 @@
 		e.refuseCaller(f, at, why)
 		return
 	}
-	e.tryPlacement(now, f, &placement{arrival: x, at: at, why: why, since: now})
+	e.tryPlacement(now, f, &pendingPlacement{arrival: x, at: at, why: why, since: now})
 }
 
 // tryPlacement places a first packet if enough is known.
-func (e *Engine) tryPlacement(now time.Duration, f packet.Flow, p *placement) {
+func (e *Engine) tryPlacement(now time.Duration, f packet.Flow, p *pendingPlacement) {
 	hasty := now-p.since >= placePatience || len(e.placements.byFlow) >= maxPlacing
 	c := chooser{e: e, now: now, flow: f, excluded: p.at.excluded(), hasty: hasty}
 	chosen := c.choose()
@@ -88,7 +88,7 @@
 }
 
 // await has a first packet wait for reports.
-func (e *Engine) await(now time.Duration, f packet.Flow, p *placement, probe []uint32) {
+func (e *Engine) await(now time.Duration, f packet.Flow, p *pendingPlacement, probe []uint32) {
 	if e.placements.byFlow[f] == nil {
 		p.raw = append([]byte(nil), p.raw...)
 		e.placements.byFlow[f] = p
@@ -101,7 +101,7 @@
 }
 
 // placeAt sends a first packet to the agent chosen.
-func (e *Engine) placeAt(now time.Duration, f packet.Flow, p *placement, agent uint32) {
+func (e *Engine) placeAt(now time.Duration, f packet.Flow, p *pendingPlacement, agent uint32) {
 	verdict := Placed
 	if p.at.tries > 0 {
 		verdict = Moved
--- a/internal/pass/forward/ranking.go
+++ b/internal/passthrough/forward/ranking.go
@@ -9,8 +9,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // Each flow has a few preferred agents in each data centre, the ones with the
--- a/internal/pass/forward/ranking_test.go
+++ b/internal/passthrough/forward/ranking_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // fleetZones are the data centres of a large fleet.
--- a/internal/pass/forward/rig_test.go
+++ b/internal/passthrough/forward/rig_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // rig is an engine with agents, a clock and a record of what it sends.
--- a/internal/pass/forward/search.go
+++ b/internal/passthrough/forward/search.go
@@ -4,8 +4,8 @@
 	"net/netip"
 	"time"
 
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
 )
 
 const (
--- a/internal/pass/forward/search_test.go
+++ b/internal/passthrough/forward/search_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/pass/peer"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/peer"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // A caller's feed goes on after its balancer left: the next balancer has never
--- a/internal/pass/forward/wide.go
+++ b/internal/passthrough/forward/wide.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/packet"
 )
 
 // The last stage of a search asks all agents. Few flows need it, but those of targets that
--- a/internal/pass/roster/attach_test.go
+++ b/internal/passthrough/membership/attach_test.go
@@ -1,4 +1,4 @@
-package roster
+package membership
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"bergamotstall/internal/pass/flowlog"
-	"bergamotstall/internal/pass/route"
-	"bergamotstall/internal/wire"
+	"bergamotstall/internal/framing"
+	"bergamotstall/internal/passthrough/flowlog"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // BenchmarkAttach measures how long nodes, a third of them balancers, take to get their table of one VM.
@@ -40,14 +40,14 @@
 // attachFleet attaches nodes and waits until each has its table.
 func attachFleet(b *testing.B, v *vm, nodes int) {
 	b.Helper()
-	var conns []*wire.Conn
+	var conns []*framing.Conn
 	for n := range nodes {
 		raw, err := net.Dial("tcp", net.JoinHostPort(v.ip, strconv.Itoa(port)))
 		if err != nil {
 			b.Fatal(err)
 		}
 		defer raw.Close()
-		conn := wire.NewConn(raw, frameLimit, writeTimeout)
+		conn := framing.NewConn(raw, frameLimit, writeTimeout)
 		role := Agent
 		if n%3 == 0 {
 			role = Balancer
@@ -64,7 +64,7 @@
 	time.Sleep(time.Millisecond)
 }
 
-func awaitTable(b *testing.B, conn *wire.Conn) {
+func awaitTable(b *testing.B, conn *framing.Conn) {
 	b.Helper()
 	for {
 		f, err := read(conn)
--- a/internal/pass/roster/client.go
+++ b/internal/passthrough/membership/client.go
@@ -1,4 +1,4 @@
-package roster
+package membership
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"github.com/go-faster/errors"
 	"github.com/sirupsen/logrus"
 
-	"bergamotstall/internal/pass/flowlog"
-	"bergamotstall/internal/pass/route"
-	"bergamotstall/internal/pass/traffic"
-	"bergamotstall/internal/wire"
+	"bergamotstall/internal/framing"
+	"bergamotstall/internal/passthrough/flowlog"
+	"bergamotstall/internal/passthrough/route"
+	"bergamotstall/internal/passthrough/traffic"
 )
 
 const (
@@ -93,7 +93,7 @@
 	view view
 	// conn is the open connection; told says that the VM knows all flows as of
 	// some moment since the connection was made.
-	conn *wire.Conn
+	conn *framing.Conn
 	told bool
 	// kick has a beat sent at once.
 	kick chan struct{}
@@ -159,7 +159,7 @@
 }
 
 // errMoved ends a stream to a control VM that isn't chosen any more.
-var errMoved = errors.New("roster: moved to other control VMs")
+var errMoved = errors.New("membership: moved to other control VMs")
 
 // Run keeps streams to control VMs until ctx is done: a balancer to each one known, an
 // agent to a few.
--- a/internal/pass/roster/client_stream.go
+++ b/internal/passthrough/membership/client_stream.go
@@ -1,4 +1,4 @@
-package roster
+package membership
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"github.com/tinylib/msgp/msgp"
 
 	"bergamotstall/internal/events"
-	"bergamotstall/internal/pass/flowlog"
-	"bergamotstall/internal/pass/peer"
-	"bergamotstall/internal/wire"
+	"bergamotstall/internal/framing"
+	"bergamotstall/internal/passthrough/flowlog"
+	"bergamotstall/internal/passthrough/peer"
 )
 
 // streamKind is the kind that streams' messages are counted as.
@@ -50,10 +50,10 @@
 	dialer := net.Dialer{Timeout: dialTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", net.JoinHostPort(s.ip, strconv.Itoa(int(c.cfg.Port))))
 	if err != nil {
-		return errors.Wrap(err, "roster: dial")
+		return errors.Wrap(err, "membership: dial")
 	}
 	defer raw.Close()
-	conn := wire.NewConn(raw, frameLimit, writeTimeout)
+	conn := framing.NewConn(raw, frameLimit, writeTimeout)
 	stop := context.AfterFunc(ctx, func() { c.end(ctx, raw, conn) })
 	defer stop()
 	hello := Hello{Node: c.cfg.Node, Beat: c.beat(s)}
@@ -82,7 +82,7 @@
 // end closes a stream. A control VM that the node leaves for others is told so: it would
 // otherwise list the node for a while after it has ended, and balancers would take its
 // silence for a target that may hold their flows.
-func (c *Client) end(ctx context.Context, raw net.Conn, conn *wire.Conn) {
+func (c *Client) end(ctx context.Context, raw net.Conn, conn *framing.Conn) {
 	tcp, ok := raw.(*net.TCPConn)
 	if !ok || !errors.Is(context.Cause(ctx), errMoved) || c.write(conn, kindRetire, &Retire{Moved: true}) != nil {
 		_ = raw.Close()
@@ -96,13 +96,13 @@
 }
 
 // write sends one message and counts it.
-func (c *Client) write(conn *wire.Conn, kind wire.Kind, m msgp.Marshaler) error {
+func (c *Client) write(conn *framing.Conn, kind framing.Kind, m msgp.Marshaler) error {
 	n, err := conn.Write(kind, m)
 	c.cfg.Meter.Out(streamKind, n)
 	return err
 }
 
-func (c *Client) attach(s *clientStream, conn *wire.Conn) {
+func (c *Client) attach(s *clientStream, conn *framing.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.streams[s.ip] = s
@@ -112,7 +112,7 @@
 
 // nextUpdate waits for an update; what a control VM recalls before it is handed
 // on.
-func (c *Client) nextUpdate(conn *wire.Conn) (Update, error) {
+func (c *Client) nextUpdate(conn *framing.Conn) (Update, error) {
 	for {
 		f, err := read(conn)
 		if err != nil {
@@ -130,7 +130,7 @@
 			}
 			c.cfg.Recalled(u)
 		default:
-			return Update{}, errors.Errorf("roster: frame kind %d", f.Kind)
+			return Update{}, errors.Errorf("membership: frame kind %d", f.Kind)
 		}
 	}
 }
@@ -139,7 +139,7 @@
 // were reached since the last call are told of all. whole returns all.
 func (c *Client) TellFlows(changes flowlog.Update, changed bool, whole func() flowlog.Update) {
 	c.mu.Lock()
-	var knowing, fresh []*wire.Conn
+	var knowing, fresh []*framing.Conn
 	for _, s := range c.streams {
 		switch {
 		case s.conn == nil:
@@ -161,7 +161,7 @@
 
 // writeFlows sends an update; a stream that fails is made anew, and then told of
 // all.
-func (c *Client) writeFlows(to []*wire.Conn, u flowlog.Update) {
+func (c *Client) writeFlows(to []*framing.Conn, u flowlog.Update) {
 	for _, conn := range to {
 		if err := c.write(conn, kindFlows, &u); err != nil {
 			_ = conn.Close()
@@ -173,7 +173,7 @@
 // target.
 func (c *Client) Retire() {
 	c.mu.Lock()
-	var conns []*wire.Conn
+	var conns []*framing.Conn
 	for _, s := range c.streams {
 		if s.conn != nil {
 			conns = append(conns, s.conn)
@@ -188,7 +188,7 @@
 }
 
 // beatOn sends beats until ctx is done or the stream fails.
-func (c *Client) beatOn(ctx context.Context, conn *wire.Conn, s *clientStream) {
+func (c *Client) beatOn(ctx context.Context, conn *framing.Conn, s *clientStream) {
 	ticker := time.NewTicker(BeatInterval)
 	defer ticker.Stop()
 	for {
--- a/internal/pass/roster/client_take.go
+++ b/internal/passthrough/membership/client_take.go
@@ -1,4 +1,4 @@
-package roster
+package membership
 
 import (
 	"hash/maphash"
@@ -7,7 +7,7 @@
 	"github.com/sirupsen/logrus"
 
 	"bergamotstall/internal/events"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // beat says where the node stands, and whether it takes tables from this VM.
@@ -107,13 +107,13 @@
 	}
 	var lean route.Lean
 	if _, err := lean.UnmarshalMsg(u.Lean); err != nil {
-		c.cfg.Log.WithError(err).Error("roster: table can't be read")
+		c.cfg.Log.WithError(err).Error("membership: table can't be read")
 		return
 	}
 	table, err := lean.Table(c.table)
 	if err != nil {
 		// Another VM's table came in between; the beat says which version is held.
-		c.cfg.Log.WithError(err).Debug("roster: table doesn't fit")
+		c.cfg.Log.WithError(err).Debug("membership: table doesn't fit")
 		s.beatNow()
 		return
 	}
--- a/internal/pass/roster/directory.go
+++ b/internal/passthrough/membership/directory.go
@@ -1,11 +1,11 @@
-package roster
+package membership
 
 import (
 	"math/rand/v2"
 	"net/netip"
 	"slices"
 
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/packet"
 )
 
 // maxChanges bounds the changes of the list that are kept, 40 B each. A node that has
--- a/internal/pass/roster/list_test.go
+++ b/internal/passthrough/membership/list_test.go
@@ -1,4 +1,4 @@
-package roster
+package membership
 
 import (
 	"fmt"
--- a/internal/pass/roster/roster_test.go
+++ b/internal/passthrough/membership/membership_test.go
@@ -1,4 +1,4 @@
-package roster
+package membership
 
 import (
 	"context"
@@ -16,9 +16,9 @@
 	"github.com/sirupsen/logrus"
 
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/pass/flowlog"
-	"bergamotstall/internal/pass/peer"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/flowlog"
+	"bergamotstall/internal/passthrough/peer"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // patience bounds waits for what must happen; no verdict depends on its length.
--- a/internal/pass/roster/messages.go
+++ b/internal/passthrough/membership/messages.go
@@ -1,15 +1,15 @@
-package roster
+package membership
 
 import (
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/wire"
+	"bergamotstall/internal/framing"
+	"bergamotstall/internal/passthrough/packet"
 )
 
-//go:generate env GOWORK=off go -C ../../../tools tool msgp -file ../internal/pass/roster/messages.go -o ../internal/pass/roster/messages_gen.go -tests=false -io=false
+//go:generate env GOWORK=off go -C ../../../tools tool msgp -file ../internal/passthrough/membership/messages.go -o ../internal/passthrough/membership/messages_gen.go -tests=false -io=false
 
 // Kinds of frames.
 const (
-	kindHello wire.Kind = iota + 1
+	kindHello framing.Kind = iota + 1
 	kindBeat
 	kindUpdate
 	// kindFlows carries a flowlog.Update: from an agent what it holds, to a new
--- a/internal/pass/roster/server.go
+++ b/internal/passthrough/membership/server.go
@@ -1,4 +1,4 @@
-// Package roster is the stream between the nodes that carry pass-through flows
+// Package membership is the stream between the nodes that carry pass-through flows
 // and the control VMs: which definition is in force, which nodes there are, and
 // which control VMs.
 //
@@ -7,7 +7,7 @@
 // then costs nothing: nodes take the highest version that any of them has, and the list
 // of agents is the union of what they say. The table itself is sent on one stream only,
 // and of the list only what changed.
-package roster
+package membership
 
 import (
 	"context"
@@ -20,10 +20,10 @@
 	"github.com/sirupsen/logrus"
 
 	"bergamotstall/internal/events"
+	"bergamotstall/internal/framing"
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/pass/flowlog"
-	"bergamotstall/internal/pass/route"
-	"bergamotstall/internal/wire"
+	"bergamotstall/internal/passthrough/flowlog"
+	"bergamotstall/internal/passthrough/route"
 )
 
 const (
@@ -121,9 +121,9 @@
 		}
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
-				return errors.Wrap(err, "roster: accept")
+				return errors.Wrap(err, "membership: accept")
 			}
-			s.cfg.Log.WithError(err).Warn("roster: accept")
+			s.cfg.Log.WithError(err).Warn("membership: accept")
 			time.Sleep(pushPause) // out of file descriptors, most likely
 			continue
 		}
@@ -140,10 +140,10 @@
 	defer raw.Close()
 	stop := context.AfterFunc(ctx, func() { _ = raw.Close() })
 	defer stop()
-	conn := wire.NewConn(raw, frameLimit, writeTimeout)
+	conn := framing.NewConn(raw, frameLimit, writeTimeout)
 	hello, err := readHello(conn)
 	if err != nil {
-		s.cfg.Log.WithError(err).WithField("address", raw.RemoteAddr().String()).Debug("roster: no hello")
+		s.cfg.Log.WithError(err).WithField("address", raw.RemoteAddr().String()).Debug("membership: no hello")
 		return
 	}
 	if !s.enter(hello.Node) {
@@ -173,7 +173,7 @@
 
 // recall tells an agent which flows were held at its address when it was last
 // heard, before anything that it tells replaces them.
-func (s *Server) recall(conn *wire.Conn, n Node) error {
+func (s *Server) recall(conn *framing.Conn, n Node) error {
 	if n.Role != Agent {
 		return nil
 	}
@@ -186,7 +186,7 @@
 }
 
 // nextBeat waits for a beat; flows that come before it are noted.
-func (s *Server) nextBeat(conn *wire.Conn, n Node) (Beat, error) {
+func (s *Server) nextBeat(conn *framing.Conn, n Node) (Beat, error) {
 	for {
 		f, err := read(conn)
 		if err != nil {
@@ -210,27 +210,27 @@
 			}
 			s.retire(n, x.Moved)
 		default:
-			return Beat{}, errors.Errorf("roster: frame kind %d", f.Kind)
+			return Beat{}, errors.Errorf("membership: frame kind %d", f.Kind)
 		}
 	}
 }
 
-func readHello(conn *wire.Conn) (Hello, error) {
+func readHello(conn *framing.Conn) (Hello, error) {
 	var h Hello
 	f, err := read(conn)
 	if err != nil {
 		return h, err
 	}
 	if f.Kind != kindHello {
-		return h, errors.Errorf("roster: frame kind %d", f.Kind)
+		return h, errors.Errorf("membership: frame kind %d", f.Kind)
 	}
 	return h, f.Decode(&h)
 }
 
 // read waits for one frame; a stream over which nothing comes fails.
-func read(conn *wire.Conn) (wire.Frame, error) {
+func read(conn *framing.Conn) (framing.Frame, error) {
 	if err := conn.Raw().SetReadDeadline(time.Now().Add(beatPatience)); err != nil {
-		return wire.Frame{}, errors.Wrap(err, "roster: read deadline")
+		return framing.Frame{}, errors.Wrap(err, "membership: read deadline")
 	}
 	return conn.Read()
 }
@@ -302,7 +302,7 @@
 	}
 	address, err := netip.ParseAddrPort(n.Address)
 	if err != nil {
-		s.cfg.Log.WithError(err).Warn("roster: a node's address can't be read")
+		s.cfg.Log.WithError(err).Warn("membership: a node's address can't be read")
 		return
 	}
 	s.directory.put(address, n)
@@ -356,7 +356,7 @@
 // pusher sends one node its updates.
 type pusher struct {
 	server *Server
-	conn   *wire.Conn
+	conn   *framing.Conn
 	role   Role
 	beats  chan Beat
 	// beat is the node's last, with what was sent since.
--- a/internal/pass/packet/endpoint.go
+++ b/internal/passthrough/packet/endpoint.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-//go:generate env GOWORK=off go -C ../../../tools tool msgp -file ../internal/pass/packet/endpoint.go -o ../internal/pass/packet/endpoint_gen.go -tests=false -io=false
+//go:generate env GOWORK=off go -C ../../../tools tool msgp -file ../internal/passthrough/packet/endpoint.go -o ../internal/passthrough/packet/endpoint_gen.go -tests=false -io=false
 
 //msgp:tuple Endpoint
 
--- a/internal/pass/peer/peer.go
+++ b/internal/passthrough/peer/peer.go
@@ -11,12 +11,12 @@
 	"github.com/go-faster/errors"
 
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/route"
-	"bergamotstall/internal/pass/traffic"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/route"
+	"bergamotstall/internal/passthrough/traffic"
 )
 
-//go:generate env GOWORK=off go -C ../../../tools tool msgp -file ../internal/pass/peer/messages.go -o ../internal/pass/peer/messages_gen.go -tests=false -io=false
+//go:generate env GOWORK=off go -C ../../../tools tool msgp -file ../internal/passthrough/peer/messages.go -o ../internal/passthrough/peer/messages_gen.go -tests=false -io=false
 
 // Kind is a datagram's first byte.
 type Kind uint8
--- a/internal/pass/peer/peer_test.go
+++ b/internal/passthrough/peer/peer_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/packet"
 )
 
 func question(port uint16) Question {
--- a/internal/pass/place/place.go
+++ b/internal/passthrough/placement/placement.go
@@ -1,4 +1,4 @@
-// Package place decides which target gets a new pass-through flow. It has no
+// Package placement decides which target gets a new pass-through flow. It has no
 // network and no clock; loads and randomness come in as arguments.
 //
 // Load patterns and rules:
@@ -24,7 +24,7 @@
 //   - Distance: targets of the same data centre first; another one's only while
 //     the near ones are busy and the far one clearly isn't. Bytes between data
 //     centres are paid for, and each packet pays the way both ways.
-package place
+package placement
 
 import "math/rand/v2"
 
--- a/internal/pass/place/place_test.go
+++ b/internal/passthrough/placement/placement_test.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"math/rand/v2"
--- a/internal/pass/route/evacuation.go
+++ b/internal/passthrough/route/evacuation.go
@@ -7,7 +7,7 @@
 	"github.com/go-faster/errors"
 )
 
-//go:generate env GOWORK=off go -C ../../../tools tool msgp -file ../internal/pass/route/evacuation.go -o ../internal/pass/route/evacuation_gen.go -tests=false -io=false
+//go:generate env GOWORK=off go -C ../../../tools tool msgp -file ../internal/passthrough/route/evacuation.go -o ../internal/passthrough/route/evacuation_gen.go -tests=false -io=false
 
 // Evacuations are the data centres whose targets take no new flows, as operators ordered.
 // They don't change once in force.
--- a/internal/pass/route/lean.go
+++ b/internal/passthrough/route/lean.go
@@ -7,10 +7,10 @@
 
 	"github.com/go-faster/errors"
 
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/packet"
 )
 
-//go:generate env GOWORK=off go -C ../../../tools tool msgp -file ../internal/pass/route/lean.go -o ../internal/pass/route/lean_gen.go -tests=false -io=false
+//go:generate env GOWORK=off go -C ../../../tools tool msgp -file ../internal/passthrough/route/lean.go -o ../internal/passthrough/route/lean_gen.go -tests=false -io=false
 
 //msgp:ignore leanWriter changes
 
--- a/internal/pass/route/lean_gen.go
+++ b/internal/passthrough/route/lean_gen.go
@@ -3,7 +3,7 @@
 package route
 
 import (
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/packet"
 
 	"github.com/tinylib/msgp/msgp"
 )
--- a/internal/pass/route/route.go
+++ b/internal/passthrough/route/route.go
@@ -10,10 +10,10 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/go-faster/errors"
 
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/packet"
 )
 
-//go:generate env GOWORK=off go -C ../../../tools tool msgp -file ../internal/pass/route/route.go -o ../internal/pass/route/route_gen.go -tests=false -io=false
+//go:generate env GOWORK=off go -C ../../../tools tool msgp -file ../internal/passthrough/route/route.go -o ../internal/passthrough/route/route_gen.go -tests=false -io=false
 
 //msgp:ignore Table lookup Choice Problem
 
--- a/internal/pass/route/store.go
+++ b/internal/passthrough/route/store.go
@@ -8,7 +8,7 @@
 	"github.com/go-faster/errors"
 	"github.com/tinylib/msgp/msgp"
 
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/packet"
 )
 
 // Store is the replicated state machine that keeps the definition with the
--- a/internal/pass/model/caller.go
+++ b/internal/passthrough/simulation/caller.go
@@ -1,9 +1,9 @@
-package model
+package simulation
 
 import (
 	"time"
 
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/packet"
 )
 
 // callerVM is one VM of callers.
--- a/internal/pass/model/compare.go
+++ b/internal/passthrough/simulation/compare.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"fmt"
--- a/internal/pass/model/deployment.go
+++ b/internal/passthrough/simulation/deployment.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"time"
 
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // Class is one kind of request.
--- a/internal/pass/model/node.go
+++ b/internal/passthrough/simulation/node.go
@@ -1,16 +1,16 @@
-package model
+package simulation
 
 import (
 	"math/rand/v2"
 	"net/netip"
 	"time"
 
-	"bergamotstall/internal/pass/flowlog"
-	"bergamotstall/internal/pass/flowtable"
-	"bergamotstall/internal/pass/forward"
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/peer"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/flowlog"
+	"bergamotstall/internal/passthrough/flowtable"
+	"bergamotstall/internal/passthrough/forward"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/peer"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // announceInterval is the time between two announcements of a target.
--- a/internal/pass/model/outcome.go
+++ b/internal/passthrough/simulation/outcome.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"bytes"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"bergamotstall/internal/pass/flowlog"
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/flowlog"
+	"bergamotstall/internal/passthrough/packet"
 )
 
 // Outcome is what callers got.
--- a/internal/pass/model/scenario.go
+++ b/internal/passthrough/simulation/scenario.go
@@ -1,12 +1,12 @@
-package model
+package simulation
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"bergamotstall/internal/pass/flowlog"
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/flowlog"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // Scenario is a load and what happens to the machines.
--- a/internal/pass/model/model.go
+++ b/internal/passthrough/simulation/simulation.go
@@ -1,4 +1,4 @@
-// Package model plays callers, balancers, agents and targets of pass-through flows
+// Package simulation plays callers, balancers, agents and targets of pass-through flows
 // in a seeded event loop, with the real decision code (forward, flowtable, place)
 // in the middle:
 //
@@ -11,7 +11,7 @@
 // What it leaves out: bytes (a request and an answer are one packet each), lost
 // packets, processor time, readiness (every balancer of a data centre that runs is
 // in rotation), control VMs (a table comes to each node at a drawn moment).
-package model
+package simulation
 
 import (
 	"container/heap"
@@ -21,10 +21,10 @@
 	"slices"
 	"time"
 
-	"bergamotstall/internal/pass/flowtable"
-	"bergamotstall/internal/pass/forward"
-	"bergamotstall/internal/pass/packet"
-	"bergamotstall/internal/pass/route"
+	"bergamotstall/internal/passthrough/flowtable"
+	"bergamotstall/internal/passthrough/forward"
+	"bergamotstall/internal/passthrough/packet"
+	"bergamotstall/internal/passthrough/route"
 )
 
 // Policies are the thresholds under test.
--- a/internal/pass/model/target.go
+++ b/internal/passthrough/simulation/target.go
@@ -1,12 +1,12 @@
-package model
+package simulation
 
 import (
 	"fmt"
 	"time"
 
-	"bergamotstall/internal/pass/flowlog"
-	"bergamotstall/internal/pass/flowtable"
-	"bergamotstall/internal/pass/packet"
+	"bergamotstall/internal/passthrough/flowlog"
+	"bergamotstall/internal/passthrough/flowtable"
+	"bergamotstall/internal/passthrough/packet"
 )
 
 // target is one incarnation of a target.
--- a/internal/place/place.go
+++ b/internal/placement/placement.go
@@ -1,4 +1,4 @@
-// Package place decides which other agent of the service gets a request that
+// Package placement decides which other agent of the service gets a request that
 // this host can't run now. It has no network and no clock; loads and randomness
 // come in as arguments.
 //
@@ -18,7 +18,7 @@
 //     none of these has room.
 //   - Saturation: with no room anywhere a request stays where it is; moving it
 //     from queue to queue costs messages and gains nothing.
-package place
+package placement
 
 import (
 	"math/rand/v2"
@@ -41,7 +41,7 @@
 	Agent table.AgentNumber
 	// Near is set for peers of the same data centre.
 	Near bool
-	// Share is the peer's relative weight for new work (package ramp).
+	// Share is the peer's relative weight for new work (package slowstart).
 	Share float64
 }
 
--- a/internal/relay/answer.go
+++ b/internal/proxy/answer.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"io"
@@ -35,7 +35,7 @@
 // goes to callers and into the names of counters.
 type Reason string
 
-// Reasons beside those of package admit.
+// Reasons beside those of package admission.
 const (
 	ReasonDeadline    Reason = "deadline"
 	ReasonCancelled   Reason = "cancelled"
@@ -56,7 +56,7 @@
 	RetryAfter time.Duration
 }
 
-func (r *Refusal) Error() string { return "relay: not run: " + string(r.Reason) }
+func (r *Refusal) Error() string { return "proxy: not run: " + string(r.Reason) }
 
 // Unknown is the answer to a request that was handed over and got no answer.
 type Unknown struct {
@@ -64,7 +64,7 @@
 	Status int
 }
 
-func (u *Unknown) Error() string { return "relay: outcome unknown: " + string(u.Reason) }
+func (u *Unknown) Error() string { return "proxy: outcome unknown: " + string(u.Reason) }
 
 // refuse sends a refusal at once, also while the caller still sends its body:
 // held back until the body's end, a caller with a large upload would learn last
--- a/internal/relay/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 // What a key costs a submission: the same one with and without, five agents on
 // loopback.
 //
-//	go test ./internal/relay -run '^$' -bench Submission -benchtime 3000x
+//	go test ./internal/proxy -run '^$' -bench Submission -benchtime 3000x
 func BenchmarkSubmission(b *testing.B) {
 	for _, keyed := range []bool{false, true} {
 		name := "plain"
--- a/internal/relay/frames.go
+++ b/internal/proxy/frames.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -10,14 +10,14 @@
 	"github.com/go-faster/errors"
 	"github.com/tinylib/msgp/msgp"
 
+	"bergamotstall/internal/framing"
 	"bergamotstall/internal/keys"
 	"bergamotstall/internal/table"
-	"bergamotstall/internal/wire"
 )
 
 // Kinds of frames between agents.
 const (
-	kindHello wire.Kind = iota + 1
+	kindHello framing.Kind = iota + 1
 	kindWelcome
 	kindProbe
 	kindLoad
@@ -44,7 +44,7 @@
 )
 
 // errWrongPeer is returned where the address belongs to another agent now.
-var errWrongPeer = errors.New("relay: the address is another agent's")
+var errWrongPeer = errors.New("proxy: the address is another agent's")
 
 // frameClient asks peers questions, one at a time on each connection.
 type frameClient struct {
@@ -52,11 +52,11 @@
 	tls     *tls.Config
 
 	mu   sync.Mutex
-	idle map[table.AgentNumber][]*wire.Conn
+	idle map[table.AgentNumber][]*framing.Conn
 }
 
 func newFrameClient(service string, cfg *PeerTLS) *frameClient {
-	c := &frameClient{service: service, idle: map[table.AgentNumber][]*wire.Conn{}}
+	c := &frameClient{service: service, idle: map[table.AgentNumber][]*framing.Conn{}}
 	if cfg != nil {
 		c.tls = cfg.Client
 	}
@@ -65,7 +65,7 @@
 
 // call sends one message and waits for its answer. Every message is idempotent,
 // so one that fails on a connection used before is sent again on a new one.
-func (c *frameClient) call(ctx context.Context, to table.Target, kind wire.Kind, m msgp.Marshaler, answer msgp.Unmarshaler) error {
+func (c *frameClient) call(ctx context.Context, to table.Target, kind framing.Kind, m msgp.Marshaler, answer msgp.Unmarshaler) error {
 	if conn := c.take(to.Agent); conn != nil {
 		if err := c.exchange(ctx, to.Agent, conn, kind, m, answer); err == nil {
 			return nil
@@ -78,13 +78,13 @@
 	return c.exchange(ctx, to.Agent, conn, kind, m, answer)
 }
 
-func (c *frameClient) exchange(ctx context.Context, to table.AgentNumber, conn *wire.Conn, kind wire.Kind, m msgp.Marshaler, answer msgp.Unmarshaler) error {
+func (c *frameClient) exchange(ctx context.Context, to table.AgentNumber, conn *framing.Conn, kind framing.Kind, m msgp.Marshaler, answer msgp.Unmarshaler) error {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	err := ask(conn, kind, m, answer)
 	if !stop() || err != nil {
 		_ = conn.Close()
 		if err == nil {
-			err = errors.Wrap(ctx.Err(), "relay: peer")
+			err = errors.Wrap(ctx.Err(), "proxy: peer")
 		}
 		return err
 	}
@@ -92,23 +92,23 @@
 	return nil
 }
 
-func ask(conn *wire.Conn, kind wire.Kind, m msgp.Marshaler, answer msgp.Unmarshaler) error {
+func ask(conn *framing.Conn, kind framing.Kind, m msgp.Marshaler, answer msgp.Unmarshaler) error {
 	if _, err := conn.Write(kind, m); err != nil {
-		return errors.Wrap(err, "relay: ask peer")
+		return errors.Wrap(err, "proxy: ask peer")
 	}
 	f, err := conn.Read()
 	if err != nil {
-		return errors.Wrap(err, "relay: hear peer")
+		return errors.Wrap(err, "proxy: hear peer")
 	}
 	return f.Decode(answer)
 }
 
-func (c *frameClient) dial(ctx context.Context, to table.Target) (*wire.Conn, error) {
+func (c *frameClient) dial(ctx context.Context, to table.Target) (*framing.Conn, error) {
 	raw, err := dialPeer(ctx, c.tls, to.Peer)
 	if err != nil {
 		return nil, err
 	}
-	conn := wire.NewConn(raw, frameLimit, callTime)
+	conn := framing.NewConn(raw, frameLimit, callTime)
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	var welcome Welcome
@@ -130,7 +130,7 @@
 	var d net.Dialer
 	raw, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return nil, errors.Wrap(err, "relay: dial peer")
+		return nil, errors.Wrap(err, "proxy: dial peer")
 	}
 	if cfg == nil {
 		return raw, nil
@@ -138,17 +138,17 @@
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		_ = raw.Close()
-		return nil, errors.Wrap(err, "relay: peer address")
+		return nil, errors.Wrap(err, "proxy: peer address")
 	}
 	conn, err := keys.Client(ctx, raw, cfg, host)
 	if err != nil {
 		_ = raw.Close()
-		return nil, errors.Wrap(err, "relay: TLS with peer")
+		return nil, errors.Wrap(err, "proxy: TLS with peer")
 	}
 	return conn, nil
 }
 
-func (c *frameClient) take(to table.AgentNumber) *wire.Conn {
+func (c *frameClient) take(to table.AgentNumber) *framing.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	idle := c.idle[to]
@@ -160,7 +160,7 @@
 	return conn
 }
 
-func (c *frameClient) keep(to table.AgentNumber, conn *wire.Conn) {
+func (c *frameClient) keep(to table.AgentNumber, conn *framing.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.idle[to]) >= idleConns {
--- a/internal/relay/gate.go
+++ b/internal/proxy/gate.go
@@ -1,11 +1,11 @@
-package relay
+package proxy
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"bergamotstall/internal/admit"
+	"bergamotstall/internal/admission"
 )
 
 // gate runs the admission decision for concurrent requests.
@@ -13,19 +13,19 @@
 	now func() time.Duration
 
 	mu      sync.Mutex
-	queue   *admit.Queue
-	waiting map[admit.Ticket]chan *Refusal
-	last    admit.Ticket
+	queue   *admission.Queue
+	waiting map[admission.Ticket]chan *Refusal
+	last    admission.Ticket
 }
 
-func newGate(now func() time.Duration, cfg admit.Config) *gate {
-	return &gate{now: now, queue: admit.New(cfg), waiting: map[admit.Ticket]chan *Refusal{}}
+func newGate(now func() time.Duration, cfg admission.Config) *gate {
+	return &gate{now: now, queue: admission.New(cfg), waiting: map[admission.Ticket]chan *Refusal{}}
 }
 
 // pass is one request's right to run.
 type pass struct {
 	gate   *gate
-	ticket admit.Ticket
+	ticket admission.Ticket
 }
 
 // enter waits for a slot. ctx ends the waiting; deadline, where it isn't 0, is
@@ -34,15 +34,15 @@
 	g.mu.Lock()
 	g.last++
 	p := &pass{gate: g, ticket: g.last}
-	verdict := g.queue.Offer(g.now(), admit.Request{Ticket: p.ticket, Caller: caller, Deadline: deadline})
+	verdict := g.queue.Offer(g.now(), admission.Request{Ticket: p.ticket, Caller: caller, Deadline: deadline})
 	if verdict.Displaced != 0 {
-		g.tell(verdict.Displaced, g.refusal(admit.Displaced))
+		g.tell(verdict.Displaced, g.refusal(admission.Displaced))
 	}
 	switch verdict.Answer {
-	case admit.Enter:
+	case admission.Enter:
 		g.mu.Unlock()
 		return p, nil
-	case admit.TurnAway:
+	case admission.TurnAway:
 		refusal := g.refusal(verdict.Reason)
 		g.mu.Unlock()
 		return nil, refusal
@@ -70,18 +70,18 @@
 }
 
 // refusal dresses a reason of the decision. The caller holds the lock.
-func (g *gate) refusal(reason admit.Reason) *Refusal {
+func (g *gate) refusal(reason admission.Reason) *Refusal {
 	load := g.queue.Load()
 	after := load.Hold * time.Duration(load.Waiting+1) / time.Duration(max(load.Slots, 1))
 	r := &Refusal{Reason: Reason(reason), Status: statusRefused, RetryAfter: after}
-	if reason == admit.Displaced {
+	if reason == admission.Displaced {
 		r.Status = statusTooMany
 	}
 	return r
 }
 
 // tell ends the waiting of a ticket. The caller holds the lock.
-func (g *gate) tell(t admit.Ticket, refusal *Refusal) {
+func (g *gate) tell(t admission.Ticket, refusal *Refusal) {
 	ready, ok := g.waiting[t]
 	if !ok {
 		return
@@ -90,22 +90,22 @@
 	ready <- refusal
 }
 
-func (g *gate) apply(change admit.Change) {
+func (g *gate) apply(change admission.Change) {
 	for _, t := range change.Start {
 		g.tell(t, nil)
 	}
 	for _, t := range change.Drop {
-		g.tell(t, g.refusal(admit.TooLate))
+		g.tell(t, g.refusal(admission.TooLate))
 	}
 }
 
-func (g *gate) configure(cfg admit.Config) {
+func (g *gate) configure(cfg admission.Config) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.apply(g.queue.Configure(g.now(), cfg))
 }
 
-func (g *gate) load() admit.Load {
+func (g *gate) load() admission.Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.Load()
--- a/internal/relay/health.go
+++ b/internal/proxy/health.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"bergamotstall/internal/admit"
+	"bergamotstall/internal/admission"
 	"bergamotstall/internal/events"
 )
 
@@ -24,7 +24,7 @@
 // condition guards the judgement of the target.
 type condition struct {
 	mu    sync.Mutex
-	state admit.Condition
+	state admission.Condition
 	ill   bool // as logged
 	// contradicted is set while the endpoint and requests disagree.
 	contradicted bool
--- a/internal/relay/keyed.go
+++ b/internal/proxy/keyed.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bytes"
@@ -9,8 +9,8 @@
 	"net/http"
 	"time"
 
-	"bergamotstall/internal/claim"
 	"bergamotstall/internal/events"
+	"bergamotstall/internal/idempotency"
 	"bergamotstall/internal/retry"
 	"bergamotstall/internal/wait"
 )
@@ -48,7 +48,7 @@
 
 // keyed is a submission with an idempotency key under way.
 type keyed struct {
-	try   *claim.Claimant
+	try   *idempotency.Claimant
 	begun time.Time
 }
 
@@ -67,7 +67,7 @@
 	case res.refusal != nil:
 		res.released = x.releaseKey(k.try)
 	case res.unknown != nil:
-		x.finishKey(k.try, claim.Lost, nil)
+		x.finishKey(k.try, idempotency.Lost, nil)
 	case res.resp.StatusCode == http.StatusServiceUnavailable && x.cfg.ShedUnrun:
 		res.released = x.releaseKey(k.try)
 	default:
@@ -83,7 +83,7 @@
 	if refusal != nil {
 		return result{refusal: refusal, outcome: retry.NotRun}
 	}
-	if x.cfg.Clock().Sub(k.begun) > claim.MaxHold {
+	if x.cfg.Clock().Sub(k.begun) > idempotency.MaxHold {
 		p.leave()
 		return refused(ReasonKeyLate)
 	}
@@ -124,21 +124,21 @@
 // claimOnce makes one try for the request's key.
 func (x *Relay) claimOnce(c *call) (*keyed, result) {
 	t := x.table.Load()
-	if !claim.MayVote(t, x.self(), x.tableAge(), x.cfg.Clock().UnixMilli()) {
+	if !idempotency.MayVote(t, x.self(), x.tableAge(), x.cfg.Clock().UnixMilli()) {
 		x.complain(events.ClaimsStale)
 		return nil, refused(ReasonKeyStale)
 	}
 	own, _ := t.Target(x.self())
-	r := claim.Request{
-		Key:    claim.Key(sum(x.cfg.Service, c.request.Header.Get(HeaderKey))),
-		ID:     claim.ID{Agent: x.self(), Nonce: x.nonce.Add(1)},
+	r := idempotency.Request{
+		Key:    idempotency.Key(sum(x.cfg.Service, c.request.Header.Get(HeaderKey))),
+		ID:     idempotency.ID{Agent: x.self(), Nonce: x.nonce.Add(1)},
 		Caller: c.credential,
 		Body:   sum(c.request.Method, c.request.URL.RequestURI(), string(c.held)),
 	}
 	k := &keyed{begun: x.cfg.Clock()}
-	try, verdict := x.claim(c.ctx, r, t, claim.RowsOf(t, own.Service))
+	try, verdict := x.claim(c.ctx, r, t, idempotency.RowsOf(t, own.Service))
 	k.try = try
-	if verdict == claim.Won {
+	if verdict == idempotency.Won {
 		return k, result{}
 	}
 	res := x.keyAnswer(verdict, try)
@@ -148,21 +148,21 @@
 
 // keyAnswer is what a caller is told whose key another try has, or that found
 // no quorum.
-func (x *Relay) keyAnswer(v claim.Verdict, try *claim.Claimant) result {
+func (x *Relay) keyAnswer(v idempotency.Verdict, try *idempotency.Claimant) result {
 	switch v {
-	case claim.Known:
+	case idempotency.Known:
 		if answer := try.Answer(); answer != nil {
 			x.count.add("claims.replayed")
 			return result{resp: replay(answer)}
 		}
 		return unknown(ReasonKeyNoText, http.StatusConflict)
-	case claim.Running:
+	case idempotency.Running:
 		return unknown(ReasonKeyRunning, http.StatusConflict)
-	case claim.Unknown:
+	case idempotency.Unknown:
 		return unknown(ReasonKeyUnknown, http.StatusConflict)
-	case claim.Misused:
+	case idempotency.Misused:
 		return result{misuse: ReasonKeyMisused}
-	case claim.TooMany:
+	case idempotency.TooMany:
 		return refused(ReasonKeyFull)
 	default:
 		return refused(ReasonKeyQuorum)
@@ -178,13 +178,13 @@
 }
 
 // sum hashes texts that may contain anything; their lengths keep them apart.
-func sum(texts ...string) claim.Sum {
+func sum(texts ...string) idempotency.Sum {
 	h := sha256.New()
 	for _, s := range texts {
 		one := sha256.Sum256([]byte(s))
 		h.Write(one[:])
 	}
-	return claim.Sum(h.Sum(nil)[:len(claim.Sum{})])
+	return idempotency.Sum(h.Sum(nil)[:len(idempotency.Sum{})])
 }
 
 // holdBody reads a keyed submission's body into memory: its fingerprint is
@@ -218,7 +218,7 @@
 }
 
 // replay makes an answer of one that was kept.
-func replay(a *claim.Answer) *http.Response {
+func replay(a *idempotency.Answer) *http.Response {
 	h := http.Header{}
 	for _, f := range a.Header {
 		h.Add(f.Name, f.Value)
@@ -239,20 +239,20 @@
 	kept   bytes.Buffer
 	large  bool
 	ended  bool
-	finish func(standing claim.Standing, body []byte, whole bool)
+	finish func(standing idempotency.Standing, body []byte, whole bool)
 }
 
 // keepAnswer returns the answer's body; reading or closing it tells keepers.
-func (x *Relay) keepAnswer(try *claim.Claimant, resp *http.Response) io.ReadCloser {
-	head := claim.Answer{Status: resp.StatusCode}
+func (x *Relay) keepAnswer(try *idempotency.Claimant, resp *http.Response) io.ReadCloser {
+	head := idempotency.Answer{Status: resp.StatusCode}
 	plain := http.Header{}
 	copyHeader(plain, resp.Header)
 	for name, values := range plain {
 		for _, v := range values {
-			head.Header = append(head.Header, claim.Field{Name: name, Value: v})
+			head.Header = append(head.Header, idempotency.Field{Name: name, Value: v})
 		}
 	}
-	return &answerKeeper{ReadCloser: resp.Body, finish: func(standing claim.Standing, body []byte, whole bool) {
+	return &answerKeeper{ReadCloser: resp.Body, finish: func(standing idempotency.Standing, body []byte, whole bool) {
 		if !whole {
 			x.finishKey(try, standing, nil)
 			return
@@ -264,7 +264,7 @@
 
 func (a *answerKeeper) Read(p []byte) (int, error) {
 	n, err := a.ReadCloser.Read(p)
-	if a.kept.Len()+n > claim.MaxAnswer {
+	if a.kept.Len()+n > idempotency.MaxAnswer {
 		a.large = true
 	} else {
 		a.kept.Write(p[:n])
@@ -281,10 +281,10 @@
 	}
 	a.ended = true
 	if !errors.Is(err, io.EOF) {
-		a.finish(claim.Lost, nil, false)
+		a.finish(idempotency.Lost, nil, false)
 		return
 	}
-	a.finish(claim.Done, a.kept.Bytes(), !a.large)
+	a.finish(idempotency.Done, a.kept.Bytes(), !a.large)
 }
 
 // Close reads the rest, so that a resender gets the answer that its first
--- a/internal/relay/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/claim"
+	"bergamotstall/internal/idempotency"
 	"bergamotstall/internal/standin/target"
 	"bergamotstall/internal/table"
 )
@@ -17,8 +17,8 @@
 // holds tells whether this agent's keeper has a record of the key.
 func (x *Relay) holds(key string) bool {
 	held := false
-	x.keep(func(k *claim.Keeper, nowMS int64) {
-		held = k.Knows(claim.Key(sum(x.cfg.Service, key)))
+	x.keep(func(k *idempotency.Keeper, nowMS int64) {
+		held = k.Knows(idempotency.Key(sum(x.cfg.Service, key)))
 	})
 	return held
 }
@@ -161,7 +161,7 @@
 func TestOldTableStopsKeyedSubmissionsOnly(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3, target.Faults{}, Limits{Slots: 4})
-	old := func() time.Duration { return claim.MaxTableAge + 1 }
+	old := func() time.Duration { return idempotency.MaxTableAge + 1 }
 	c.hosts[0].relay.cfg.TableAge = old
 	is.Equal(c.hosts[0].keyed("k1", "note").status, http.StatusOK)
 	is.Equal(c.hosts[0].target.Run("k1").Seen, 0)
--- a/internal/relay/listen.go
+++ b/internal/proxy/listen.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -13,10 +13,10 @@
 	"github.com/sirupsen/logrus"
 	"github.com/tinylib/msgp/msgp"
 
-	"bergamotstall/internal/claim"
 	"bergamotstall/internal/events"
+	"bergamotstall/internal/framing"
+	"bergamotstall/internal/idempotency"
 	"bergamotstall/internal/table"
-	"bergamotstall/internal/wire"
 )
 
 const (
@@ -49,7 +49,7 @@
 func (x *Relay) listenPeers() (*peerServer, error) {
 	ln, err := net.Listen("tcp", x.cfg.Peer)
 	if err != nil {
-		return nil, errors.Wrap(err, "relay: listen for peers")
+		return nil, errors.Wrap(err, "proxy: listen for peers")
 	}
 	s := &peerServer{
 		relay:  x,
@@ -148,7 +148,7 @@
 		delete(s.framed, raw)
 		s.mu.Unlock()
 	}()
-	conn := wire.NewConn(raw, frameLimit, callTime)
+	conn := framing.NewConn(raw, frameLimit, callTime)
 	self, ok := s.greet(conn)
 	for ok && self == s.relay.self() {
 		_ = raw.SetReadDeadline(time.Now().Add(peerIdleTime))
@@ -167,7 +167,7 @@
 }
 
 // greet answers a Hello and tells whom it was for.
-func (s *peerServer) greet(conn *wire.Conn) (table.AgentNumber, bool) {
+func (s *peerServer) greet(conn *framing.Conn) (table.AgentNumber, bool) {
 	_ = conn.Raw().SetReadDeadline(time.Now().Add(helloTime))
 	f, err := conn.Read()
 	if err != nil || f.Kind != kindHello {
@@ -186,41 +186,41 @@
 }
 
 // answerFrame answers one question of a peer.
-func (x *Relay) answerFrame(f wire.Frame) (wire.Kind, msgp.Marshaler, error) {
+func (x *Relay) answerFrame(f framing.Frame) (framing.Kind, msgp.Marshaler, error) {
 	switch f.Kind {
 	case kindProbe:
 		return kindLoad, x.loadReport(), nil
 	case kindClaim:
-		var r claim.Request
+		var r idempotency.Request
 		if err := f.Decode(&r); err != nil {
 			return 0, nil, err
 		}
 		reply := x.vote(r)
 		return kindReply, &reply, nil
 	case kindRelease:
-		var r claim.Release
+		var r idempotency.Release
 		if err := f.Decode(&r); err != nil {
 			return 0, nil, err
 		}
-		x.keep(func(k *claim.Keeper, nowMS int64) { k.Release(nowMS, r) })
+		x.keep(func(k *idempotency.Keeper, nowMS int64) { k.Release(nowMS, r) })
 		return kindDone, &Done{}, nil
 	case kindFinish:
-		var r claim.Finish
+		var r idempotency.Finish
 		if err := f.Decode(&r); err != nil {
 			return 0, nil, err
 		}
-		x.keep(func(k *claim.Keeper, nowMS int64) { k.Finish(nowMS, r) })
+		x.keep(func(k *idempotency.Keeper, nowMS int64) { k.Finish(nowMS, r) })
 		return kindDone, &Done{}, nil
 	case kindHandover:
-		var h claim.Handover
+		var h idempotency.Handover
 		if err := f.Decode(&h); err != nil {
 			return 0, nil, err
 		}
-		taken := claim.Taken{}
-		x.keep(func(k *claim.Keeper, nowMS int64) { taken.OK = k.Merge(nowMS, h) })
+		taken := idempotency.Taken{}
+		x.keep(func(k *idempotency.Keeper, nowMS int64) { taken.OK = k.Merge(nowMS, h) })
 		return kindTaken, &taken, nil
 	}
-	return 0, nil, errors.Errorf("relay: unknown frame kind %d", f.Kind)
+	return 0, nil, errors.Errorf("proxy: unknown frame kind %d", f.Kind)
 }
 
 // connListener hands the sorted HTTP connections to http.Server.
--- a/internal/relay/messages.go
+++ b/internal/proxy/messages.go
@@ -1,8 +1,8 @@
-package relay
+package proxy
 
 import "bergamotstall/internal/table"
 
-//go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/relay/messages.go -o ../internal/relay/messages_gen.go -tests=false
+//go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/proxy/messages.go -o ../internal/proxy/messages_gen.go -tests=false
 
 // Hello opens a framed connection between agents. The addressee is named, since
 // an address may have passed to another agent: its votes and its load would be
--- a/internal/relay/relay.go
+++ b/internal/proxy/proxy.go
@@ -1,12 +1,12 @@
-// Package relay carries requests from callers to the target beside the agent,
+// Package proxy carries requests from callers to the target beside the agent,
 // or to another agent of the service, and answers back. It executes what the
-// decision packages admit, retry, place and claim say.
+// decision packages admission, retry, placement and idempotency say.
 //
 // A request ends in one of three ways: a target's answer, whole; refused as not
 // run, where no target saw a byte of it; or unknown, where a target saw some of
 // it and no answer came. The border between the last two is the hand-over: the
 // moment at which a connection to the target is ready to be written.
-package relay
+package proxy
 
 import (
 	"crypto/tls"
@@ -18,8 +18,8 @@
 	"github.com/go-faster/errors"
 	"github.com/sirupsen/logrus"
 
-	"bergamotstall/internal/admit"
-	"bergamotstall/internal/claim"
+	"bergamotstall/internal/admission"
+	"bergamotstall/internal/idempotency"
 	"bergamotstall/internal/metrics"
 	"bergamotstall/internal/retry"
 	"bergamotstall/internal/table"
@@ -114,7 +114,7 @@
 }
 
 // ErrConfig is returned by New for a configuration that can't work.
-var ErrConfig = errors.New("relay: bad configuration")
+var ErrConfig = errors.New("proxy: bad configuration")
 
 // Relay is one agent's end of the request's way.
 type Relay struct {
@@ -170,7 +170,7 @@
 		count:  counters{set: cfg.Metrics},
 		budget: retry.NewBudget(0),
 	}
-	x.gate = newGate(x.now, admit.Config{
+	x.gate = newGate(x.now, admission.Config{
 		Slots:       cfg.Limits.Slots,
 		Connections: cfg.Limits.Connections,
 		Queue:       cfg.Limits.Queue,
@@ -210,7 +210,7 @@
 	if t == nil {
 		return
 	}
-	cfg := admit.Config{Slots: x.cfg.Limits.Slots, Connections: x.cfg.Limits.Connections, Queue: x.cfg.Limits.Queue}
+	cfg := admission.Config{Slots: x.cfg.Limits.Slots, Connections: x.cfg.Limits.Connections, Queue: x.cfg.Limits.Queue}
 	if own, ok := t.Target(x.self()); ok {
 		cfg.Slots = orDefault(own.Slots, cfg.Slots)
 		cfg.Connections = orDefault(own.Connections, cfg.Connections)
@@ -222,7 +222,7 @@
 		x.budgetMu.Unlock()
 	}
 	x.gate.configure(cfg)
-	x.resetKeeper(claim.Lookback(x.window()))
+	x.resetKeeper(idempotency.Lookback(x.window()))
 	x.frames.forget(func(n table.AgentNumber) bool {
 		peer, ok := t.Target(n)
 		return ok && peer.State != table.Retired
--- a/internal/relay/rig_test.go
+++ b/internal/proxy/rig_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
--- a/internal/relay/route.go
+++ b/internal/proxy/route.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"bergamotstall/internal/claim"
-	"bergamotstall/internal/place"
-	"bergamotstall/internal/ramp"
+	"bergamotstall/internal/idempotency"
+	"bergamotstall/internal/placement"
 	"bergamotstall/internal/retry"
+	"bergamotstall/internal/slowstart"
 	"bergamotstall/internal/table"
 )
 
@@ -102,7 +102,7 @@
 	here := !x.drained() && !slices.Contains(tried, x.self())
 	home := x.load()
 	home.Closed = !here || !x.fit(c)
-	if home.Room() && (c.isFeed() || !place.LookAround(home)) {
+	if home.Room() && (c.isFeed() || !placement.LookAround(home)) {
 		return route{here: true}, true
 	}
 	peers := x.peers()
@@ -126,7 +126,7 @@
 }
 
 // peers returns the other agents that may get new work.
-func (x *Relay) peers() []place.Peer {
+func (x *Relay) peers() []placement.Peer {
 	t := x.table.Load()
 	if t == nil {
 		return nil
@@ -136,10 +136,10 @@
 		return nil
 	}
 	now := x.cfg.Clock().UnixMilli()
-	var out []place.Peer
+	var out []placement.Peer
 	for _, p := range t.Targets {
 		if p.Service == own.Service && p.Agent != own.Agent && p.State == table.Active && !x.silent.paused(p.Agent, x.now()) {
-			out = append(out, place.Peer{Agent: p.Agent, Near: p.DataCentre == own.DataCentre, Share: ramp.Share(p, now)})
+			out = append(out, placement.Peer{Agent: p.Agent, Near: p.DataCentre == own.DataCentre, Share: slowstart.Share(p, now)})
 		}
 	}
 	return out
@@ -147,12 +147,12 @@
 
 // probe asks a few peers for their load, near ones first, and returns the best
 // that has room and is better than home.
-func (x *Relay) probe(ctx context.Context, home place.Load, peers []place.Peer, tried []table.AgentNumber) (table.Target, bool) {
+func (x *Relay) probe(ctx context.Context, home placement.Load, peers []placement.Peer, tried []table.AgentNumber) (table.Target, bool) {
 	t := x.table.Load()
 	for round := range maxProbeRounds {
-		drawn := place.Draw(x.rng(), peers, round == 0, tried)
+		drawn := placement.Draw(x.rng(), peers, round == 0, tried)
 		loads := x.loadsOf(ctx, t, drawn)
-		if i := place.Best(home, loads); i >= 0 {
+		if i := placement.Best(home, loads); i >= 0 {
 			return t.Target(drawn[i].Agent)
 		}
 	}
@@ -161,8 +161,8 @@
 
 // loadsOf asks peers at the same time. One that doesn't answer in time counts as
 // closed.
-func (x *Relay) loadsOf(ctx context.Context, t *table.Table, peers []place.Peer) []place.Load {
-	loads := make([]place.Load, len(peers))
+func (x *Relay) loadsOf(ctx context.Context, t *table.Table, peers []placement.Peer) []placement.Load {
+	loads := make([]placement.Load, len(peers))
 	var wait sync.WaitGroup
 	for i, p := range peers {
 		wait.Go(func() { loads[i] = x.loadOf(ctx, t, p.Agent) })
@@ -173,16 +173,16 @@
 
 // loadOf asks one peer. The question itself goes on when the wait is over, so
 // that a connection that is slow to open is there for the next one.
-func (x *Relay) loadOf(ctx context.Context, t *table.Table, peer table.AgentNumber) place.Load {
+func (x *Relay) loadOf(ctx context.Context, t *table.Table, peer table.AgentNumber) placement.Load {
 	x.count.add("peers.probes")
-	answer := make(chan place.Load, 1)
+	answer := make(chan placement.Load, 1)
 	go func() {
 		var r LoadReport
 		if err := x.tell(context.WithoutCancel(ctx), t, peer, kindProbe, &Probe{}, &r); err != nil {
-			answer <- place.Load{Closed: true}
+			answer <- placement.Load{Closed: true}
 			return
 		}
-		answer <- place.Load{
+		answer <- placement.Load{
 			Slots: r.Slots, Running: r.Running, Waiting: r.Waiting,
 			Hold: time.Duration(r.HoldMicros) * time.Microsecond, Closed: r.Closed,
 		}
@@ -197,7 +197,7 @@
 		x.silent.note(peer, x.now()+probePause)
 	case <-ctx.Done():
 	}
-	return place.Load{Closed: true}
+	return placement.Load{Closed: true}
 }
 
 // silence remembers peers that let a probe wait. A dead VM answers nothing until
@@ -229,9 +229,9 @@
 }
 
 // load is this host's own, as its agent knows it.
-func (x *Relay) load() place.Load {
+func (x *Relay) load() placement.Load {
 	l := x.gate.load()
-	return place.Load{Slots: l.Slots, Running: l.Running, Waiting: l.Waiting, Hold: l.Hold}
+	return placement.Load{Slots: l.Slots, Running: l.Running, Waiting: l.Waiting, Hold: l.Hold}
 }
 
 func (x *Relay) loadReport() *LoadReport {
@@ -244,10 +244,10 @@
 
 // anyPeer is for a host that can't take the request itself while all peers are
 // full: one of them lets it wait.
-func (x *Relay) anyPeer(peers []place.Peer, tried []table.AgentNumber) (table.Target, bool) {
+func (x *Relay) anyPeer(peers []placement.Peer, tried []table.AgentNumber) (table.Target, bool) {
 	t := x.table.Load()
 	for _, near := range []bool{true, false} {
-		if drawn := place.Draw(x.rng(), peers, near, tried); len(drawn) > 0 {
+		if drawn := placement.Draw(x.rng(), peers, near, tried); len(drawn) > 0 {
 			return t.Target(drawn[0].Agent)
 		}
 	}
@@ -269,4 +269,4 @@
 // isKeyed tells whether the claim rules apply.
 func (c *call) isKeyed() bool { return !c.safe && c.request.Header.Get(HeaderKey) != "" }
 
-func formatSum(s claim.Sum) string { return encodeHex(s[:]) }
+func formatSum(s idempotency.Sum) string { return encodeHex(s[:]) }
--- a/internal/relay/run.go
+++ b/internal/proxy/run.go
@@ -1,11 +1,11 @@
-package relay
+package proxy
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"bergamotstall/internal/claim"
+	"bergamotstall/internal/idempotency"
 )
 
 // Run serves other agents until ctx is done, then hands the keys over and ends.
@@ -46,7 +46,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			x.keep(func(k *claim.Keeper, nowMS int64) { k.Sweep(nowMS) })
+			x.keep(func(k *idempotency.Keeper, nowMS int64) { k.Sweep(nowMS) })
 		}
 	}
 }
--- a/internal/relay/target.go
+++ b/internal/proxy/target.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -109,7 +109,7 @@
 }
 
 // errDetached is returned to an attempt that is over.
-var errDetached = errors.New("relay: the attempt is over")
+var errDetached = errors.New("proxy: the attempt is over")
 
 // attemptBody is the request's body as one attempt sees it. A failed attempt may
 // still be reading in the background; the next must not share its reads.
--- a/internal/relay/votes.go
+++ b/internal/proxy/votes.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"github.com/sirupsen/logrus"
 	"github.com/tinylib/msgp/msgp"
 
-	"bergamotstall/internal/claim"
 	"bergamotstall/internal/events"
+	"bergamotstall/internal/framing"
+	"bergamotstall/internal/idempotency"
 	"bergamotstall/internal/table"
-	"bergamotstall/internal/wire"
 )
 
 const (
@@ -25,12 +25,12 @@
 type keeper struct {
 	mu    sync.Mutex
 	agent table.AgentNumber
-	votes *claim.Keeper
+	votes *idempotency.Keeper
 }
 
 // keep runs one step of the keeper; it does nothing before the agent has its
 // number.
-func (x *Relay) keep(step func(k *claim.Keeper, nowMS int64)) {
+func (x *Relay) keep(step func(k *idempotency.Keeper, nowMS int64)) {
 	x.keeper.mu.Lock()
 	defer x.keeper.mu.Unlock()
 	if x.keeper.votes != nil {
@@ -49,7 +49,7 @@
 	}
 	if x.keeper.agent != agent {
 		x.keeper.agent = agent
-		x.keeper.votes = claim.NewKeeper(agent, claim.Limits{}, lookback)
+		x.keeper.votes = idempotency.NewKeeper(agent, idempotency.Limits{}, lookback)
 	}
 	x.keeper.votes.SetLookback(lookback)
 }
@@ -61,18 +61,18 @@
 			return time.Duration(s.KeyWindowMS) * time.Millisecond
 		}
 	}
-	return claim.DefaultWindow
+	return idempotency.DefaultWindow
 }
 
 // vote answers a claimant.
-func (x *Relay) vote(r claim.Request) claim.Reply {
-	reply := claim.Reply{Standing: claim.Closed}
-	if !claim.MayVote(x.table.Load(), x.self(), x.tableAge(), x.cfg.Clock().UnixMilli()) {
+func (x *Relay) vote(r idempotency.Request) idempotency.Reply {
+	reply := idempotency.Reply{Standing: idempotency.Closed}
+	if !idempotency.MayVote(x.table.Load(), x.self(), x.tableAge(), x.cfg.Clock().UnixMilli()) {
 		x.count.add("claims.vote-stale")
 		return reply
 	}
-	x.keep(func(k *claim.Keeper, nowMS int64) { reply = k.Claim(nowMS, r) })
-	if reply.Standing == claim.Full {
+	x.keep(func(k *idempotency.Keeper, nowMS int64) { reply = k.Claim(nowMS, r) })
+	if reply.Standing == idempotency.Full {
 		x.count.add("claims.vote-full")
 		x.complain(events.ClaimsFull)
 	}
@@ -89,13 +89,13 @@
 // heard is one keeper's reply on its way to the claimant.
 type heard struct {
 	from  table.AgentNumber
-	reply *claim.Reply
+	reply *idempotency.Reply
 }
 
 // claim asks keepers until the try is decided.
-func (x *Relay) claim(ctx context.Context, r claim.Request, t *table.Table, rows []claim.Row) (*claim.Claimant, claim.Verdict) {
-	lookback := claim.Lookback(x.window())
-	try := claim.NewClaimant(r, rows, x.cfg.Clock().UnixMilli(), lookback.Milliseconds())
+func (x *Relay) claim(ctx context.Context, r idempotency.Request, t *table.Table, rows []idempotency.Row) (*idempotency.Claimant, idempotency.Verdict) {
+	lookback := idempotency.Lookback(x.window())
+	try := idempotency.NewClaimant(r, rows, x.cfg.Clock().UnixMilli(), lookback.Milliseconds())
 	replies := make(chan heard, len(rows))
 	begun := time.Now()
 	defer func() { x.count.addN("claims.micros", time.Since(begun).Microseconds()) }()
@@ -103,7 +103,7 @@
 		for _, n := range try.Ask() {
 			go func() { replies <- heard{n, x.askKeeper(ctx, t, n, r)} }()
 		}
-		if v := try.Verdict(); v != claim.Pending {
+		if v := try.Verdict(); v != idempotency.Pending {
 			return try, v
 		}
 		h := <-replies
@@ -112,12 +112,12 @@
 }
 
 // askKeeper returns a keeper's reply, nil where none comes.
-func (x *Relay) askKeeper(ctx context.Context, t *table.Table, n table.AgentNumber, r claim.Request) *claim.Reply {
+func (x *Relay) askKeeper(ctx context.Context, t *table.Table, n table.AgentNumber, r idempotency.Request) *idempotency.Reply {
 	if n == x.self() {
 		reply := x.vote(r)
 		return &reply
 	}
-	var reply claim.Reply
+	var reply idempotency.Reply
 	if err := x.tell(ctx, t, n, kindClaim, &r, &reply); err != nil {
 		x.count.add("claims.keeper-silent")
 		return nil
@@ -126,7 +126,7 @@
 }
 
 // tell sends one message to a peer and waits for its answer.
-func (x *Relay) tell(ctx context.Context, t *table.Table, n table.AgentNumber, kind wire.Kind, m msgp.Marshaler, answer msgp.Unmarshaler) error {
+func (x *Relay) tell(ctx context.Context, t *table.Table, n table.AgentNumber, kind framing.Kind, m msgp.Marshaler, answer msgp.Unmarshaler) error {
 	to, ok := t.Target(n)
 	if !ok {
 		return errWrongPeer
@@ -139,7 +139,7 @@
 // tellAll tells everyone who may hold a vote how a try ended, in the
 // background: callers don't wait for it. The returned channel is closed when all
 // have heard or couldn't be reached.
-func (x *Relay) tellAll(try *claim.Claimant, kind wire.Kind, m msgp.Marshaler, own func(*claim.Keeper, int64)) <-chan struct{} {
+func (x *Relay) tellAll(try *idempotency.Claimant, kind framing.Kind, m msgp.Marshaler, own func(*idempotency.Keeper, int64)) <-chan struct{} {
 	t := x.table.Load()
 	var told sync.WaitGroup
 	for _, n := range try.Asked() {
@@ -161,15 +161,15 @@
 	return done
 }
 
-func (x *Relay) releaseKey(try *claim.Claimant) <-chan struct{} {
-	r := claim.Release{Key: try.Request().Key, ID: try.Request().ID}
-	return x.tellAll(try, kindRelease, &r, func(k *claim.Keeper, nowMS int64) { k.Release(nowMS, r) })
+func (x *Relay) releaseKey(try *idempotency.Claimant) <-chan struct{} {
+	r := idempotency.Release{Key: try.Request().Key, ID: try.Request().ID}
+	return x.tellAll(try, kindRelease, &r, func(k *idempotency.Keeper, nowMS int64) { k.Release(nowMS, r) })
 }
 
 // finishKey tells in the background: the caller has its answer already.
-func (x *Relay) finishKey(try *claim.Claimant, standing claim.Standing, answer *claim.Answer) {
-	f := claim.Finish{Request: try.Request(), Standing: standing, Answer: answer}
-	x.tellAll(try, kindFinish, &f, func(k *claim.Keeper, nowMS int64) { k.Finish(nowMS, f) })
+func (x *Relay) finishKey(try *idempotency.Claimant, standing idempotency.Standing, answer *idempotency.Answer) {
+	f := idempotency.Finish{Request: try.Request(), Standing: standing, Answer: answer}
+	x.tellAll(try, kindFinish, &f, func(k *idempotency.Keeper, nowMS int64) { k.Finish(nowMS, f) })
 }
 
 // handOverKeys closes the keeper and gives what it knows to the service's other
@@ -180,8 +180,8 @@
 	if t == nil || x.self() == 0 {
 		return
 	}
-	var h claim.Handover
-	x.keep(func(k *claim.Keeper, nowMS int64) { h = k.Close(nowMS) })
+	var h idempotency.Handover
+	x.keep(func(k *idempotency.Keeper, nowMS int64) { h = k.Close(nowMS) })
 	own, _ := t.Target(x.self())
 	var wait sync.WaitGroup
 	for _, peer := range t.TargetsOf(own.Service) {
@@ -193,10 +193,10 @@
 	events.Log(x.log, events.ClaimsHandedOver, logrus.Fields{"keys": len(h.Records)})
 }
 
-func (x *Relay) handOverTo(peer table.Target, h *claim.Handover) {
+func (x *Relay) handOverTo(peer table.Target, h *idempotency.Handover) {
 	ctx, cancel := context.WithTimeout(context.Background(), handoverTime)
 	defer cancel()
-	var taken claim.Taken
+	var taken idempotency.Taken
 	err := x.frames.call(ctx, peer, kindHandover, h, &taken)
 	if err == nil && taken.OK {
 		x.count.add("claims.handovers")
--- a/internal/quorum/core.go
+++ b/internal/raft/core.go
@@ -1,4 +1,4 @@
-// Package quorum is the deterministic core of the replicated log, a member of
+// Package raft is the deterministic core of the replicated log, a member of
 // the Raft family (Ongaro and Ousterhout, 2014; pre-vote, check-quorum, learners
 // and read-index from Ongaro's thesis). Time, randomness and messages come in
 // as arguments; what must be written, sent and applied comes out as a Ready.
@@ -8,7 +8,7 @@
 // balancer, under restarts, partitions and lost disks. Without agreement two
 // operators on two sides of a partition would each put a preset in force, and
 // one would revert when the sides meet.
-package quorum
+package raft
 
 import (
 	"math/rand/v2"
@@ -30,9 +30,9 @@
 
 // Errors of a refused proposal or read; nothing was appended.
 var (
-	ErrNotLeader = errors.New("quorum: not the leader")
-	ErrNoLeader  = errors.New("quorum: no leader known")
-	ErrBusy      = errors.New("quorum: too much is uncommitted")
+	ErrNotLeader = errors.New("raft: not the leader")
+	ErrNoLeader  = errors.New("raft: no leader known")
+	ErrBusy      = errors.New("raft: too much is uncommitted")
 )
 
 // State is what a replica does in its term.
@@ -117,7 +117,7 @@
 	first.Role = Voter
 	data, err := (&Membership{Members: []Member{first}}).MarshalMsg(nil)
 	if err != nil {
-		return Stored{}, errors.Wrap(err, "quorum: encode membership")
+		return Stored{}, errors.Wrap(err, "raft: encode membership")
 	}
 	return Stored{
 		Hard:    HardState{Term: 1},
@@ -353,7 +353,7 @@
 func (c *Core) Compact(at Index, data []byte) (Snapshot, error) {
 	t, ok := c.log.term(at)
 	if !ok || at > c.log.handed || at <= c.log.snapshot.Index {
-		return Snapshot{}, errors.Errorf("quorum: no snapshot at %d", at)
+		return Snapshot{}, errors.Errorf("raft: no snapshot at %d", at)
 	}
 	s := Snapshot{Index: at, Term: t, Members: c.log.membershipAt(at), Data: data}
 	c.log.compact(s, c.cfg.KeepEntries)
--- a/internal/quorum/faults.go
+++ b/internal/raft/faults.go
@@ -1,4 +1,4 @@
-package quorum
+package raft
 
 // faults switch single safeguards off. Only tests set them: each must then be
 // caught by the explorer or a directed test, which shows that the test can see
