--- a/internal/quorum/members.go
+++ b/internal/raft/members.go
@@ -1,4 +1,4 @@
-package quorum
+package raft
 
 import (
 	"slices"
@@ -12,15 +12,15 @@
 
 // Errors of a refused membership change; nothing was appended.
 var (
-	ErrChangeOpen   = errors.New("quorum: another membership change is open")
-	ErrUnknown      = errors.New("quorum: no such member")
-	ErrMember       = errors.New("quorum: already a member")
-	ErrRemoved      = errors.New("quorum: this identity was removed for good")
-	ErrTooMany      = errors.New("quorum: too many members")
-	ErrLastVoter    = errors.New("quorum: the last voter can't be removed")
-	ErrNameInUse    = errors.New("quorum: another member has this name")
-	ErrManyAtOnce   = errors.New("quorum: more than one voter would change")
-	ErrNoMembership = errors.New("quorum: an entry's membership can't be read")
+	ErrChangeOpen   = errors.New("raft: another membership change is open")
+	ErrUnknown      = errors.New("raft: no such member")
+	ErrMember       = errors.New("raft: already a member")
+	ErrRemoved      = errors.New("raft: this identity was removed for good")
+	ErrTooMany      = errors.New("raft: too many members")
+	ErrLastVoter    = errors.New("raft: the last voter can't be removed")
+	ErrNameInUse    = errors.New("raft: another member has this name")
+	ErrManyAtOnce   = errors.New("raft: more than one voter would change")
+	ErrNoMembership = errors.New("raft: an entry's membership can't be read")
 )
 
 // Find returns the member with the given identity.
@@ -188,7 +188,7 @@
 	}
 	data, err := next.MarshalMsg(nil)
 	if err != nil {
-		return Place{}, errors.Wrap(err, "quorum: encode membership")
+		return Place{}, errors.Wrap(err, "raft: encode membership")
 	}
 	return c.appendOwn(EntryMembers, data), nil
 }
--- a/internal/quorum/probation.go
+++ b/internal/raft/probation.go
@@ -1,4 +1,4 @@
-package quorum
+package raft
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 // ErrRegressed marks a replica whose disk is older than what it once told the
 // others: it was restored from an old copy.
-var ErrRegressed = errors.New("quorum: this replica's disk is older than its word")
+var ErrRegressed = errors.New("raft: this replica's disk is older than its word")
 
 // RegressionError says what another replica remembers of this one.
 type RegressionError struct {
@@ -21,7 +21,7 @@
 }
 
 func (e *RegressionError) Error() string {
-	return fmt.Sprintf("quorum: disk holds term %d and index %d, but replica %s knows of term %d, index %d, committed index %d",
+	return fmt.Sprintf("raft: disk holds term %d and index %d, but replica %s knows of term %d, index %d, committed index %d",
 		e.Term, e.Index, e.By, e.Known.Term, e.Known.Match, e.Known.Committed)
 }
 
--- a/internal/quorum/read.go
+++ b/internal/raft/read.go
@@ -1,4 +1,4 @@
-package quorum
+package raft
 
 import (
 	"slices"
--- a/internal/quorum/transfer.go
+++ b/internal/raft/transfer.go
@@ -1,4 +1,4 @@
-package quorum
+package raft
 
 import (
 	"bytes"
@@ -110,10 +110,10 @@
 func (c *Core) installSnapshot(in *incomingSnapshot) error {
 	var s Snapshot
 	if _, err := s.UnmarshalMsg(in.data.Bytes()); err != nil {
-		return errors.Wrap(err, "quorum: snapshot")
+		return errors.Wrap(err, "raft: snapshot")
 	}
 	if s.Index != in.index || s.Term != in.term {
-		return errors.Errorf("quorum: snapshot of %d in chunks of %d", s.Index, in.index)
+		return errors.Errorf("raft: snapshot of %d in chunks of %d", s.Index, in.index)
 	}
 	c.log.install(s)
 	c.install = &s
--- a/internal/quorum/types.go
+++ b/internal/raft/types.go
@@ -1,11 +1,11 @@
-package quorum
+package raft
 
 import (
 	"fmt"
 	"time"
 )
 
-//go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/quorum/types.go -o ../internal/quorum/types_gen.go -tests=false
+//go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/raft/types.go -o ../internal/raft/types_gen.go -tests=false
 
 // ID is a replica's identity: random, made with its data folder and never used
 // again once removed. Zero is no replica.
--- a/internal/reach/reach.go
+++ b/internal/reachability/reachability.go
@@ -1,4 +1,4 @@
-// Package reach judges from packets sent and answers heard whether an agent can
+// Package reachability judges from packets sent and answers heard whether an agent can
 // still be reached. Control learns of a dead process only after a damped time,
 // and then takes it out of new work without calling its flows dead, as a lost
 // control stream says nothing of the data path. Without a judgement from the
@@ -13,7 +13,7 @@
 // gives open flows up, at once where the other's VM says that nobody listens
 // there any more, and otherwise only after seconds: a process that was paused, or
 // a VM short of processor time, has its flows still.
-package reach
+package reachability
 
 import (
 	"sync/atomic"
--- a/internal/reach/reach_test.go
+++ b/internal/reachability/reachability_test.go
@@ -1,4 +1,4 @@
-package reach
+package reachability
 
 import (
 	"testing"
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -15,7 +15,7 @@
 
 	"bergamotstall/internal/journal"
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 )
 
 // patience bounds waits for what must happen; no verdict depends on its length.
@@ -166,7 +166,7 @@
 func voters(s Status) int {
 	n := 0
 	for _, m := range s.Members {
-		if m.Role == quorum.Voter {
+		if m.Role == raft.Voter {
 			n++
 		}
 	}
@@ -189,7 +189,7 @@
 	var found *member
 	await(t, "a leader", func() bool {
 		for _, m := range members {
-			if m.Status().State == quorum.Leader && m.Err() == nil {
+			if m.Status().State == raft.Leader && m.Err() == nil {
 				found = m
 				return true
 			}
--- a/internal/replica/disk_test.go
+++ b/internal/replica/disk_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 
 	"bergamotstall/internal/journal"
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 )
 
 // hookDisk is the machine's disk, with a say for the test before each write and
@@ -171,7 +171,7 @@
 	is.NoErr(os.Rename(saved, back.folder))
 	back.start()
 	back.waitDone()
-	is.True(errors.Is(back.Err(), quorum.ErrRegressed))
+	is.True(errors.Is(back.Err(), raft.ErrRegressed))
 
 	replaceWithEmptyFolder(t, members, back)
 	sameCommands(t, members, []string{"before", "since"})
--- a/internal/replica/errors.go
+++ b/internal/replica/errors.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/go-faster/errors"
 
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 )
 
 // Verdicts on a request that has no outcome.
@@ -15,7 +15,7 @@
 	ErrOutcomeUnknown = errors.New("replica: outcome unknown")
 )
 
-// Reasons, beside those of package quorum.
+// Reasons, beside those of package raft.
 var (
 	ErrBusy       = errors.New("replica: too many requests wait")
 	ErrClosed     = errors.New("replica: closed")
@@ -58,9 +58,9 @@
 // reasons are in the order of their codes; append only.
 var reasons = []error{
 	errOther, ErrBusy, ErrClosed, ErrFailed, ErrNoLeader, ErrLostLeader, ErrOverwrote, ErrNobody, ErrTimeout,
-	quorum.ErrNotLeader, quorum.ErrNoLeader, quorum.ErrBusy, quorum.ErrChangeOpen, quorum.ErrUnknown,
-	quorum.ErrMember, quorum.ErrRemoved, quorum.ErrTooMany, quorum.ErrLastVoter, quorum.ErrNameInUse,
-	quorum.ErrManyAtOnce, ErrTooLarge,
+	raft.ErrNotLeader, raft.ErrNoLeader, raft.ErrBusy, raft.ErrChangeOpen, raft.ErrUnknown,
+	raft.ErrMember, raft.ErrRemoved, raft.ErrTooMany, raft.ErrLastVoter, raft.ErrNameInUse,
+	raft.ErrManyAtOnce, ErrTooLarge,
 }
 
 func codeOf(err error) reasonCode {
--- a/internal/replica/failure_test.go
+++ b/internal/replica/failure_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 )
 
 // An operator talks to a leader that is on the far side of a partition and
@@ -31,7 +31,7 @@
 	is.True(errors.Is(err, ErrNotRun)) // a read that can't be current is refused
 	_, err = old.Propose(within(t, 200*time.Millisecond), []byte("refused"))
 	is.True(errors.Is(err, ErrNotRun)) // it has stepped down and knows no leader
-	is.True(old.Status().State != quorum.Leader)
+	is.True(old.Status().State != raft.Leader)
 	age := old.ContactAge()
 	await(t, "the age of its word to rise", func() bool { return old.ContactAge() > age+50*time.Millisecond })
 
@@ -101,7 +101,7 @@
 	is.True(errors.Is(err, ErrNotRun))
 	is.True(errors.Is(m.Barrier(ctx), ErrNotRun))
 	is.Equal(len(m.sm.all()), 0)
-	is.Equal(m.Status().Term, quorum.Term(0)) // a fresh folder campaigns for nothing
+	is.Equal(m.Status().Term, raft.Term(0)) // a fresh folder campaigns for nothing
 }
 
 // A leader's answer is lost with its connection and the caller's time ends.
--- a/internal/replica/greet.go
+++ b/internal/replica/greet.go
@@ -6,7 +6,7 @@
 
 	"github.com/go-faster/errors"
 
-	"bergamotstall/internal/wire"
+	"bergamotstall/internal/framing"
 )
 
 func (r *Replica) ownGreeting() *greeting {
@@ -20,7 +20,7 @@
 }
 
 // greet opens a connection as its dialler and returns the other's greeting.
-func (r *Replica) greet(conn *wire.Conn) (greeting, error) {
+func (r *Replica) greet(conn *framing.Conn) (greeting, error) {
 	if err := conn.Raw().SetReadDeadline(time.Now().Add(dialTimeout)); err != nil {
 		return greeting{}, errors.Wrap(err, "replica: read deadline")
 	}
@@ -30,7 +30,7 @@
 	return r.readGreeting(conn)
 }
 
-func (r *Replica) answerGreeting(conn *wire.Conn) (greeting, error) {
+func (r *Replica) answerGreeting(conn *framing.Conn) (greeting, error) {
 	peer, err := r.readGreeting(conn)
 	if err != nil {
 		return peer, err
@@ -42,7 +42,7 @@
 // readGreeting refuses a peer of another cluster: after a disk was restored
 // from another cluster's, or an address reused, its messages would be taken for
 // this cluster's.
-func (r *Replica) readGreeting(conn *wire.Conn) (greeting, error) {
+func (r *Replica) readGreeting(conn *framing.Conn) (greeting, error) {
 	var peer greeting
 	f, err := conn.Read()
 	if err != nil {
@@ -93,6 +93,6 @@
 		return false
 	}
 	defer raw.Close()
-	answer, err := r.greet(wire.NewConn(raw, frameLimit, writeTimeout))
+	answer, err := r.greet(framing.NewConn(raw, frameLimit, writeTimeout))
 	return err == nil && answer.Cluster != 0
 }
--- a/internal/replica/link.go
+++ b/internal/replica/link.go
@@ -13,9 +13,9 @@
 	"github.com/tinylib/msgp/msgp"
 
 	"bergamotstall/internal/events"
+	"bergamotstall/internal/framing"
 	"bergamotstall/internal/keys"
-	"bergamotstall/internal/quorum"
-	"bergamotstall/internal/wire"
+	"bergamotstall/internal/raft"
 )
 
 const (
@@ -43,7 +43,7 @@
 
 // outFrame is one frame to a peer.
 type outFrame struct {
-	kind wire.Kind
+	kind framing.Kind
 	body msgp.Marshaler
 }
 
@@ -54,7 +54,7 @@
 	queue   chan outFrame
 	up      bool // guarded by links.mu
 	// replica is who must answer there; 0 for anyone.
-	replica quorum.ID
+	replica raft.ID
 	// wake ends a pause.
 	wake chan struct{}
 }
@@ -69,26 +69,26 @@
 	mu sync.Mutex
 	// byReplica and byAddress hold links to members and to peers whose identity
 	// isn't known.
-	byReplica map[quorum.ID]*link
+	byReplica map[raft.ID]*link
 	byAddress map[string]*link
 	// book holds where replicas said that they take connections.
-	book map[quorum.ID]string
+	book map[raft.ID]string
 }
 
 func newLinks(r *Replica) *links {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &links{
 		r: r, ctx: ctx, cancel: cancel,
-		byReplica: map[quorum.ID]*link{},
+		byReplica: map[raft.ID]*link{},
 		byAddress: map[string]*link{},
-		book:      map[quorum.ID]string{},
+		book:      map[raft.ID]string{},
 	}
 }
 
 // note records where a replica takes connections. One that connects is there:
 // the link to it doesn't wait for its pause to end, or a replica that was away
 // for long would hear nothing for up to backoffMax after its start.
-func (l *links) note(id quorum.ID, address string) {
+func (l *links) note(id raft.ID, address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if address != "" {
@@ -102,11 +102,11 @@
 	}
 }
 
-func (l *links) sendQuorum(m *quorum.Message) { l.send(m.To, kindQuorum, m) }
+func (l *links) sendQuorum(m *raft.Message) { l.send(m.To, kindQuorum, m) }
 
 // send queues a frame for a replica. False means that it surely isn't sent;
 // true promises nothing. Only the loop calls it.
-func (l *links) send(to quorum.ID, kind wire.Kind, body msgp.Marshaler) bool {
+func (l *links) send(to raft.ID, kind framing.Kind, body msgp.Marshaler) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	address, ok := l.book[to]
@@ -134,7 +134,7 @@
 }
 
 // sendTo queues a frame for whoever is at an address.
-func (l *links) sendTo(address string, kind wire.Kind, body msgp.Marshaler) {
+func (l *links) sendTo(address string, kind framing.Kind, body msgp.Marshaler) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := l.byAddress[address]
@@ -145,14 +145,14 @@
 	l.enqueue(k, kind, body)
 }
 
-func (l *links) open(address string, id quorum.ID) *link {
+func (l *links) open(address string, id raft.ID) *link {
 	k := &link{links: l, address: address, replica: id, queue: make(chan outFrame, linkQueue), wake: make(chan struct{}, 1)}
 	l.done.Add(1)
 	go k.run()
 	return k
 }
 
-func (l *links) enqueue(k *link, kind wire.Kind, body msgp.Marshaler) bool {
+func (l *links) enqueue(k *link, kind framing.Kind, body msgp.Marshaler) bool {
 	select {
 	case k.queue <- outFrame{kind: kind, body: body}:
 		return true
@@ -266,7 +266,7 @@
 }
 
 // meet tells the loop that a connection stands.
-func (r *Replica) meet(id quorum.ID) {
+func (r *Replica) meet(id raft.ID) {
 	if id == 0 {
 		return
 	}
@@ -277,12 +277,12 @@
 }
 
 // connect dials the peer and greets it.
-func (k *link) connect() (*wire.Conn, error) {
+func (k *link) connect() (*framing.Conn, error) {
 	raw, err := k.dial()
 	if err != nil {
 		return nil, err
 	}
-	conn := wire.NewConn(raw, frameLimit, writeTimeout)
+	conn := framing.NewConn(raw, frameLimit, writeTimeout)
 	answer, err := k.links.r.greet(conn)
 	if err == nil && k.replica != 0 && answer.Replica != k.replica {
 		err = errors.Wrapf(errStranger, "%s is replica %s, not %s", k.address, answer.Replica, k.replica)
@@ -318,7 +318,7 @@
 }
 
 // carry sends frames until the connection fails or nothing needs it.
-func (k *link) carry(conn *wire.Conn) error {
+func (k *link) carry(conn *framing.Conn) error {
 	defer conn.Close()
 	failed := make(chan error, 1)
 	go func() { failed <- readPongs(conn) }()
@@ -355,7 +355,7 @@
 // readPongs returns once the peer no longer answers pings. Writing to a
 // half-open connection succeeds until the kernel's buffer is full, which at a
 // heartbeat's size takes minutes.
-func readPongs(conn *wire.Conn) error {
+func readPongs(conn *framing.Conn) error {
 	for {
 		if err := conn.Raw().SetReadDeadline(time.Now().Add(pongTimeout)); err != nil {
 			return errors.Wrap(err, "replica: read deadline")
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -8,7 +8,7 @@
 
 	"bergamotstall/internal/events"
 	"bergamotstall/internal/journal"
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 )
 
 // maxBatch bounds how much input one sync covers.
@@ -114,7 +114,7 @@
 	return r.core.Err()
 }
 
-func (r *Replica) persist(ready quorum.Ready) error {
+func (r *Replica) persist(ready raft.Ready) error {
 	if !ready.Sync() {
 		return nil
 	}
@@ -141,7 +141,7 @@
 }
 
 // apply runs committed commands and answers whoever proposed them.
-func (r *Replica) apply(ready quorum.Ready) error {
+func (r *Replica) apply(ready raft.Ready) error {
 	if ready.Snapshot != nil {
 		if err := r.install(ready.Snapshot); err != nil {
 			return err
@@ -152,7 +152,7 @@
 			continue
 		}
 		var outcome []byte
-		if e.Kind == quorum.EntryCommand {
+		if e.Kind == raft.EntryCommand {
 			outcome = r.sm.Apply(uint64(e.Index), e.Data)
 			r.count.applied.Add(1)
 		}
@@ -168,19 +168,19 @@
 	return nil
 }
 
-func (r *Replica) install(s *quorum.Snapshot) error {
+func (r *Replica) install(s *raft.Snapshot) error {
 	if err := r.sm.Restore(s.Data); err != nil {
 		return errors.Wrap(err, "replica: restore snapshot")
 	}
 	r.applied = s.Index
-	r.failWaiters(func(i quorum.Index) bool { return i <= s.Index }, unknown(ErrLostLeader))
+	r.failWaiters(func(i raft.Index) bool { return i <= s.Index }, unknown(ErrLostLeader))
 	r.count.snapshotsInstalled.Add(1)
 	events.Log(r.cfg.Log, events.SnapshotInstalled, logrus.Fields{"index": uint64(s.Index), "bytes": len(s.Data)})
 	return nil
 }
 
 func (r *Replica) maybeSnapshot() error {
-	if r.applied < r.core.SnapshotIndex()+quorum.Index(r.cfg.SnapshotEvery) {
+	if r.applied < r.core.SnapshotIndex()+raft.Index(r.cfg.SnapshotEvery) {
 		return nil
 	}
 	data, err := r.sm.Snapshot()
@@ -200,7 +200,7 @@
 	return nil
 }
 
-func (r *Replica) sendAll(ms []quorum.Message) {
+func (r *Replica) sendAll(ms []raft.Message) {
 	for i := range ms {
 		r.links.sendQuorum(&ms[i])
 	}
@@ -217,7 +217,7 @@
 	if leads := r.core.Leads(); leads != r.leading {
 		r.leading = leads
 		if !leads {
-			r.failWaiters(func(quorum.Index) bool { return true }, unknown(ErrLostLeader))
+			r.failWaiters(func(raft.Index) bool { return true }, unknown(ErrLostLeader))
 		}
 	}
 	if at := r.core.MembersIndex(); at != r.members {
@@ -260,7 +260,7 @@
 	if r.Err() != nil {
 		reason = ErrFailed
 	}
-	r.failWaiters(func(quorum.Index) bool { return true }, unknown(reason))
+	r.failWaiters(func(raft.Index) bool { return true }, unknown(reason))
 	r.failForwards(0)
 	r.failReads(reason)
 	r.server.close()
--- a/internal/replica/measure_test.go
+++ b/internal/replica/measure_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 
 	"bergamotstall/internal/journal"
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 )
 
 // Commands that wait while the disk syncs share the next sync. Without that a
@@ -43,7 +43,7 @@
 func benchPropose(b *testing.B, members []*member, callers int) {
 	leader := members[0]
 	for _, m := range members {
-		if m.Status().State == quorum.Leader {
+		if m.Status().State == raft.Leader {
 			leader = m
 		}
 	}
@@ -210,11 +210,11 @@
 		b.Fatal(err)
 	}
 	for at := 1; at <= entries; at += batch {
-		var es []quorum.Entry
+		var es []raft.Entry
 		for i := range batch {
-			es = append(es, quorum.Entry{Index: quorum.Index(at + i), Term: 1, Kind: quorum.EntryCommand, Data: make([]byte, 100)})
+			es = append(es, raft.Entry{Index: raft.Index(at + i), Term: 1, Kind: raft.EntryCommand, Data: make([]byte, 100)})
 		}
-		if err := j.Save(journal.Batch{Hard: quorum.HardState{Term: 1}, Entries: es}); err != nil {
+		if err := j.Save(journal.Batch{Hard: raft.HardState{Term: 1}, Entries: es}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -9,12 +9,12 @@
 	"github.com/sirupsen/logrus"
 
 	"bergamotstall/internal/events"
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 )
 
 // waitingReplica is a fresh replica that has the name of a member.
 type waitingReplica struct {
-	member quorum.Member
+	member raft.Member
 	seenAt time.Duration
 }
 
@@ -30,13 +30,13 @@
 // AddMember takes a replica in as a learner; nil once that is committed. It
 // becomes a voter on its own once it has caught up. A fresh replica with the
 // address of a member in its Peers asks for this by itself.
-func (r *Replica) AddMember(ctx context.Context, m quorum.Member) error {
+func (r *Replica) AddMember(ctx context.Context, m raft.Member) error {
 	_, err := r.do(ctx, forward{Op: opAdd, Member: m})
 	return err
 }
 
 // RemoveMember takes a member out for good; nil once that is committed.
-func (r *Replica) RemoveMember(ctx context.Context, id quorum.ID) error {
+func (r *Replica) RemoveMember(ctx context.Context, id raft.ID) error {
 	_, err := r.do(ctx, forward{Op: opRemove, Target: id})
 	return err
 }
@@ -45,19 +45,19 @@
 // the member's place: it is added as a learner, becomes a voter once caught up,
 // and then the old identity is removed. Nil once the first step is committed;
 // the others follow by themselves, also under another leader.
-func (r *Replica) ReplaceMember(ctx context.Context, old quorum.ID) error {
+func (r *Replica) ReplaceMember(ctx context.Context, old raft.ID) error {
 	_, err := r.do(ctx, forward{Op: opReplace, Target: old})
 	return err
 }
 
-func (r *Replica) replace(old quorum.ID) (quorum.Place, error) {
+func (r *Replica) replace(old raft.ID) (raft.Place, error) {
 	member, ok := r.core.Members().Find(old)
 	if !ok {
-		return quorum.Place{}, quorum.ErrUnknown
+		return raft.Place{}, raft.ErrUnknown
 	}
 	w, ok := r.waiting[member.Name]
 	if !ok {
-		return quorum.Place{}, ErrNobody
+		return raft.Place{}, ErrNobody
 	}
 	w.member.Replaces = old
 	return r.core.AddLearner(w.member)
@@ -73,7 +73,7 @@
 		return
 	}
 	r.joinAt = r.now() + joinInterval*r.cfg.Heartbeat
-	wish := join{Member: quorum.Member{ID: r.ID(), Name: r.cfg.Name, Address: r.cfg.Advertise}}
+	wish := join{Member: raft.Member{ID: r.ID(), Name: r.cfg.Name, Address: r.cfg.Advertise}}
 	for _, address := range peers {
 		if address != r.cfg.Advertise {
 			r.links.sendTo(address, kindJoin, &wish)
@@ -106,7 +106,7 @@
 	r.admitNew(j.Member)
 }
 
-func (r *Replica) noteWaiting(m, old quorum.Member) {
+func (r *Replica) noteWaiting(m, old raft.Member) {
 	r.forgetWaiting()
 	if known, ok := r.waiting[m.Name]; !ok || known.member.ID != m.ID {
 		if !ok && len(r.waiting) >= waitingLimit {
@@ -129,7 +129,7 @@
 	}
 }
 
-func describe(m quorum.Membership) string {
+func describe(m raft.Membership) string {
 	var parts []string
 	for _, x := range m.Members {
 		parts = append(parts, fmt.Sprintf("%s=%s (%s)", x.Name, x.ID, x.Role))
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -1,8 +1,8 @@
 package replica
 
 import (
-	"bergamotstall/internal/quorum"
-	"bergamotstall/internal/wire"
+	"bergamotstall/internal/framing"
+	"bergamotstall/internal/raft"
 )
 
 //go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/replica/messages.go -o ../internal/replica/messages_gen.go -tests=false -unexported -io=false
@@ -10,7 +10,7 @@
 // Frames between replicas. A connection carries one direction: its dialler
 // sends, and gets only greetings and pongs back.
 const (
-	kindGreeting wire.Kind = iota + 1
+	kindGreeting framing.Kind = iota + 1
 	kindQuorum
 	kindForward
 	kindForwardReply
@@ -24,10 +24,10 @@
 
 // greeting opens a connection, in both directions.
 type greeting struct {
-	Version uint64    `msg:"v"`
-	Cluster uint64    `msg:"c"`
-	Replica quorum.ID `msg:"r"`
-	Name    string    `msg:"n"`
+	Version uint64  `msg:"v"`
+	Cluster uint64  `msg:"c"`
+	Replica raft.ID `msg:"r"`
+	Name    string  `msg:"n"`
 	// Address is where the sender takes connections.
 	Address string `msg:"a"`
 }
@@ -49,9 +49,9 @@
 	Op      operation `msg:"o"`
 	Command []byte    `msg:"c"`
 	// Member is the newcomer of opAdd.
-	Member quorum.Member `msg:"m"`
+	Member raft.Member `msg:"m"`
 	// Target is the member that opRemove and opReplace take out.
-	Target quorum.ID `msg:"t"`
+	Target raft.ID `msg:"t"`
 }
 
 // verdict is what is certain about a request.
@@ -76,7 +76,7 @@
 
 // join is a fresh replica's wish to be taken in.
 type join struct {
-	Member quorum.Member `msg:"m"`
+	Member raft.Member `msg:"m"`
 }
 
 // pulse is the empty body of pings and pongs.
--- a/internal/replica/read.go
+++ b/internal/replica/read.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 )
 
 // barrier is a read that waits to be as new as every answered write.
@@ -19,7 +19,7 @@
 
 // releasedRead waits until an index is applied.
 type releasedRead struct {
-	index    quorum.Index
+	index    raft.Index
 	barriers []*barrier
 }
 
@@ -68,7 +68,7 @@
 	r.fresh = nil
 }
 
-func (r *Replica) releaseRead(read quorum.ReadResult) {
+func (r *Replica) releaseRead(read raft.ReadResult) {
 	barriers, ok := r.reads[read.Context]
 	if !ok {
 		return
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,5 +1,5 @@
 // Package replica runs one member of the replicated log: the deterministic core
-// of package quorum, the durable files of package journal, and the connections
+// of package raft, the durable files of package journal, and the connections
 // between control VMs. The state machine on top is its user's.
 //
 // One goroutine, the loop, owns core, journal and state machine. Everything
@@ -24,7 +24,7 @@
 	"bergamotstall/internal/events"
 	"bergamotstall/internal/journal"
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 )
 
 // StateMachine is the state that committed commands build. Apply must be
@@ -138,10 +138,10 @@
 // Replica is one running member. Its methods are safe for concurrent use.
 type Replica struct {
 	cfg     Config
-	id      quorum.ID
+	id      raft.ID
 	cluster atomic.Uint64
 	sm      StateMachine
-	core    *quorum.Core
+	core    *raft.Core
 	journal *journal.Journal
 	count   counters
 	started time.Time
@@ -151,7 +151,7 @@
 	inbox    chan inbound
 	requests chan *request
 	barriers chan *barrier
-	met      chan quorum.ID
+	met      chan raft.ID
 	stopping chan struct{}
 	stopOnce sync.Once
 	// ended is closed once the loop has ended.
@@ -166,16 +166,16 @@
 
 	// The rest is the loop's alone.
 
-	applied    quorum.Index
-	waiters    map[quorum.Index]waiter
+	applied    raft.Index
+	waiters    map[raft.Index]waiter
 	forwards   map[uint64]forwarded
 	lastNumber uint64
 	reads      map[uint64][]*barrier
 	fresh      []*barrier
 	released   []releasedRead
 	waiting    map[string]waitingReplica
-	leader     quorum.ID
-	members    quorum.Index
+	leader     raft.ID
+	members    raft.Index
 	leading    bool
 	joinAt     time.Duration
 	upkeepAt   time.Duration
@@ -218,11 +218,11 @@
 		inbox:    make(chan inbound, inboxSize),
 		requests: make(chan *request, cfg.QueueLimit),
 		barriers: make(chan *barrier, cfg.QueueLimit),
-		met:      make(chan quorum.ID, inboxSize),
+		met:      make(chan raft.ID, inboxSize),
 		stopping: make(chan struct{}),
 		ended:    make(chan struct{}),
 		changed:  make(chan struct{}),
-		waiters:  map[quorum.Index]waiter{},
+		waiters:  map[raft.Index]waiter{},
 		forwards: map[uint64]forwarded{},
 		reads:    map[uint64][]*barrier{},
 		waiting:  map[string]waitingReplica{},
@@ -238,7 +238,7 @@
 }
 
 // restore brings state machine and core to what the folder holds.
-func (r *Replica) restore(stored *quorum.Stored) error {
+func (r *Replica) restore(stored *raft.Stored) error {
 	if stored.Empty() && r.cfg.Bootstrap {
 		if err := r.bootstrap(stored); err != nil {
 			return err
@@ -254,7 +254,7 @@
 	if seed == 0 {
 		seed = uint64(newID())
 	}
-	r.core = quorum.New(quorum.Config{
+	r.core = raft.New(raft.Config{
 		ID:              r.ID(),
 		ElectionTimeout: r.cfg.ElectionTimeout,
 		Heartbeat:       r.cfg.Heartbeat,
@@ -266,13 +266,13 @@
 
 // bootstrap makes a new cluster, unless a peer has one already: then a VM whose
 // disk was lost, and whose settings still say bootstrap, must not make a second.
-func (r *Replica) bootstrap(stored *quorum.Stored) error {
+func (r *Replica) bootstrap(stored *raft.Stored) error {
 	if address, ok := r.findCluster(); ok {
 		events.Log(r.cfg.Log, events.BootstrapSkipped, logrus.Fields{"peer": address})
 		return nil
 	}
-	first := quorum.Member{ID: r.ID(), Name: r.cfg.Name, Address: r.cfg.Advertise}
-	made, err := quorum.Bootstrap(first)
+	first := raft.Member{ID: r.ID(), Name: r.cfg.Name, Address: r.cfg.Advertise}
+	made, err := raft.Bootstrap(first)
 	if err != nil {
 		return err
 	}
@@ -307,17 +307,17 @@
 }
 
 // newID draws a random number that isn't zero.
-func newID() quorum.ID {
+func newID() raft.ID {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails
-	return quorum.ID(binary.BigEndian.Uint64(b[:]) | 1)
+	return raft.ID(binary.BigEndian.Uint64(b[:]) | 1)
 }
 
 // now is the loop's clock: monotonic, from the start of the process.
 func (r *Replica) now() time.Duration { return clockStart + time.Since(r.started) }
 
 // ID returns the replica's identity.
-func (r *Replica) ID() quorum.ID { return r.id }
+func (r *Replica) ID() raft.ID { return r.id }
 
 // Applied returns the last entry that the state machine has applied.
 func (r *Replica) Applied() uint64 { return uint64(r.status.Load().Applied) }
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -9,7 +9,7 @@
 
 	"github.com/go-faster/errors"
 
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 )
 
 // request is one wish of a caller, local or forwarded.
@@ -36,13 +36,13 @@
 
 // waiter is a request whose entry is in the log.
 type waiter struct {
-	term    quorum.Term
+	term    raft.Term
 	request *request
 }
 
 // forwarded is a request that is at the leader.
 type forwarded struct {
-	leader  quorum.ID
+	leader  raft.ID
 	request *request
 }
 
@@ -87,7 +87,7 @@
 	if !errors.Is(err, ErrNotRun) {
 		return false
 	}
-	for _, reason := range []error{ErrNoLeader, ErrOverwrote, quorum.ErrNotLeader, quorum.ErrNoLeader} {
+	for _, reason := range []error{ErrNoLeader, ErrOverwrote, raft.ErrNotLeader, raft.ErrNoLeader} {
 		if errors.Is(err, reason) {
 			return true
 		}
@@ -181,7 +181,7 @@
 	r.waiters[place.Index] = waiter{term: place.Term, request: q}
 }
 
-func (r *Replica) append(q *request) (quorum.Place, error) {
+func (r *Replica) append(q *request) (raft.Place, error) {
 	switch q.Op {
 	case opPropose:
 		return r.core.Propose(q.Command)
@@ -192,12 +192,12 @@
 	case opReplace:
 		return r.replace(q.Target)
 	}
-	return quorum.Place{}, errOther
+	return raft.Place{}, errOther
 }
 
 // settle answers the request whose place in the log is now committed. Another
 // term's entry in that place means that the request's own can't ever be.
-func (r *Replica) settle(e quorum.Entry, outcome []byte) {
+func (r *Replica) settle(e raft.Entry, outcome []byte) {
 	w, ok := r.waiters[e.Index]
 	if !ok {
 		return
@@ -210,7 +210,7 @@
 	w.request.answer(result{outcome: outcome})
 }
 
-func (r *Replica) failWaiters(which func(quorum.Index) bool, err error) {
+func (r *Replica) failWaiters(which func(raft.Index) bool, err error) {
 	for i, w := range r.waiters {
 		if which(i) {
 			delete(r.waiters, i)
@@ -222,7 +222,7 @@
 
 // failForwards ends requests at another than the present leader: it may have
 // appended them.
-func (r *Replica) failForwards(leader quorum.ID) {
+func (r *Replica) failForwards(leader raft.ID) {
 	for n, f := range r.forwards {
 		if f.leader != leader {
 			delete(r.forwards, n)
@@ -242,7 +242,7 @@
 }
 
 // takeForward handles a request from another replica.
-func (r *Replica) takeForward(from quorum.ID, f forward) {
+func (r *Replica) takeForward(from raft.ID, f forward) {
 	number := f.Number
 	q := &request{forward: f, remote: true}
 	q.answer = func(res result) {
--- a/internal/replica/server.go
+++ b/internal/replica/server.go
@@ -11,9 +11,9 @@
 	"github.com/sirupsen/logrus"
 
 	"bergamotstall/internal/events"
+	"bergamotstall/internal/framing"
 	"bergamotstall/internal/keys"
-	"bergamotstall/internal/quorum"
-	"bergamotstall/internal/wire"
+	"bergamotstall/internal/raft"
 )
 
 const (
@@ -36,10 +36,10 @@
 
 // inbound is one frame from a peer, decoded.
 type inbound struct {
-	from    quorum.ID
+	from    raft.ID
 	name    string
 	cluster uint64
-	quorum  *quorum.Message
+	quorum  *raft.Message
 	forward *forward
 	reply   *forwardReply
 	join    *join
@@ -136,7 +136,7 @@
 		certified = holder.Name
 		raw = secure
 	}
-	conn := wire.NewConn(raw, frameLimit, writeTimeout)
+	conn := framing.NewConn(raw, frameLimit, writeTimeout)
 	peer, err := s.r.answerGreeting(conn)
 	if err != nil {
 		return err
@@ -149,7 +149,7 @@
 }
 
 // receive hands frames to the loop until the connection ends.
-func (s *server) receive(conn *wire.Conn, peer greeting) error {
+func (s *server) receive(conn *framing.Conn, peer greeting) error {
 	for {
 		if err := conn.Raw().SetDeadline(time.Now().Add(peerTimeout)); err != nil {
 			return err
@@ -177,11 +177,11 @@
 	}
 }
 
-func decode(f wire.Frame, peer greeting) (inbound, error) {
+func decode(f framing.Frame, peer greeting) (inbound, error) {
 	in := inbound{from: peer.Replica, name: peer.Name, cluster: peer.Cluster}
 	switch f.Kind {
 	case kindQuorum:
-		in.quorum = new(quorum.Message)
+		in.quorum = new(raft.Message)
 		return in, f.Decode(in.quorum)
 	case kindForward:
 		in.forward = new(forward)
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -5,22 +5,22 @@
 	"time"
 
 	"bergamotstall/internal/metrics"
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 )
 
 // Status is one replica's view of the cluster.
 type Status struct {
-	quorum.Status
+	raft.Status
 	// Cluster is 0 until the replica has joined one.
 	Cluster uint64
 	Name    string
 	// Waiting are fresh replicas that have the name of a member and wait for an
 	// operator to replace it. Only the leader knows of them.
-	Waiting []quorum.Member
+	Waiting []raft.Member
 }
 
 // Lag returns how many entries a member still lacks, as the leader knows it.
-func (s Status) Lag(m quorum.MemberStatus) uint64 {
+func (s Status) Lag(m raft.MemberStatus) uint64 {
 	if m.Match >= s.Last {
 		return 0
 	}
@@ -90,10 +90,10 @@
 
 // voters counts the members of the given kind that count for the quorum, by this
 // replica's own view.
-func (r *Replica) voters(which func(quorum.ID) bool) int {
+func (r *Replica) voters(which func(raft.ID) bool) int {
 	n := 0
 	for _, m := range r.status.Load().Members {
-		if m.Role == quorum.Voter && which(m.ID) {
+		if m.Role == raft.Voter && which(m.ID) {
 			n++
 		}
 	}
@@ -105,8 +105,8 @@
 	m.Gauge("replica_term", func() int64 { return int64(r.status.Load().Term) })
 	m.Gauge("replica_commit", func() int64 { return int64(r.status.Load().Commit) })
 	m.Gauge("replica_applied", func() int64 { return int64(r.status.Load().Applied) })
-	m.Gauge("replica_votes", func() int64 { return int64(r.voters(func(m quorum.ID) bool { return m == r.ID() })) })
-	m.Gauge("replica_voters", func() int64 { return int64(r.voters(func(quorum.ID) bool { return true })) })
+	m.Gauge("replica_votes", func() int64 { return int64(r.voters(func(m raft.ID) bool { return m == r.ID() })) })
+	m.Gauge("replica_voters", func() int64 { return int64(r.voters(func(raft.ID) bool { return true })) })
 	m.Gauge("replica_contact_age_milliseconds", func() int64 { return int64(r.ContactAge() / time.Millisecond) })
 	m.Text("replica_state", func() string { return r.status.Load().State.String() })
 	m.Text("replica_leader", func() string { return r.status.Load().Leader.String() })
--- a/internal/replica/upkeep.go
+++ b/internal/replica/upkeep.go
@@ -7,7 +7,7 @@
 	"github.com/sirupsen/logrus"
 
 	"bergamotstall/internal/events"
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 )
 
 // Upkeep lets the leader change the membership by itself, where no operator
@@ -33,11 +33,11 @@
 
 // longestSilent returns the voter that has been silent longest, if that is for
 // as long as given.
-func longestSilent(members []quorum.MemberStatus, atLeast time.Duration) (quorum.MemberStatus, bool) {
-	var worst quorum.MemberStatus
+func longestSilent(members []raft.MemberStatus, atLeast time.Duration) (raft.MemberStatus, bool) {
+	var worst raft.MemberStatus
 	found := false
 	for _, m := range members {
-		if m.Role == quorum.Voter && m.Silence >= atLeast && (!found || m.Silence > worst.Silence) {
+		if m.Role == raft.Voter && m.Silence >= atLeast && (!found || m.Silence > worst.Silence) {
 			worst, found = m, true
 		}
 	}
@@ -47,13 +47,13 @@
 // evictable returns the voter to remove. The voters that are heard must be a
 // majority before and after, or the removal could take the last copies of what
 // was accepted out of reach.
-func (u Upkeep) evictable(members []quorum.MemberStatus, heartbeat time.Duration) (quorum.MemberStatus, bool) {
+func (u Upkeep) evictable(members []raft.MemberStatus, heartbeat time.Duration) (raft.MemberStatus, bool) {
 	if u.EvictAfter <= 0 {
-		return quorum.MemberStatus{}, false
+		return raft.MemberStatus{}, false
 	}
 	voters, heard := 0, 0
 	for _, m := range members {
-		if m.Role != quorum.Voter {
+		if m.Role != raft.Voter {
 			continue
 		}
 		voters++
@@ -62,14 +62,14 @@
 		}
 	}
 	if voters <= evictFloor || heard <= voters/2 {
-		return quorum.MemberStatus{}, false
+		return raft.MemberStatus{}, false
 	}
 	return longestSilent(members, u.EvictAfter)
 }
 
 // silence is how long the leader hasn't heard a member; 0 if it isn't one.
-func silence(members []quorum.MemberStatus, id quorum.ID) time.Duration {
-	i := slices.IndexFunc(members, func(m quorum.MemberStatus) bool { return m.ID == id })
+func silence(members []raft.MemberStatus, id raft.ID) time.Duration {
+	i := slices.IndexFunc(members, func(m raft.MemberStatus) bool { return m.ID == id })
 	if i < 0 {
 		return 0
 	}
@@ -78,7 +78,7 @@
 
 // admitFresh takes a fresh replica in without an operator where the upkeep
 // allows it; false where an operator has to decide.
-func (r *Replica) admitFresh(m quorum.Member, old quorum.Member) bool {
+func (r *Replica) admitFresh(m raft.Member, old raft.Member) bool {
 	u := r.cfg.Upkeep
 	if u.ReplaceAfter <= 0 || silence(r.core.Status().Members, old.ID) < u.ReplaceAfter {
 		return false
@@ -92,7 +92,7 @@
 // that is silent: a VM that is gone for good would otherwise count on beside its
 // successor, and of four voters with one gone, the loss of one more stops all
 // commands. A voter that was only cut off comes back as a fresh replica.
-func (r *Replica) admitNew(m quorum.Member) {
+func (r *Replica) admitNew(m raft.Member) {
 	if u := r.cfg.Upkeep; u.ReplaceAfter > 0 {
 		if lost, ok := longestSilent(r.core.Status().Members, u.ReplaceAfter); ok {
 			m.Replaces = lost.ID
@@ -101,7 +101,7 @@
 	r.addLearner(m, m.Replaces)
 }
 
-func (r *Replica) addLearner(m quorum.Member, replaces quorum.ID) {
+func (r *Replica) addLearner(m raft.Member, replaces raft.ID) {
 	if _, err := r.core.AddLearner(m); err != nil {
 		r.count.joinsRefused.Add(1) // it asks again
 		return
--- a/internal/replica/upkeep_test.go
+++ b/internal/replica/upkeep_test.go
@@ -8,7 +8,7 @@
 	"github.com/go-faster/errors"
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/quorum"
+	"bergamotstall/internal/raft"
 )
 
 // testUpkeep is in proportion to the tests' heartbeat of 20 ms.
@@ -17,11 +17,11 @@
 }
 
 // votes tells whether all know the replica as a voter; none may.
-func votes(members []*member, id quorum.ID) bool {
+func votes(members []*member, id raft.ID) bool {
 	for _, m := range members {
 		known := false
 		for _, x := range m.Status().Members {
-			known = known || x.ID == id && x.Role == quorum.Voter
+			known = known || x.ID == id && x.Role == raft.Voter
 		}
 		if !known {
 			return false
@@ -48,7 +48,7 @@
 }
 
 // linked tells whether a replica keeps a link to another one.
-func (m *member) linked(id quorum.ID) bool {
+func (m *member) linked(id raft.ID) bool {
 	m.links.mu.Lock()
 	defer m.links.mu.Unlock()
 	return m.links.byReplica[id] != nil
@@ -131,7 +131,7 @@
 	waitVoters(t, []*member{next, members[0], members[1]}, 3)
 	cut.net.isolate(cut, all, false)
 	cut.waitDone()
-	if !errors.Is(cut.Err(), quorum.ErrRemoved) {
+	if !errors.Is(cut.Err(), raft.ErrRemoved) {
 		t.Errorf("ended with %v", cut.Err())
 	}
 }
@@ -140,20 +140,20 @@
 // everything.
 func TestEvictionKeepsThreeVoters(t *testing.T) {
 	is := is.New(t)
-	voter := func(id quorum.ID, silent time.Duration) quorum.MemberStatus {
-		return quorum.MemberStatus{Member: quorum.Member{ID: id, Role: quorum.Voter}, Silence: silent}
+	voter := func(id raft.ID, silent time.Duration) raft.MemberStatus {
+		return raft.MemberStatus{Member: raft.Member{ID: id, Role: raft.Voter}, Silence: silent}
 	}
 	u := Upkeep{EvictAfter: time.Second}
 	beat := 20 * time.Millisecond
-	_, ok := u.evictable([]quorum.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour)}, beat)
+	_, ok := u.evictable([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour)}, beat)
 	is.Equal(ok, false)
-	lost, ok := u.evictable([]quorum.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour), voter(4, 0)}, beat)
+	lost, ok := u.evictable([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour), voter(4, 0)}, beat)
 	is.True(ok)
-	is.Equal(lost.ID, quorum.ID(3))
+	is.Equal(lost.ID, raft.ID(3))
 	// Two of four are silent: the rest is no majority, and a removal would
 	// decide without those who may hold what was accepted.
-	_, ok = u.evictable([]quorum.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour), voter(4, time.Hour)}, beat)
+	_, ok = u.evictable([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour), voter(4, time.Hour)}, beat)
 	is.Equal(ok, false)
-	_, ok = Upkeep{}.evictable([]quorum.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour), voter(4, 0)}, beat)
+	_, ok = Upkeep{}.evictable([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour), voter(4, 0)}, beat)
 	is.Equal(ok, false) // left to an operator
 }
--- a/internal/report/plots.go
+++ b/internal/report/plots.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 
-	"bergamotstall/internal/load"
+	"bergamotstall/internal/loadgen"
 )
 
 const (
@@ -30,21 +30,21 @@
 type series struct {
 	name  string
 	color color.Color
-	value func(load.Second) float64
+	value func(loadgen.Second) float64
 }
 
 func plotTimes(path string, p Page) error {
 	return plotSeconds(path, p, "Answer times (downloads and submissions)", "ms", []series{
-		{"p50", blue, func(s load.Second) float64 { return s.P50().Seconds() * 1000 }},
-		{"p99", red, func(s load.Second) float64 { return s.P99().Seconds() * 1000 }},
+		{"p50", blue, func(s loadgen.Second) float64 { return s.P50().Seconds() * 1000 }},
+		{"p99", red, func(s loadgen.Second) float64 { return s.P99().Seconds() * 1000 }},
 	})
 }
 
 func plotBroken(path string, p Page) error {
 	return plotSeconds(path, p, "Broken flows, cut and refused requests", "a second", []series{
-		{"flows broken", red, func(s load.Second) float64 { return float64(s.Broken) }},
-		{"requests cut", blue, func(s load.Second) float64 { return float64(s.Cut) }},
-		{"requests refused", green, func(s load.Second) float64 { return float64(s.Refused) }},
+		{"flows broken", red, func(s loadgen.Second) float64 { return float64(s.Broken) }},
+		{"requests cut", blue, func(s loadgen.Second) float64 { return float64(s.Cut) }},
+		{"requests refused", green, func(s loadgen.Second) float64 { return float64(s.Refused) }},
 	})
 }
 
@@ -78,7 +78,7 @@
 }
 
 // addMarks draws a grey line with its text at each event.
-func addMarks(pl *plot.Plot, marks []load.Mark, top float64) error {
+func addMarks(pl *plot.Plot, marks []loadgen.Mark, top float64) error {
 	if len(marks) == 0 {
 		return nil
 	}
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -12,7 +12,7 @@
 	"github.com/go-faster/errors"
 
 	"bergamotstall/internal/check"
-	"bergamotstall/internal/load"
+	"bergamotstall/internal/loadgen"
 )
 
 const (
@@ -28,9 +28,9 @@
 	Title string
 	// Machine names where the run was made.
 	Machine string
-	Summary load.Report
-	Seconds []load.Second
-	Marks   []load.Mark
+	Summary loadgen.Report
+	Seconds []loadgen.Second
+	Marks   []loadgen.Mark
 	Shares  []check.Share
 	// Verdicts are empty where the targets' ledgers weren't read.
 	Verdicts []check.Verdict
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -11,18 +11,18 @@
 	"github.com/matryer/is"
 
 	"bergamotstall/internal/check"
-	"bergamotstall/internal/load"
+	"bergamotstall/internal/loadgen"
 )
 
 func TestReportHasPageAndPlots(t *testing.T) {
 	is := is.New(t)
 	folder := filepath.Join(t.TempDir(), "run")
-	rec := load.NewRecorder()
+	rec := loadgen.NewRecorder()
 	rec.Mark("switch to peak")
 	page := Page{
 		Title: "Trial", Machine: "test", Summary: rec.Report(),
-		Seconds: []load.Second{{At: 0, Broken: 1}, {At: 1}},
-		Marks:   append(rec.Marks(), load.Mark{At: time.Second, What: "drain desk-1"}),
+		Seconds: []loadgen.Second{{At: 0, Broken: 1}, {At: 1}},
+		Marks:   append(rec.Marks(), loadgen.Mark{At: time.Second, What: "drain desk-1"}),
 		Shares:  []check.Share{{Service: "desk", Host: "desk-1", Runs: 3}, {Service: "desk", Host: "desk-2", Runs: 1}},
 	}
 	is.NoErr(Write(folder, page))
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -12,7 +12,7 @@
 
 	"bergamotstall/internal/catalogue"
 	"bergamotstall/internal/check"
-	"bergamotstall/internal/load"
+	"bergamotstall/internal/loadgen"
 	"bergamotstall/internal/standin/target"
 	"bergamotstall/internal/wait"
 )
@@ -29,7 +29,7 @@
 	Name  string
 	Steps []Step
 	// Loads are the callers'; nil is Play.Usual.
-	Loads func(p *Play, length time.Duration) []load.Spec
+	Loads func(p *Play, length time.Duration) []loadgen.Spec
 	// Limits are zero for check.DefaultLimits.
 	Limits check.Limits
 }
@@ -37,7 +37,7 @@
 // Play is one run of a scenario.
 type Play struct {
 	*Fleet
-	Rec      *load.Recorder
+	Rec      *loadgen.Recorder
 	progress func(format string, args ...any)
 
 	mu     sync.Mutex
@@ -50,9 +50,9 @@
 	Record   check.Record
 	Verdicts []check.Verdict
 	Shares   []check.Share
-	Summary  load.Report
-	Seconds  []load.Second
-	Marks    []load.Mark
+	Summary  loadgen.Report
+	Seconds  []loadgen.Second
+	Marks    []loadgen.Mark
 }
 
 // NewPlay prepares a run on a fleet: it applies the layout's catalogue and
@@ -87,7 +87,7 @@
 // Run plays callers and steps for the given time, or until the steps are done if that is
 // later, and judges the run. The error is of a step that couldn't be done.
 func (p *Play) Run(ctx context.Context, s Scenario, length time.Duration) (Result, error) {
-	p.Rec = load.NewRecorder()
+	p.Rec = loadgen.NewRecorder()
 	p.mu.Lock()
 	p.record = check.Record{}
 	p.mu.Unlock()
@@ -101,7 +101,7 @@
 	var wg sync.WaitGroup
 	for _, spec := range loads(p, length) {
 		wg.Go(func() {
-			if err := load.Run(callers, spec, p.Rec); err != nil {
+			if err := loadgen.Run(callers, spec, p.Rec); err != nil {
 				p.progress("callers of %s: %v", spec.Service, err)
 			}
 		})
@@ -219,7 +219,7 @@
 
 func runsOf(h *Host, r target.Run) []check.Run {
 	one := check.Run{
-		ID: r.RequestID, Submission: load.SubmissionOf(r.RequestID),
+		ID: r.RequestID, Submission: loadgen.SubmissionOf(r.RequestID),
 		Service: h.Service.Name, Host: h.Name, At: r.FirstSeen,
 	}
 	out := make([]check.Run, r.Runs)
@@ -231,17 +231,17 @@
 
 // Usual is the callers' load of most scenarios: downloads and submissions on
 // every service, feeds that stay open for most of the run, and large downloads.
-func (p *Play) Usual(length time.Duration) []load.Spec {
-	var out []load.Spec
+func (p *Play) Usual(length time.Duration) []loadgen.Spec {
+	var out []loadgen.Spec
 	for i, s := range p.Layout.Services {
-		base := load.Spec{Service: s.Name, Address: s.Address(p.Net), TLS: p.Callers, Seed: p.Seed + uint64(10*i)}
+		base := loadgen.Spec{Service: s.Name, Address: s.Address(p.Net), TLS: p.Callers, Seed: p.Seed + uint64(10*i)}
 		work, feeds, large := base, base, base
 		work.Flows, work.RequestsPerFlow, work.Pause = 24, 12, 20*time.Millisecond
-		work.Mix = load.Mix{Download: 2, Submit: 1}
+		work.Mix = loadgen.Mix{Download: 2, Submit: 1}
 		work.DownloadBytes, work.Keyed = 64<<10, true
-		feeds.Flows, feeds.RequestsPerFlow, feeds.Mix, feeds.Seed = 6, 1, load.Mix{Feed: 1}, base.Seed+1
+		feeds.Flows, feeds.RequestsPerFlow, feeds.Mix, feeds.Seed = 6, 1, loadgen.Mix{Feed: 1}, base.Seed+1
 		feeds.FeedFor = length * 3 / 4
-		large.Flows, large.RequestsPerFlow, large.Mix, large.Seed = 2, 2, load.Mix{Download: 1}, base.Seed+2
+		large.Flows, large.RequestsPerFlow, large.Mix, large.Seed = 2, 2, loadgen.Mix{Download: 1}, base.Seed+2
 		large.DownloadBytes, large.Timeout = 16<<20, time.Minute
 		out = append(out, work, feeds, large)
 	}
--- a/internal/scenario/run_test.go
+++ b/internal/scenario/run_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"bergamotstall/internal/load"
+	"bergamotstall/internal/loadgen"
 )
 
 // Guards against a run on a busy machine that ends before its steps are done and says nothing.
@@ -25,7 +25,7 @@
 	const length = 20 * time.Millisecond
 	_, err := p.Run(t.Context(), Scenario{
 		Steps: []Step{step(0.1, "slow", 3*length), step(0.5, "second", 0)},
-		Loads: func(*Play, time.Duration) []load.Spec { return nil },
+		Loads: func(*Play, time.Duration) []loadgen.Spec { return nil },
 	}, length)
 	is.NoErr(err)
 	is.Equal(done, []string{"slow", "second"})
@@ -39,7 +39,7 @@
 	cancel()
 	_, err := p.Run(ctx, Scenario{
 		Steps: []Step{{At: 0.9, What: "never", Do: func(context.Context, *Play) error { return nil }}},
-		Loads: func(*Play, time.Duration) []load.Spec { return nil },
+		Loads: func(*Play, time.Duration) []loadgen.Spec { return nil },
 	}, time.Hour)
 	is.True(err != nil)
 }
--- a/internal/ramp/ramp.go
+++ b/internal/slowstart/slowstart.go
@@ -1,4 +1,4 @@
-// Package ramp paces changes of the share of new work that a target gets. It
+// Package slowstart paces changes of the share of new work that a target gets. It
 // has no network and no clock; the time comes in as Unix milliseconds.
 //
 // Load patterns and rules:
@@ -12,7 +12,7 @@
 //     requests in progress are never moved.
 //
 // A target that drains gets nothing new at once: waiting has no use there.
-package ramp
+package slowstart
 
 import "bergamotstall/internal/table"
 
--- a/internal/ramp/ramp_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -1,4 +1,4 @@
-package ramp
+package slowstart
 
 import (
 	"math"
--- a/internal/steer/header.go
+++ b/internal/steering/header.go
@@ -1,4 +1,4 @@
-package steer
+package steering
 
 import "bergamotstall/internal/connid"
 
--- a/internal/steer/map.go
+++ b/internal/steering/map.go
@@ -1,4 +1,4 @@
-package steer
+package steering
 
 import (
 	"encoding/binary"
@@ -10,7 +10,7 @@
 
 	"bergamotstall/internal/connid"
 	"bergamotstall/internal/envelope"
-	"bergamotstall/internal/reach"
+	"bergamotstall/internal/reachability"
 	"bergamotstall/internal/table"
 )
 
@@ -22,7 +22,7 @@
 	Tunnel netip.AddrPort
 	State  table.State
 	// Reach is what is known of its answers. It outlives the table.
-	Reach *reach.Record
+	Reach *reachability.Record
 }
 
 // Service is one service, ready for steering.
@@ -63,9 +63,9 @@
 
 var (
 	// ErrHashKey is returned for a placement key of the wrong length.
-	ErrHashKey = errors.New("steer: hash key must have 16 bytes")
+	ErrHashKey = errors.New("steering: hash key must have 16 bytes")
 	// ErrAddress is returned for an address that isn't "ip:port".
-	ErrAddress = errors.New("steer: bad address")
+	ErrAddress = errors.New("steering: bad address")
 )
 
 // Compile prepares a table, with the shares that targets have at the given time.
@@ -111,10 +111,10 @@
 	m.k0 = binary.LittleEndian.Uint64(current.Hash)
 	m.k1 = binary.LittleEndian.Uint64(current.Hash[8:])
 	if m.ConnIDs, err = connid.NewRing(t.Keys); err != nil {
-		return errors.Wrap(err, "steer: keys")
+		return errors.Wrap(err, "steering: keys")
 	}
 	if m.Envelopes, err = envelope.NewRing(t.Keys); err != nil {
-		return errors.Wrap(err, "steer: keys")
+		return errors.Wrap(err, "steering: keys")
 	}
 	return nil
 }
@@ -163,13 +163,13 @@
 }
 
 // record returns what is known of an agent's answers.
-func (m *Map) record(number table.AgentNumber) *reach.Record {
+func (m *Map) record(number table.AgentNumber) *reachability.Record {
 	if m != nil {
 		if a, ok := m.agents[number]; ok {
 			return a.Reach
 		}
 	}
-	return new(reach.Record)
+	return new(reachability.Record)
 }
 
 // Probes calls send for each agent that is due a probe.
--- a/internal/steer/route.go
+++ b/internal/steering/route.go
@@ -1,4 +1,4 @@
-// Package steer decides where a caller's packet goes, from the packet and the
+// Package steering decides where a caller's packet goes, from the packet and the
 // table alone. A balancer keeps no table of flows: the fabric may hand any
 // packet to any balancer, and the budget for control traffic is too small to
 // tell the others of each flow.
@@ -7,7 +7,7 @@
 // thousands open ones over balancers that die, join and lag behind each other's
 // tables. Without the agent's number in the packet, each change of the table
 // would move open flows to targets that don't know them.
-package steer
+package steering
 
 import (
 	"net/netip"
--- a/internal/steer/shares.go
+++ b/internal/steering/shares.go
@@ -1,10 +1,10 @@
-package steer
+package steering
 
 import (
 	"slices"
 	"time"
 
-	"bergamotstall/internal/ramp"
+	"bergamotstall/internal/slowstart"
 	"bergamotstall/internal/table"
 )
 
@@ -32,7 +32,7 @@
 		}
 		g.live = append(g.live, Candidate{Agent: x.Agent, Share: 1})
 		if x.State == table.Active {
-			g.active = append(g.active, Candidate{Agent: x.Agent, Share: ramp.Share(x, m.step*stepMS)})
+			g.active = append(g.active, Candidate{Agent: x.Agent, Share: slowstart.Share(x, m.step*stepMS)})
 		}
 	}
 	for _, s := range of {
@@ -77,7 +77,7 @@
 	at := m.step * stepMS
 	for i := range m.table.Targets {
 		x := &m.table.Targets[i]
-		if at-x.ChangedAtMS >= ramp.ShiftMS && at-x.JoinedAtMS >= ramp.SlowStartMS {
+		if at-x.ChangedAtMS >= slowstart.ShiftMS && at-x.JoinedAtMS >= slowstart.SlowStartMS {
 			continue
 		}
 		if out == nil {
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -35,7 +35,7 @@
 	Draining
 	// Retired targets are gone: a packet that names one is answered by any
 	// agent of the service with a stateless reset. They stay in the table for
-	// the key window and claim.RowsKept, since package claim looks back at them.
+	// the key window and idempotency.RowsKept, since package idempotency looks back at them.
 	Retired
 )
 
