--- a/internal/raft/checker_test.go
+++ b/internal/raft/checker_test.go
@@ -9,18 +9,19 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// checker holds a run against what must always hold.
+// checker checks the invariants of one simulation run.
 type checker struct {
 	leaders map[Term]ID
-	// terms and hashes are what was first applied at each index.
+	// terms and hashes are the entry's term and the state hash when an index was first
+	// applied.
 	terms  map[Index]Term
 	hashes map[Index]uint64
-	// firstCommit is when an entry of a term was first applied anywhere.
+	// firstCommit is when an entry of a term was first applied on any replica.
 	firstCommit map[Term]time.Duration
 	history     map[int][]porcupine.Operation
 	notRun      map[uint64]bool
 	failure     string
-	leads       map[ID]Term
+	leadTerms   map[ID]Term
 }
 
 func newChecker() *checker {
@@ -31,7 +32,7 @@
 		firstCommit: map[Term]time.Duration{},
 		history:     map[int][]porcupine.Operation{},
 		notRun:      map[uint64]bool{},
-		leads:       map[ID]Term{},
+		leadTerms:   map[ID]Term{},
 	}
 }
 
@@ -44,39 +45,39 @@
 func (k *checker) record(op *operation, outcome, returned int) {
 	k.history[op.key] = append(k.history[op.key], porcupine.Operation{
 		ClientId: op.client, Input: *op, Output: outcome,
-		Call: int64(op.called), Return: int64(returned),
+		Call: int64(op.calledStep), Return: int64(returned),
 	})
 }
 
-// applied checks that there is one applied sequence, and one state after each
-// place in it.
+// applied checks that all replicas apply the same sequence, and have the same state after
+// each index.
 func (k *checker) applied(n *node, i Index, t Term) {
 	if have, ok := k.terms[i]; !ok {
 		k.terms[i] = t
 		k.hashes[i] = n.sm.Hash
 	} else if have != t {
-		k.fail("one sequence: %s applies term %d at %d, another applied term %d", n.name, t, i, have)
+		k.fail("one sequence: %s applies term %d at index %d, another applied term %d", n.name, t, i, have)
 	}
 	if k.hashes[i] != n.sm.Hash {
-		k.fail("state equality: %s differs at %d", n.name, i)
+		k.fail("state equality: %s differs at index %d", n.name, i)
 	}
 }
 
-func (k *checker) committedIn(w *world, e Entry) {
+func (k *checker) recordCommit(w *simulation, e Entry) {
 	if _, ok := k.firstCommit[e.Term]; !ok {
 		k.firstCommit[e.Term] = w.now
 	}
 }
 
-func (k *checker) afterReady(w *world, n *node) {
+func (k *checker) afterReady(w *simulation, n *node) {
 	k.electionSafety(n)
 	k.contactAge(w, n)
 }
 
-// electionSafety checks that a term has one leader, and that a new leader has
-// all that was committed.
+// electionSafety checks that a term has one leader, and that a new leader has all
+// committed entries.
 func (k *checker) electionSafety(n *node) {
-	if !n.core.Leads() {
+	if !n.core.IsLeader() {
 		return
 	}
 	t, id := n.core.Term(), n.disk.id
@@ -84,10 +85,10 @@
 		k.fail("election safety: %s and %s lead term %d", other, id, t)
 	}
 	k.leaders[t] = id
-	if k.leads[id] == t {
+	if k.leadTerms[id] == t {
 		return
 	}
-	k.leads[id] = t
+	k.leadTerms[id] = t
 	for i, want := range k.terms {
 		if i <= n.core.log.offset {
 			continue
@@ -98,14 +99,14 @@
 	}
 }
 
-// contactAge checks that a replica never claims to have been in touch with a
-// quorum after that quorum had followed a later leader.
-func (k *checker) contactAge(w *world, n *node) {
+// contactAge checks that a replica never reports contact with a quorum at a time after
+// that quorum followed a later leader.
+func (k *checker) contactAge(w *simulation, n *node) {
 	at, ok := n.core.ContactAt()
 	if !ok {
 		return
 	}
-	claimed := at + n.begun
+	claimed := at + n.clockStart
 	for t, first := range k.firstCommit {
 		if t > n.core.Term() && first < claimed {
 			k.fail("contact age: %s of term %d claims contact at %v, term %d committed at %v", n.name, n.core.Term(), claimed, t, first)
@@ -113,8 +114,8 @@
 	}
 }
 
-// logMatching checks that logs which agree at one place agree before it.
-func (k *checker) logMatching(w *world) {
+// logMatching checks that logs which agree at one index agree at all earlier ones.
+func (k *checker) logMatching(w *simulation) {
 	for i, a := range w.nodes {
 		for _, b := range w.nodes[i+1:] {
 			if a.up && b.up {
@@ -139,11 +140,11 @@
 	}
 }
 
-// finish checks what clients were told.
-func (k *checker) finish(w *world) {
+// checkHistory checks the replies that clients received.
+func (k *checker) checkHistory(w *simulation) {
 	for _, c := range w.clients {
 		if c.op != nil && c.op.number != 0 {
-			k.record(c.op, unknown, math.MaxInt)
+			k.record(c.op, unknownOutcome, math.MaxInt)
 		}
 	}
 	for _, n := range w.nodes {
@@ -152,11 +153,11 @@
 		}
 		for number := range n.sm.Outcomes {
 			if k.notRun[number] {
-				k.fail("not run: command %d ran at %s", number, n.name)
+				k.fail("not run: command %d ran on %s after it was reported as not run", number, n.name)
 			}
 		}
 	}
-	for key := range keys {
+	for key := range keyCount {
 		ops := slices.Clone(k.history[key])
 		if porcupine.CheckOperationsTimeout(model, ops, 20*time.Second) == porcupine.Illegal {
 			k.fail("linearizability: key %d, %d operations", key, len(ops))
--- a/internal/raft/core.go
+++ b/internal/raft/core.go
@@ -1,13 +1,12 @@
-// Package raft is the deterministic core of the replicated log, a member of
-// the Raft family (Ongaro and Ousterhout, 2014; pre-vote, check-quorum, learners
-// and read-index from Ongaro's thesis). Time, randomness and messages come in
-// as arguments; what must be written, sent and applied comes out as a Ready.
-// Nothing here touches a network, a disk or a clock.
+// Package raft is the deterministic core of the replicated log, an implementation of Raft
+// (Ongaro and Ousterhout, 2014) with pre-vote, check-quorum, learners and read-index from
+// Ongaro's thesis. The caller passes in time, randomness and messages, and Ready returns
+// what to write, send and apply. The package uses no network, disk or clock.
 //
-// The load it answers: few commands (some thousand a day), read by every
-// balancer, under restarts, partitions and lost disks. Without agreement two
-// operators on two sides of a partition would each put a preset in force, and
-// one would revert when the sides meet.
+// It is built for few commands (some thousand a day) that every balancer reads, through
+// restarts, partitions and lost disks. Without consensus, two operators on the two sides
+// of a partition could each activate a preset, and one of them would be reverted when the
+// partition heals.
 package raft
 
 import (
@@ -18,24 +17,24 @@
 )
 
 const (
-	// entryOverhead is what an entry costs on the wire beside its data.
-	entryOverhead = 32
-	// maxUncommitted bounds what a leader appends without an answer from a
-	// quorum. A leader cut off would otherwise gather commands without bound
-	// until its check-quorum ends its term.
-	maxUncommitted = 4096
-	// maxReads bounds the reads that wait for a heartbeat round.
-	maxReads = 4096
+	// entryOverheadBytes is the size of an encoded entry without its data.
+	entryOverheadBytes = 32
+	// maxUncommittedEntries bounds the entries that a leader appends before a quorum
+	// replies. Otherwise a leader that is cut off would append without limit until
+	// check-quorum makes it step down.
+	maxUncommittedEntries = 4096
+	// maxPendingReads bounds the reads that wait for a heartbeat round.
+	maxPendingReads = 4096
 )
 
-// Errors of a refused proposal or read; nothing was appended.
+// Errors of a refused proposal or read. Nothing was appended.
 var (
 	ErrNotLeader = errors.New("raft: not the leader")
 	ErrNoLeader  = errors.New("raft: no leader known")
-	ErrBusy      = errors.New("raft: too much is uncommitted")
+	ErrBusy      = errors.New("raft: too many uncommitted entries")
 )
 
-// State is what a replica does in its term.
+// State is a replica's role in the current term.
 type State uint8
 
 const (
@@ -59,28 +58,28 @@
 	return "none"
 }
 
-// Config sets one core up.
+// Config configures a Core.
 type Config struct {
 	ID ID
-	// ElectionTimeout is the shortest silence after which a replica asks for an
-	// election; the longest is half as long again, drawn from Rand each time, so
-	// that split votes end. It must be several heartbeats, or one lost message
-	// unseats a leader.
+	// ElectionTimeout is the shortest time without a leader after which a replica starts
+	// an election. The longest is half as long again and drawn from Rand each time, so
+	// that repeated split votes are unlikely. It must span several heartbeats, or one
+	// lost message replaces a leader.
 	ElectionTimeout time.Duration
-	// Heartbeat is the time between a leader's heartbeats.
+	// Heartbeat is the interval between a leader's heartbeats.
 	Heartbeat time.Duration
 	Rand      *rand.Rand
-	// AppendBytes bounds one append message.
+	// AppendBytes bounds the size of one append message.
 	AppendBytes int
-	// ChunkBytes bounds one chunk of a snapshot.
+	// ChunkBytes bounds the size of one snapshot chunk.
 	ChunkBytes int
-	// KeepEntries is how many entries before a snapshot stay in memory for
-	// replicas that lag a little.
+	// KeepEntries is how many entries before a snapshot stay in memory for replicas that
+	// are slightly behind.
 	KeepEntries int
 }
 
-// Defaults fills what is unset with values for control VMs a few milliseconds
-// apart.
+// Defaults returns the config with unset fields filled in, for control VMs a few
+// milliseconds apart.
 func (c Config) Defaults() Config {
 	if c.Heartbeat <= 0 {
 		c.Heartbeat = 100 * time.Millisecond
@@ -97,22 +96,22 @@
 	return c
 }
 
-// Stored is what a replica's disk gave back.
+// Stored is the state that a replica read from its disk.
 type Stored struct {
 	Hard     HardState
 	Snapshot Snapshot
 	Entries  []Entry
-	// Commit is an entry that was known to be committed; 0 if unknown. A replica
-	// that starts can apply up to it before it hears from a leader.
+	// Commit is the index of an entry known to be committed; 0 if unknown. A restarted
+	// replica can apply entries up to it before it hears from a leader.
 	Commit Index
 }
 
-// Empty says that the replica never took part in anything.
+// Empty reports whether the replica has never stored anything.
 func (s Stored) Empty() bool {
 	return s.Hard == HardState{} && s.Snapshot.Index == 0 && len(s.Entries) == 0
 }
 
-// Bootstrap returns the first state of a new cluster with one voter.
+// Bootstrap returns the initial state of a new cluster with one voter.
 func Bootstrap(first Member) (Stored, error) {
 	first.Role = Voter
 	data, err := (&Membership{Members: []Member{first}}).MarshalMsg(nil)
@@ -125,115 +124,115 @@
 	}, nil
 }
 
-// Place is where a proposal was appended. The entry at Index is the proposal
-// only if it has this Term once committed.
-type Place struct {
+// Position is where a proposal was appended. The proposal is committed if the entry
+// committed at Index has this Term.
+type Position struct {
 	Index Index
 	Term  Term
 }
 
-// ReadResult releases a read: once the entry at Index is applied, the state
-// machine is at least as new as everything answered before the read began.
+// ReadResult completes a read. Once the entry at Index is applied, the state machine
+// includes every write that was acknowledged before the read began.
 type ReadResult struct {
 	Context uint64
 	Index   Index
 }
 
-// Core is one replica's part in the agreement. It isn't safe for concurrent
-// use; one goroutine owns it.
+// Core is the Raft state machine of one replica. It isn't safe for concurrent use.
 type Core struct {
 	cfg    Config
 	faults faults
 
-	now   time.Duration
-	state State
-	term  Term
-	vote  ID
-	lead  ID
+	now    time.Duration
+	state  State
+	term   Term
+	vote   ID
+	leader ID
 
 	log          entryLog
 	members      Membership
 	membersIndex Index
 
-	// votes are the answers to the election under way.
+	// votes holds the replies of the current election.
 	votes    map[ID]bool
-	handOver bool
-	// needed is set on a learner that had to refuse a vote because its own log
-	// is newer.
-	needed     bool
-	electionAt time.Duration
-	heardLead  time.Duration
-
-	// contactAt is when this replica was last known in touch with a quorum.
-	contactAt time.Duration
-	contact   bool
-
-	progress    map[ID]*progress
-	round       uint64
-	rounds      []sentRound
-	heartbeatAt time.Duration
-	checkAt     time.Duration
+	transfer bool
+	// hasNewerLog is set when this replica refuses a vote because its own log is newer
+	// than the candidate's. A learner may then have to lead itself.
+	hasNewerLog   bool
+	electionAt    time.Duration
+	leaderHeardAt time.Duration
+
+	// contactAt is the last time at which this replica is known to have had contact with
+	// a quorum. hadContact tells whether it is set.
+	contactAt  time.Duration
+	hadContact bool
+
+	progress      map[ID]*progress
+	round         uint64
+	rounds        []sentRound
+	heartbeatAt   time.Duration
+	quorumCheckAt time.Duration
 
 	reads     []pendingRead
 	readsDone []ReadResult
 
-	incoming *incomingSnapshot
-	install  *Snapshot
-
-	// probation is set from a restart until enough others have said what they
-	// know of this replica.
-	probation bool
-	// leaderless is set from a restart in which nobody was found to hear a leader
-	// until this replica hears one, or leads.
-	leaderless bool
-	boot       Message
-	helloAt    time.Duration
-	// helloFrom holds who answered, and the leader that each heard.
-	helloFrom  map[ID]ID
-	newest     Membership
-	newestAt   Index
-	regression *RegressionError
-	removed    bool
-	known      map[ID]Known
-
-	saved HardState
-	out   []Message
+	incoming       *incomingSnapshot
+	pendingInstall *Snapshot
+
+	// recovering is set from a restart until enough peers have reported what they know of
+	// this replica.
+	recovering bool
+	// leaderlessRestart is set after a restart in which no peer heard from a leader. It
+	// is cleared once this replica hears from a leader or leads.
+	leaderlessRestart bool
+	hello             Message
+	helloAt           time.Duration
+	// helloReplies maps each peer that replied to the leader it hears from.
+	helloReplies       map[ID]ID
+	newestMembers      Membership
+	newestMembersIndex Index
+	regression         *RegressionError
+	removed            bool
+	peerRecords        map[ID]PeerRecord
+
+	savedHard HardState
+	outbox    []Message
 }
 
-// New returns a core that goes on from what was stored.
+// New returns a core that continues from the stored state.
 func New(cfg Config, stored Stored, now time.Duration) *Core {
 	return newCore(cfg, stored, now, faults{})
 }
 
 func newCore(cfg Config, stored Stored, now time.Duration, f faults) *Core {
 	c := &Core{
-		cfg:       cfg.Defaults(),
-		faults:    f,
-		now:       now,
-		state:     Follower,
-		term:      stored.Hard.Term,
-		vote:      stored.Hard.Vote,
-		saved:     stored.Hard,
-		log:       newLog(stored),
-		known:     map[ID]Known{},
-		helloFrom: map[ID]ID{},
+		cfg:          cfg.Defaults(),
+		faults:       f,
+		now:          now,
+		state:        Follower,
+		term:         stored.Hard.Term,
+		vote:         stored.Hard.Vote,
+		savedHard:    stored.Hard,
+		log:          newLog(stored),
+		peerRecords:  map[ID]PeerRecord{},
+		helloReplies: map[ID]ID{},
 	}
 	c.adoptMembers()
-	c.heardLead = now - c.cfg.ElectionTimeout
+	c.leaderHeardAt = now - c.cfg.ElectionTimeout
 	c.resetElection()
-	c.startProbation(stored.Empty())
+	c.startRecovery(stored.Empty())
 	return c
 }
 
-// Tick lets time pass. The caller handles waiting messages first: after a stall
-// they often hold the leader's heartbeats.
+// Tick advances the clock. The caller handles pending messages first, since after a stall
+// they often include the leader's heartbeats.
 func (c *Core) Tick(now time.Duration) {
-	c.setNow(now)
+	c.advanceClock(now)
 	if c.halted() {
 		return
 	}
-	if c.probation {
-		c.tickProbation()
+	if c.recovering {
+		c.tickRecovery()
 		return
 	}
 	if c.state == Leader {
@@ -245,83 +244,83 @@
 	}
 }
 
-func (c *Core) setNow(now time.Duration) { c.now = max(c.now, now) }
+func (c *Core) advanceClock(now time.Duration) { c.now = max(c.now, now) }
 
-// Propose appends a command to the leader's log.
-func (c *Core) Propose(command []byte) (Place, error) {
+// Propose appends a command to the log. Only the leader accepts it.
+func (c *Core) Propose(command []byte) (Position, error) {
 	if c.state != Leader {
-		return Place{}, ErrNotLeader
+		return Position{}, ErrNotLeader
 	}
-	if c.log.last()-c.log.commit >= maxUncommitted {
-		return Place{}, ErrBusy
+	if c.log.last()-c.log.commit >= maxUncommittedEntries {
+		return Position{}, ErrBusy
 	}
-	return c.appendOwn(EntryCommand, command), nil
+	return c.appendEntry(EntryCommand, command), nil
 }
 
-func (c *Core) appendOwn(kind EntryKind, data []byte) Place {
+func (c *Core) appendEntry(kind EntryKind, data []byte) Position {
 	e := Entry{Index: c.log.last() + 1, Term: c.term, Kind: kind, Data: data}
 	c.log.append(e)
 	if kind == EntryMembers {
 		c.adoptMembers()
 	}
 	c.broadcastAppend()
-	return Place{Index: e.Index, Term: e.Term}
+	return Position{Index: e.Index, Term: e.Term}
 }
 
-// Ready is what the driver must do, in this order: send Early; sync Snapshot,
-// Hard and Entries; send Messages; apply Snapshot and Committed; release Reads;
-// call Advance.
+// Ready is the work that the caller must carry out, in this order: send Early; sync
+// Snapshot, Hard and Entries; send Messages; apply Snapshot and Committed; complete
+// Reads; call Advance.
 type Ready struct {
-	// Hard is to be stored if HardChanged.
+	// Hard is stored if HardChanged.
 	Hard        HardState
 	HardChanged bool
-	// Snapshot replaces the stored state and the state machine, if not nil.
+	// Snapshot, if not nil, replaces the stored state and the state machine's state.
 	Snapshot *Snapshot
-	// Entries are to be stored; stored entries from Entries[0].Index on go.
+	// Entries are stored. They replace all stored entries from Entries[0].Index on.
 	Entries []Entry
-	// Commit is to be stored along, whenever something else is.
+	// Commit is stored along whenever something else is.
 	Commit Index
-	// Early may leave before the sync: a leader's messages, which promise
-	// nothing about its own disk.
+	// Early may be sent before the sync: a leader's messages, which don't depend on its
+	// own disk.
 	Early []Message
-	// Messages promise what the sync makes durable.
+	// Messages are sent after the sync, since they confirm what it made durable.
 	Messages  []Message
 	Committed []Entry
 	Reads     []ReadResult
 }
 
-// Sync says whether the Ready holds anything to be stored.
+// Sync reports whether the Ready holds anything to store.
 func (r *Ready) Sync() bool { return r.HardChanged || r.Snapshot != nil || len(r.Entries) > 0 }
 
-// Ready returns the work that has gathered; false if there is none. After it no
-// other method may be called until Advance.
+// Ready returns the pending work; false if there is none. No other method may be called
+// between Ready and Advance.
 func (c *Core) Ready() (Ready, bool) {
 	c.startReadRound()
 	r := Ready{
 		Hard:      HardState{Term: c.term, Vote: c.vote},
-		Snapshot:  c.install,
+		Snapshot:  c.pendingInstall,
 		Entries:   c.log.between(max(c.log.stable, c.log.snapshot.Index), c.log.last()),
-		Committed: c.log.between(c.log.handed, c.log.commit),
+		Committed: c.log.between(c.log.delivered, c.log.commit),
 		Reads:     c.readsDone,
 		Commit:    c.log.commit,
 	}
-	r.HardChanged = r.Hard != c.saved
-	for _, m := range c.out {
-		if c.isEarly(m, r.HardChanged) {
+	r.HardChanged = r.Hard != c.savedHard
+	for _, m := range c.outbox {
+		if c.isSentBeforeSync(m, r.HardChanged) {
 			r.Early = append(r.Early, m)
 		} else {
 			r.Messages = append(r.Messages, m)
 		}
 	}
-	c.out, c.readsDone, c.install = nil, nil, nil
+	c.outbox, c.readsDone, c.pendingInstall = nil, nil, nil
 	some := r.Sync() || len(r.Early)+len(r.Messages)+len(r.Committed)+len(r.Reads) > 0
 	return r, some
 }
 
-// isEarly holds for messages whose sender makes no promise about its disk. A
-// leader counts its own entries only after its sync, so entries may travel
-// while it writes them; its term was stored before it asked for votes.
-func (c *Core) isEarly(m Message, hardChanged bool) bool {
+// isSentBeforeSync reports whether a message may be sent before the sync. A leader counts
+// its own entries only after they are synced, so it can replicate them while it writes
+// them. Its term was stored before it asked for votes.
+func (c *Core) isSentBeforeSync(m Message, hardChanged bool) bool {
 	if c.faults.ackBeforeSync {
 		return true
 	}
@@ -331,9 +330,9 @@
 	return m.Kind == MsgAppend || m.Kind == MsgHeartbeat || m.Kind == MsgSnapshot
 }
 
-// Advance tells the core that a Ready was carried out.
+// Advance tells the core that a Ready has been carried out.
 func (c *Core) Advance(r Ready) {
-	c.saved = r.Hard
+	c.savedHard = r.Hard
 	if r.Snapshot != nil {
 		c.log.stable = max(c.log.stable, r.Snapshot.Index)
 	}
@@ -341,27 +340,27 @@
 		c.log.stable = max(c.log.stable, r.Entries[n-1].Index)
 	}
 	if n := len(r.Committed); n > 0 {
-		c.log.handed = max(c.log.handed, r.Committed[n-1].Index)
+		c.log.delivered = max(c.log.delivered, r.Committed[n-1].Index)
 	}
 	if c.state == Leader {
-		c.advanceLeader()
+		c.countOwnEntries()
 	}
 }
 
-// Compact takes over a snapshot that the state machine made at an applied
-// index; data is the state machine's.
+// Compact records a snapshot that the state machine took at an applied index, and
+// truncates the log. data is the state machine's encoded state.
 func (c *Core) Compact(at Index, data []byte) (Snapshot, error) {
 	t, ok := c.log.term(at)
-	if !ok || at > c.log.handed || at <= c.log.snapshot.Index {
-		return Snapshot{}, errors.Errorf("raft: no snapshot at %d", at)
+	if !ok || at > c.log.delivered || at <= c.log.snapshot.Index {
+		return Snapshot{}, errors.Errorf("raft: can't take a snapshot at index %d", at)
 	}
 	s := Snapshot{Index: at, Term: t, Members: c.log.membershipAt(at), Data: data}
 	c.log.compact(s, c.cfg.KeepEntries)
 	return s, nil
 }
 
-// Tail returns the synced entries after the snapshot: what a journal must hold
-// beside it.
+// Tail returns the synced entries after the snapshot, which the journal must store along
+// with it.
 func (c *Core) Tail() []Entry {
 	return c.log.between(c.log.snapshot.Index, c.log.stable)
 }
@@ -371,7 +370,7 @@
 	if m.Term == 0 {
 		m.Term = c.term
 	}
-	c.out = append(c.out, m)
+	c.outbox = append(c.outbox, m)
 }
 
 func (c *Core) quorum() int { return len(c.members.Voters())/2 + 1 }
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -4,76 +4,76 @@
 	"time"
 )
 
-// spreadShare sets how far election timeouts are drawn apart: half of the
-// shortest. With ten heartbeats to the shortest that is hundreds of round trips
-// between control VMs, so two candidates seldom meet, and a lost leader is
-// replaced sooner than with the usual whole.
-const spreadShare = 2
+// timeoutSpreadDivisor sets the range of random election timeouts: the shortest timeout
+// plus up to a half of it. With ten heartbeats per timeout, that half is hundreds of
+// round trips between control VMs, so split votes are rare, and a failed leader is
+// replaced sooner than with the usual range of one to two timeouts.
+const timeoutSpreadDivisor = 2
 
-// resetElection draws the next moment at which silence means an election. After
-// a common restart nobody's word is waited for: the others may have been asked
-// while they still asked what is known of them and gave no votes. Measured with
-// six replicas that start within 0.35 s, one run: a leader 0.85 s after the last
-// one's start when the whole timeout was waited for.
+// resetElection draws a new election timeout. After a restart in which no peer hears from
+// a leader it draws a short one: peers that were still recovering when they were asked
+// couldn't grant a vote, and no leader's message can be on its way. With the whole
+// timeout, six replicas that start within 0.35 s have no leader until 0.85 s after the
+// last start.
 func (c *Core) resetElection() {
-	if c.leaderless {
-		c.retrySoon()
+	if c.leaderlessRestart {
+		c.scheduleRetry()
 		return
 	}
-	spread := c.cfg.ElectionTimeout / spreadShare
+	spread := c.cfg.ElectionTimeout / timeoutSpreadDivisor
 	if c.cfg.Rand != nil {
 		spread = time.Duration(c.cfg.Rand.Int64N(int64(spread)))
 	}
 	c.electionAt = c.now + c.cfg.ElectionTimeout + spread
 }
 
-// splitShare sets how soon an election is tried again in which votes were split: a
-// part of the shortest election timeout, with a pause for a winner's word. The
-// refusals have told that this candidate didn't win, so there is nothing to wait
-// for. With the usual wait, two of three replicas that restart together and split
-// their votes would be without a leader for one to one and a half seconds more.
-const splitShare = 4
+// splitVoteDivisor sets how soon an election with a split vote is retried: within this
+// part of the shortest election timeout, after a pause for a heartbeat from another
+// winner. The refusals already show that this candidate has lost, so it doesn't wait for
+// a full timeout. With a full timeout, two of three replicas that restart together and
+// split the votes would have no leader for another 1 to 1.5 s.
+const splitVoteDivisor = 4
 
-// retrySoon draws the next moment where nobody's word has to be waited for.
-func (c *Core) retrySoon() {
+// scheduleRetry draws a short election timeout, for when no leader's message is expected.
+func (c *Core) scheduleRetry() {
 	wait := c.cfg.Heartbeat / 2
-	spread := c.cfg.ElectionTimeout/splitShare - wait
+	spread := c.cfg.ElectionTimeout/splitVoteDivisor - wait
 	if c.cfg.Rand != nil && spread > 0 {
 		wait += time.Duration(c.cfg.Rand.Int64N(int64(spread)))
 	}
 	c.electionAt = c.now + wait
 }
 
-func (c *Core) becomeFollower(t Term, lead ID) {
+func (c *Core) becomeFollower(t Term, leader ID) {
 	if t > c.term {
 		c.term = t
 		c.vote = 0
 	}
-	if c.lead != lead {
+	if c.leader != leader {
 		c.incoming = nil
 	}
 	c.state = Follower
-	c.lead = lead
-	c.leaderless = c.leaderless && lead == 0
+	c.leader = leader
+	c.leaderlessRestart = c.leaderlessRestart && leader == 0
 	c.votes = nil
-	c.handOver = false
+	c.transfer = false
 	c.progress = nil
 	c.rounds = nil
 	c.reads = nil
 	c.resetElection()
 }
 
-// campaign asks for votes. The pre-vote comes first and changes no state: a
-// replica that was cut off comes back without a higher term, so it doesn't
-// unseat a leader that the others hear well.
-func (c *Core) campaign(pre, handOver bool) {
+// campaign starts an election. The pre-vote comes first and changes no state, so a
+// replica that was cut off doesn't come back with a higher term and depose a leader that
+// the others hear.
+func (c *Core) campaign(pre, transfer bool) {
 	c.resetElection()
-	if !c.mayCampaign() {
+	if !c.canCampaign() {
 		return
 	}
-	c.lead = 0
+	c.leader = 0
 	c.votes = map[ID]bool{c.cfg.ID: true}
-	c.handOver = handOver
+	c.transfer = transfer
 	t := c.term + 1
 	kind := MsgPreVote
 	if pre {
@@ -85,24 +85,24 @@
 		kind = MsgVote
 	}
 	if c.won() {
-		c.electionWon()
+		c.winElection()
 		return
 	}
 	for _, id := range c.electors() {
 		if id == c.cfg.ID {
 			continue
 		}
-		c.send(Message{Kind: kind, To: id, Term: t, Index: c.log.last(), LogTerm: c.log.lastTerm(), Forced: handOver})
+		c.send(Message{Kind: kind, To: id, Term: t, Index: c.log.last(), LogTerm: c.log.lastTerm(), IgnoreLease: transfer})
 	}
 }
 
-// mayCampaign holds for voters, and for two others that may hold the longest
-// log, refuse the rest their vote, and so have to lead themselves: a replica
-// whose own removal isn't committed yet, and a learner whose log lacks its
-// promotion while others count it as a voter. A leader needn't vote: who elects
-// it and what it commits is the voters' alone.
-func (c *Core) mayCampaign() bool {
-	if _, member := c.members.Find(c.cfg.ID); c.members.isVoter(c.cfg.ID) || member && c.needed {
+// canCampaign reports whether this replica may start an election. Voters may. So may two
+// kinds of non-voters that can hold the longest log, so that they must refuse their vote
+// to all others: a replica whose own removal isn't committed yet, and a learner whose log
+// lacks its promotion while others count it as a voter. A leader needn't be a voter,
+// since only voters elect it and count towards its commits.
+func (c *Core) canCampaign() bool {
+	if _, member := c.members.Find(c.cfg.ID); c.members.isVoter(c.cfg.ID) || member && c.hasNewerLog {
 		return true
 	}
 	return c.membersIndex > c.log.commit && c.log.membershipAt(c.log.commit).isVoter(c.cfg.ID)
@@ -112,9 +112,9 @@
 	return len(c.members.Voters()) == 1 && c.members.isVoter(c.cfg.ID)
 }
 
-// electors are the replicas whose votes count.
+// electors returns the members whose votes count.
 func (c *Core) electors() []ID {
-	if !c.faults.learnersCount {
+	if !c.faults.countLearners {
 		return c.members.Voters()
 	}
 	var out []ID
@@ -145,34 +145,33 @@
 	return refused > len(electors)-c.quorum()
 }
 
-func (c *Core) electionWon() {
+func (c *Core) winElection() {
 	if c.state == PreCandidate {
-		c.campaign(false, c.handOver)
+		c.campaign(false, c.transfer)
 		return
 	}
 	c.becomeLeader()
 }
 
-// inLease says that a live leader is known: one heard within the shortest
-// election timeout. Votes are refused meanwhile, so that a replica which only
-// lost its own link, or was removed and doesn't know, can't unseat a leader.
+// inLease reports whether a leader was heard from within the shortest election timeout.
+// Votes are refused meanwhile, so that a replica that only lost its own link, or was
+// removed and doesn't know it, can't depose the leader.
 func (c *Core) inLease() bool {
 	if c.state == Leader {
 		return true
 	}
-	return c.lead != 0 && c.now-c.heardLead < c.cfg.ElectionTimeout
+	return c.leader != 0 && c.now-c.leaderHeardAt < c.cfg.ElectionTimeout
 }
 
-// handleVote answers both kinds of vote request. A vote is given once a term,
-// and only to a candidate whose log holds all that this replica's holds: any
-// quorum then includes a voter that refuses candidates without a committed
-// entry.
+// handleVote replies to pre-vote and vote requests. A replica grants one vote per term,
+// and only to a candidate whose log is at least as up to date as its own. Every quorum
+// then includes a voter that refuses candidates which lack a committed entry.
 func (c *Core) handleVote(m Message) {
 	reply := Message{Kind: MsgVoteReply, To: m.From, Term: c.term}
 	if m.Kind == MsgPreVote {
 		reply.Kind = MsgPreVoteReply
 	}
-	reply.Reject = !c.wouldVote(m)
+	reply.Reject = !c.grantsVote(m)
 	if !reply.Reject && m.Kind == MsgPreVote {
 		reply.Term = m.Term
 	}
@@ -183,30 +182,30 @@
 	c.send(reply)
 }
 
-func (c *Core) wouldVote(m Message) bool {
-	if c.isFresh() && !c.faults.emptyDiskVotes {
+func (c *Core) grantsVote(m Message) bool {
+	if c.hasNoEntries() && !c.faults.emptyDiskVotes {
 		return false
 	}
 	if m.Kind == MsgPreVote && m.Term <= c.term {
 		return false
 	}
 	if m.Kind == MsgVote && !c.faults.voteTwice {
-		free := c.vote == 0 && c.lead == 0
+		free := c.vote == 0 && c.leader == 0
 		if c.vote != m.From && !free {
 			return false
 		}
 	}
-	if c.isUpToDate(m.LogTerm, m.Index) || c.faults.voteBehind {
+	if c.isUpToDate(m.LogTerm, m.Index) || c.faults.voteForOlderLog {
 		return true
 	}
-	c.needed = true
+	c.hasNewerLog = true
 	return false
 }
 
-// isFresh says that this replica has never held any entry: its folder is new,
-// or was lost. Whoever was told of a vote by an earlier owner of the folder
-// can't be contradicted by a replica that gives none.
-func (c *Core) isFresh() bool { return c.log.last() == 0 }
+// hasNoEntries reports whether this replica has never held an entry, because its folder
+// is new or was lost. Such a replica grants no votes, so it can't contradict a vote that
+// it granted before its folder was lost.
+func (c *Core) hasNoEntries() bool { return c.log.last() == 0 }
 
 func (c *Core) isUpToDate(t Term, i Index) bool {
 	mine := c.log.lastTerm()
@@ -227,19 +226,20 @@
 	c.votes[m.From] = !m.Reject
 	switch {
 	case c.won():
-		c.electionWon()
+		c.winElection()
 	case c.lost():
 		split := c.state == Candidate
 		c.becomeFollower(c.term, 0)
 		if split {
-			c.retrySoon()
+			c.scheduleRetry()
 		}
 	}
 }
 
-// HandOver asks the most advanced voter to take the lead at once, so that a
-// planned stop costs commands no election timeout.
-func (c *Core) HandOver() bool {
+// TransferLeadership asks a voter that has the whole log to start an election at once, so
+// that commands don't wait for an election timeout on a planned stop. It returns false if
+// there is no such voter.
+func (c *Core) TransferLeadership() bool {
 	if c.state != Leader {
 		return false
 	}
@@ -255,6 +255,6 @@
 	if best == 0 {
 		return false
 	}
-	c.send(Message{Kind: MsgElectNow, To: best})
+	c.send(Message{Kind: MsgTimeoutNow, To: best})
 	return true
 }
--- a/internal/raft/explorer_test.go
+++ b/internal/raft/explorer_test.go
@@ -13,25 +13,25 @@
 	exploreFirst = flag.Int("explore.first", 1, "first seed")
 )
 
-// profile is how often each thing happens, in thousandths of the turns left to
-// chance. Seeds differ in it: some failures need many crashes, others long
-// partitions or many membership changes.
-type profile struct {
-	crash, start, stall, cut, heal, change, wipe, snapshot int
+// faultRates is how often each fault occurs, in thousandths of the steps that inject one.
+// The rates differ by seed: some failures need many crashes, others long partitions or
+// many membership changes.
+type faultRates struct {
+	crash, start, stall, cut, heal, change, loseDisk, snapshot int
 }
 
-func (w *world) drawProfile() {
+func (w *simulation) drawFaultRates() {
 	level := func(common int) int {
 		return common * []int{0, 1, 1, 4, 10}[w.rng.IntN(5)] / 2
 	}
-	w.profile = profile{
+	w.rates = faultRates{
 		crash: level(6), start: 18 + level(20), stall: level(4), cut: level(4), heal: level(3),
-		change: level(6), wipe: level(1), snapshot: level(8),
+		change: level(6), loseDisk: level(1), snapshot: level(8),
 	}
 }
 
-// turn does one random thing.
-func (w *world) turn() {
+// randomStep performs one random action.
+func (w *simulation) randomStep() {
 	w.step++
 	switch p := w.rng.IntN(100); {
 	case p < 58:
@@ -39,31 +39,31 @@
 	case p < 78:
 		w.tick()
 	case p < 92:
-		w.clientTurn()
+		w.clientStep()
 	default:
-		w.mishap()
+		w.injectFault()
 	}
 	if w.step%100 == 0 {
-		w.check.logMatching(w)
+		w.checker.logMatching(w)
 	}
 }
 
-// connect tells a replica that has started, and those that run, of the connections
-// between them.
-func (w *world) connect(n *node) {
+// connect reports the new connections to a replica that has started, and to those that
+// run.
+func (w *simulation) connect(n *node) {
 	for _, other := range w.nodes {
 		if other == n || !other.up {
 			continue
 		}
-		n.core.Met(w.clock(n), other.disk.id)
-		other.core.Met(w.clock(other), n.disk.id)
+		n.core.PeerConnected(w.clock(n), other.disk.id)
+		other.core.PeerConnected(w.clock(other), n.disk.id)
 	}
 }
 
-func (w *world) mishap() {
-	x := w.profile
+func (w *simulation) injectFault() {
+	x := w.rates
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
-	p := w.rng.IntN(1000) / 8 // the rest of the thousandths pass quietly
+	p := w.rng.IntN(1000) / 8 // higher values cause no fault
 	chance := func(share int) bool {
 		p -= share
 		return p < 0 && p+share >= 0
@@ -81,40 +81,41 @@
 			w.start(n)
 		}
 	case chance(x.stall):
-		n.stalled = w.now + time.Duration(w.rng.Int64N(int64(2*time.Second)))
+		n.stalledUntil = w.now + time.Duration(w.rng.Int64N(int64(2*time.Second)))
 	case chance(x.cut):
 		w.partition()
 	case chance(x.heal):
-		clear(w.cut)
+		clear(w.blocked)
 	case chance(x.change):
-		w.change()
-		for i := 0; w.broken.hasty && i < 3; i++ {
-			w.change()
+		w.changeMembership()
+		for i := 0; w.envFaults.burstChanges && i < 3; i++ {
+			w.changeMembership()
 		}
-	case chance(x.wipe):
-		w.wipe()
+	case chance(x.loseDisk):
+		w.loseDisk()
 	case chance(x.snapshot):
 		w.takeSnapshot()
 	}
 }
 
-// calm heals everything and lets the replicas settle: they must serve again.
-func (w *world) calm() {
-	w.quiet = true
-	clear(w.cut)
-	w.flight = nil
+// healAndVerify heals all partitions, starts all replicas and checks that commands are
+// answered again.
+func (w *simulation) healAndVerify() {
+	w.faultFree = true
+	clear(w.blocked)
+	w.inFlight = nil
 	for _, n := range w.nodes {
-		n.stalled = 0
+		n.stalledUntil = 0
 		if !n.up {
 			w.start(n)
 		}
 	}
-	before := w.check.count()
+	before := w.checker.count()
 	deadline := w.now + 5*time.Minute
-	for w.check.failure == "" && w.check.count() < before+3 {
+	for w.checker.failure == "" && w.checker.count() < before+3 {
 		w.step++
 		if w.now > deadline {
-			w.check.fail("liveness: nothing is answered after all is healed: %s", w.describe())
+			w.checker.fail("liveness: no command is answered after all faults are healed: %s", w.describe())
 			return
 		}
 		for range 6 {
@@ -122,10 +123,10 @@
 		}
 		w.tick()
 		if w.step%10 == 0 {
-			w.clientTurn()
+			w.clientStep()
 		}
-		if w.wiped != 0 && w.step%200 == 0 {
-			w.change()
+		if w.lostDiskID != 0 && w.step%200 == 0 {
+			w.changeMembership()
 		}
 	}
 }
@@ -134,7 +135,7 @@
 	n := 0
 	for _, ops := range k.history {
 		for _, op := range ops {
-			if op.Output.(int) != unknown && op.Input.(operation).number != 0 {
+			if op.Output.(int) != unknownOutcome && op.Input.(operation).number != 0 {
 				n++
 			}
 		}
@@ -142,34 +143,35 @@
 	return n
 }
 
-func (w *world) describe() string {
+func (w *simulation) describe() string {
 	out := ""
 	for _, n := range w.nodes {
 		s := n.core.Status()
 		out += fmt.Sprintf("\n%s %s %v term %d commit %d last %d probation %v err %v members %d",
-			n.name, s.ID, s.State, s.Term, s.Commit, s.Last, s.Probation, n.core.Err(), len(s.Members))
+			n.name, s.ID, s.State, s.Term, s.Commit, s.Last, s.Recovering, n.core.Err(), len(s.Members))
 	}
 	return out
 }
 
-// explore runs one seed and returns what went wrong, if anything.
-func explore(seed uint64, voters, steps int, f faults, broken worldFaults) (string, *world) {
-	w := newWorld(seed, voters, f, broken)
-	for w.step < steps && w.check.failure == "" {
-		w.turn()
+// explore runs one seed and returns the first failure, if any.
+func explore(seed uint64, voters, steps int, f faults, broken environmentFaults) (string, *simulation) {
+	w := newSimulation(seed, voters, f, broken)
+	for w.step < steps && w.checker.failure == "" {
+		w.randomStep()
 	}
-	if w.check.failure == "" {
-		w.calm()
+	if w.checker.failure == "" {
+		w.healAndVerify()
 	}
-	if w.check.failure == "" {
-		w.check.finish(w)
+	if w.checker.failure == "" {
+		w.checker.checkHistory(w)
 	}
-	return w.check.failure, w
+	return w.checker.failure, w
 }
 
-// Replicas crash, lose what they had not synced, are cut apart, replaced, and
-// get messages late, twice or never. Whatever the order, clients must see one
-// history, and the replicas must serve again once all is healed.
+// Guards against violations of safety and liveness under random faults: replicas crash,
+// lose unsynced data, are partitioned and replaced, and messages are delayed, duplicated
+// or lost. Clients must see one history, and the cluster must serve again after all
+// faults are healed.
 func TestExplorer(t *testing.T) {
 	for _, voters := range []int{3, 5} {
 		t.Run(fmt.Sprint(voters), func(t *testing.T) {
@@ -177,13 +179,13 @@
 			steps, answered, elections, installs := 0, 0, 0, 0
 			for i := range *exploreSeeds {
 				seed := uint64(*exploreFirst + i)
-				failure, w := explore(seed, voters, *exploreSteps, faults{}, worldFaults{})
+				failure, w := explore(seed, voters, *exploreSteps, faults{}, environmentFaults{})
 				if failure != "" {
 					t.Fatalf("seed %d, step %d: %s", seed, w.step, failure)
 				}
 				steps += w.step
-				answered += w.check.count()
-				elections += len(w.check.leaders)
+				answered += w.checker.count()
+				elections += len(w.checker.leaders)
 				installs += w.installs
 			}
 			t.Logf("%d seeds, %d steps, %d commands answered, %d terms with a leader, %d snapshots installed",
--- a/internal/raft/follow.go
+++ b/internal/raft/follower.go
@@ -2,18 +2,19 @@
 
 import "slices"
 
-// handleAppend takes a leader's entries in where they join the log.
+// handleAppend appends a leader's entries if the entry before them matches this replica's
+// log.
 func (c *Core) handleAppend(m Message) {
 	if m.Index < c.log.commit && !c.log.matches(m.Index, m.LogTerm) {
 		c.acknowledge(m.From, c.log.commit)
 		return
 	}
 	if !c.log.matches(m.Index, m.LogTerm) {
-		hint := c.log.joinBefore(m.Index, m.LogTerm)
+		hint := c.log.lastPossibleMatch(m.Index, m.LogTerm)
 		c.send(Message{Kind: MsgAppendReply, To: m.From, Reject: true, Index: hint, Commit: m.Index})
 		return
 	}
-	c.takeEntries(m.Entries)
+	c.mergeEntries(m.Entries)
 	end := m.Index
 	if n := len(m.Entries); n > 0 {
 		end = m.Entries[n-1].Index
@@ -22,10 +23,9 @@
 	c.acknowledge(m.From, end)
 }
 
-// takeEntries appends what is new and drops what conflicts. Entries that the
-// log already has stay as they are: an old append that arrives late must not
-// cut off newer ones.
-func (c *Core) takeEntries(es []Entry) {
+// mergeEntries appends new entries and truncates the log where it conflicts. Entries that
+// the log already has stay: a delayed append must not truncate newer entries.
+func (c *Core) mergeEntries(es []Entry) {
 	members := slices.ContainsFunc(es, func(e Entry) bool { return e.Kind == EntryMembers })
 	for i, e := range es {
 		if c.log.matches(e.Index, e.Term) || e.Index <= c.log.commit {
@@ -35,8 +35,8 @@
 			if c.faults.keepConflict {
 				continue
 			}
-			c.log.cutFrom(e.Index)
-			members = true // a membership may have been cut off
+			c.log.truncateFrom(e.Index)
+			members = true // the truncated part may hold a membership
 		}
 		c.log.append(es[i:]...)
 		break
@@ -54,23 +54,23 @@
 	c.log.commit = max(c.log.commit, min(i, c.log.last()))
 }
 
-// handleHeartbeat answers a round. The reply carries this replica's clock, and
-// the leader returns the newest one it has seen: the time in it, less the
-// leader's own age, is a moment at which a quorum was surely in touch, however
-// long the heartbeat itself was under way.
+// handleHeartbeat replies to a heartbeat. The reply carries this replica's clock reading,
+// and the leader returns the newest one it has received. That time minus the leader's own
+// contact age is a time at which a quorum was in contact, however long the heartbeat was
+// delayed.
 func (c *Core) handleHeartbeat(m Message) {
-	c.noteContact(m)
+	c.updateContact(m)
 	c.commitTo(m.Commit)
-	c.send(Message{Kind: MsgHeartbeatReply, To: m.From, Round: m.Round, Stamp: c.now, Context: c.boot.Context})
+	c.send(Message{Kind: MsgHeartbeatReply, To: m.From, Round: m.Round, Timestamp: c.now, Context: c.hello.Context})
 }
 
-func (c *Core) noteContact(m Message) {
-	if m.Stamp == 0 || m.Context != c.boot.Context {
-		return // none yet, or of an earlier start, whose clock says nothing now
+func (c *Core) updateContact(m Message) {
+	if m.Timestamp == 0 || m.Context != c.hello.Context {
+		return // none yet, or from before a restart, when the clock had another origin
 	}
-	at := m.Stamp - m.Age
-	if !c.contact || at > c.contactAt {
-		c.contact = true
+	at := m.Timestamp - m.ContactAge
+	if !c.hadContact || at > c.contactAt {
+		c.hadContact = true
 		c.contactAt = at
 	}
 }
--- a/internal/raft/lead.go
+++ b/internal/raft/leader.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// maxInFlight bounds the appends that a leader sends a replica ahead of its
-// answers.
-const maxInFlight = 64
+// maxInFlightAppends bounds the unacknowledged appends to one replica.
+const maxInFlightAppends = 64
 
-// progress is what a leader knows of another replica's log.
+// progress is a leader's view of another replica's log.
 type progress struct {
-	// match is the last entry known to be synced there.
+	// match is the last entry known to be synced on that replica.
 	match Index
 	next  Index
-	// probing sends one append at a time until the logs are known to join.
+	// probing limits appends to one at a time until the replica's log is known to match.
 	probing bool
 	paused  bool
-	// inFlight are the ends of appends without an answer yet.
+	// inFlight holds the last index of each unacknowledged append.
 	inFlight []Index
-	// matchSeen is match at the last heartbeat reply.
-	matchSeen Index
-	round     uint64
-	heardAt   time.Duration
-	heard     bool
-	// stamp is the newest clock that it sent since its start numbered boot.
-	stamp    time.Duration
-	boot     uint64
-	outgoing *outgoingSnapshot
+	// matchAtHeartbeat is match at the previous heartbeat reply.
+	matchAtHeartbeat Index
+	round            uint64
+	heardAt          time.Duration
+	heard            bool
+	// timestamp is the newest clock reading from that replica's current start, which
+	// startID identifies.
+	timestamp time.Duration
+	startID   uint64
+	snapshot  *outgoingSnapshot
 }
 
 type sentRound struct {
@@ -37,10 +37,10 @@
 
 func (c *Core) becomeLeader() {
 	c.state = Leader
-	c.lead = c.cfg.ID
-	c.leaderless = false
+	c.leader = c.cfg.ID
+	c.leaderlessRestart = false
 	c.votes = nil
-	c.handOver = false
+	c.transfer = false
 	c.round = 0
 	c.rounds = nil
 	c.reads = nil
@@ -48,17 +48,17 @@
 	for _, x := range c.members.Members {
 		c.progress[x.ID] = &progress{next: c.log.last() + 1, probing: true, heardAt: c.now}
 	}
-	c.contact = true
+	c.hadContact = true
 	c.contactAt = c.now
-	c.checkAt = c.now + c.cfg.ElectionTimeout
-	c.appendOwn(EntryEmpty, nil)
-	c.sendRound()
+	c.quorumCheckAt = c.now + c.cfg.ElectionTimeout
+	c.appendEntry(EntryEmpty, nil)
+	c.sendHeartbeats()
 }
 
 func (c *Core) tickLeader() {
-	if !c.faults.leadForever && c.now >= c.checkAt {
-		c.checkAt = c.now + c.cfg.ElectionTimeout
-		if !c.hearsQuorum() {
+	if !c.faults.noCheckQuorum && c.now >= c.quorumCheckAt {
+		c.quorumCheckAt = c.now + c.cfg.ElectionTimeout
+		if !c.quorumActive() {
 			c.becomeFollower(c.term, 0)
 			return
 		}
@@ -66,14 +66,15 @@
 	if c.now < c.heartbeatAt {
 		return
 	}
-	c.settleMembers()
-	c.sendRound()
+	c.advanceMembership()
+	c.sendHeartbeats()
 }
 
-// hearsQuorum is the check-quorum: a leader cut off from its followers would
-// otherwise go on for good, and its operators would wait on a leader that can
-// commit nothing while another one serves.
-func (c *Core) hearsQuorum() bool {
+// quorumActive implements check-quorum: it reports whether a quorum of voters was heard
+// from within an election timeout. Otherwise a leader that is cut off would never step
+// down, and its operators would wait for a leader that can't commit while another one
+// serves.
+func (c *Core) quorumActive() bool {
 	n := 0
 	for _, id := range c.members.Voters() {
 		p := c.progress[id]
@@ -84,9 +85,9 @@
 	return n >= c.quorum()
 }
 
-// sendRound sends a heartbeat to every member. Who answers a round still
+// sendHeartbeats starts a heartbeat round. A member that replies to a round still
 // followed this leader after the round began.
-func (c *Core) sendRound() {
+func (c *Core) sendHeartbeats() {
 	c.heartbeatAt = c.now + c.cfg.Heartbeat
 	c.round++
 	c.rounds = append(c.rounds, sentRound{number: c.round, at: c.now})
@@ -95,34 +96,34 @@
 			c.sendHeartbeat(x.ID)
 		}
 	}
-	c.countRounds()
+	c.confirmRounds()
 }
 
 func (c *Core) sendHeartbeat(id ID) {
 	p := c.progress[id]
 	c.send(Message{
 		Kind: MsgHeartbeat, To: id, Round: c.round,
-		Commit: min(p.match, c.log.commit),
-		Age:    c.ContactAge(), Stamp: p.stamp, Context: p.boot,
+		Commit:     min(p.match, c.log.commit),
+		ContactAge: c.ContactAge(), Timestamp: p.timestamp, Context: p.startID,
 	})
 	c.resendChunk(p, id)
 }
 
-// countRounds finds the newest round that a quorum answered: it dates the
-// contact and releases the reads that waited for it.
-func (c *Core) countRounds() {
-	answered := c.quorumRound()
+// confirmRounds finds the newest round that a quorum replied to. It updates the quorum
+// contact time and completes the reads that waited for that round.
+func (c *Core) confirmRounds() {
+	answered := c.confirmedRound()
 	for len(c.rounds) > 0 && c.rounds[0].number <= answered {
 		c.contactAt = c.rounds[0].at
 		c.rounds = c.rounds[1:]
 	}
-	if c.faults.leadForever {
+	if c.faults.noCheckQuorum {
 		c.contactAt = c.now
 	}
 	c.releaseReads(answered)
 }
 
-func (c *Core) quorumRound() uint64 {
+func (c *Core) confirmedRound() uint64 {
 	var rounds []uint64
 	for _, id := range c.electors() {
 		if id == c.cfg.ID {
@@ -131,11 +132,11 @@
 			rounds = append(rounds, c.progress[id].round)
 		}
 	}
-	return quorumth(rounds, c.quorum())
+	return quorumValue(rounds, c.quorum())
 }
 
-// quorumth returns the highest value that a quorum has reached.
-func quorumth[T ~uint64](values []T, quorum int) T {
+// quorumValue returns the highest value that a quorum has reached.
+func quorumValue[T ~uint64](values []T, quorum int) T {
 	if quorum < 1 || quorum > len(values) {
 		return 0
 	}
@@ -143,23 +144,23 @@
 	return values[len(values)-quorum]
 }
 
-// advanceLeader counts the leader's own synced entries.
-func (c *Core) advanceLeader() {
+// countOwnEntries counts the leader's own synced entries towards commits.
+func (c *Core) countOwnEntries() {
 	if p := c.progress[c.cfg.ID]; p != nil {
 		p.match = c.log.stable
 	}
 	c.maybeCommit()
 }
 
-// maybeCommit commits what a quorum has synced, if it is of this term. An
-// entry of an older term on a quorum can still be overwritten by a leader that
-// lacks it; one of this term above it rules that out.
+// maybeCommit commits what a quorum has synced, if the last such entry is of the current
+// term. An entry of an older term can be overwritten by a leader that lacks it even when
+// a quorum has it; an entry of the current term above it prevents that.
 func (c *Core) maybeCommit() {
 	var matches []Index
 	for _, id := range c.electors() {
 		matches = append(matches, c.progress[id].match)
 	}
-	n := quorumth(matches, c.quorum())
+	n := quorumValue(matches, c.quorum())
 	if n <= c.log.commit {
 		return
 	}
@@ -167,9 +168,9 @@
 		return
 	}
 	c.log.commit = n
-	c.admitReads()
+	c.assignReadIndexes()
 	if !c.members.isVoter(c.cfg.ID) && c.membersIndex <= n {
-		c.becomeFollower(c.term, 0) // removed by an entry that is now committed
+		c.becomeFollower(c.term, 0) // the entry that removed this replica is now committed
 	}
 }
 
@@ -186,11 +187,11 @@
 	}
 }
 
-// sendAppend sends what the replica lacks: entries, or the snapshot if the log
-// no longer holds them.
+// sendAppend sends the entries that the replica lacks, or the snapshot if the log doesn't
+// hold them any more.
 func (c *Core) sendAppend(id ID) {
 	p := c.progress[id]
-	if p.outgoing != nil || p.probing && p.paused || len(p.inFlight) >= maxInFlight {
+	if p.snapshot != nil || p.probing && p.paused || len(p.inFlight) >= maxInFlightAppends {
 		return
 	}
 	t, ok := c.log.term(p.next - 1)
@@ -230,17 +231,17 @@
 
 func (c *Core) handleHeartbeatReply(p *progress, m Message) {
 	p.round = max(p.round, m.Round)
-	if p.boot != m.Context {
-		p.boot, p.stamp = m.Context, 0 // its clock began anew
+	if p.startID != m.Context {
+		p.startID, p.timestamp = m.Context, 0 // it restarted, and its clock has a new origin
 	}
-	p.stamp = max(p.stamp, m.Stamp)
-	c.countRounds()
-	stalled := p.match == p.matchSeen
-	p.matchSeen = p.match
+	p.timestamp = max(p.timestamp, m.Timestamp)
+	c.confirmRounds()
+	stalled := p.match == p.matchAtHeartbeat
+	p.matchAtHeartbeat = p.match
 	if p.match >= c.log.last() || !stalled {
 		return
 	}
-	// What was sent is perhaps lost: this replica is asked anew what it has.
+	// The last appends may be lost. Probe for what the replica has.
 	p.paused = false
 	if !p.probing {
 		p.probing = true
@@ -262,8 +263,8 @@
 	p.match = max(p.match, m.Index)
 	p.next = max(p.next, p.match+1)
 	p.probing, p.paused = false, false
-	if p.outgoing != nil && p.match >= p.outgoing.index {
-		p.outgoing = nil
+	if p.snapshot != nil && p.match >= p.snapshot.index {
+		p.snapshot = nil
 	}
 	p.inFlight = slices.DeleteFunc(p.inFlight, func(i Index) bool { return i <= p.match })
 	if advanced {
@@ -274,8 +275,8 @@
 	}
 }
 
-// handleReject steps back to where the logs may join. Commit holds the entry
-// that was refused; an answer to an older question says nothing new.
+// handleReject moves next back to where the logs may match. m.Commit is the index that
+// was refused; a reply to an older append is ignored.
 func (c *Core) handleReject(p *progress, m Message) {
 	if m.Index < p.match || m.Commit != p.next-1 && p.probing || m.Commit <= p.match {
 		return
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -2,34 +2,34 @@
 
 import "slices"
 
-// entryLog is the log in memory: a snapshot, and the entries after offset. Some
-// entries before the snapshot are kept for replicas that lag a little.
+// entryLog is the in-memory log: a snapshot, and the entries after offset. Some entries
+// before the snapshot are kept for replicas that are slightly behind.
 type entryLog struct {
 	snapshot   Snapshot
 	offset     Index
 	offsetTerm Term
 	entries    []Entry
-	// base is the membership at offset, for when no entry after it holds one.
-	base      Membership
-	baseIndex Index
+	// baseMembers is the membership at offset, used when no later entry sets one.
+	baseMembers      Membership
+	baseMembersIndex Index
 	// stable is the last entry known to be synced.
 	stable Index
 	// commit is the last entry known to be committed.
 	commit Index
-	// handed is the last entry given out to be applied.
-	handed Index
+	// delivered is the last entry that Ready returned for applying.
+	delivered Index
 }
 
 func newLog(s Stored) entryLog {
 	l := entryLog{
-		snapshot:   s.Snapshot,
-		offset:     s.Snapshot.Index,
-		offsetTerm: s.Snapshot.Term,
-		entries:    slices.Clone(s.Entries),
-		base:       s.Snapshot.Members,
-		baseIndex:  s.Snapshot.Index,
-		commit:     s.Snapshot.Index,
-		handed:     s.Snapshot.Index,
+		snapshot:         s.Snapshot,
+		offset:           s.Snapshot.Index,
+		offsetTerm:       s.Snapshot.Term,
+		entries:          slices.Clone(s.Entries),
+		baseMembers:      s.Snapshot.Members,
+		baseMembersIndex: s.Snapshot.Index,
+		commit:           s.Snapshot.Index,
+		delivered:        s.Snapshot.Index,
 	}
 	l.stable = l.last()
 	l.commit = max(l.commit, min(s.Commit, l.last()))
@@ -43,8 +43,7 @@
 	return t
 }
 
-// term returns the term of the entry at i; false if the log no longer or not
-// yet holds it.
+// term returns the term of the entry at i; false if the log doesn't hold that entry.
 func (l *entryLog) term(i Index) (Term, bool) {
 	switch {
 	case i == l.offset:
@@ -63,9 +62,9 @@
 	return ok && have == t
 }
 
-// joinBefore returns the last entry before i that a log whose entry at i has
-// term t may share with this one: terms never fall along a log.
-func (l *entryLog) joinBefore(i Index, t Term) Index {
+// lastPossibleMatch returns the last entry before i that may match a log whose entry at i
+// has term t. It relies on terms never decreasing along a log.
+func (l *entryLog) lastPossibleMatch(i Index, t Term) Index {
 	at := min(i-1, l.last())
 	for at > l.commit {
 		if have, ok := l.term(at); ok && have <= t {
@@ -76,7 +75,7 @@
 	return at
 }
 
-// from returns entries from i on, at most limit bytes but at least one entry.
+// from returns the entries from i on, up to limit bytes but at least one.
 func (l *entryLog) from(i Index, limit int) []Entry {
 	if i <= l.offset || i > l.last() {
 		return nil
@@ -84,7 +83,7 @@
 	rest := l.entries[i-l.offset-1:]
 	size := 0
 	for n, e := range rest {
-		size += len(e.Data) + entryOverhead
+		size += len(e.Data) + entryOverheadBytes
 		if size > limit && n > 0 {
 			return slices.Clone(rest[:n])
 		}
@@ -102,13 +101,13 @@
 
 func (l *entryLog) append(es ...Entry) { l.entries = append(l.entries, es...) }
 
-// cutFrom drops the entry at i and all after it.
-func (l *entryLog) cutFrom(i Index) {
+// truncateFrom removes the entry at i and all entries after it.
+func (l *entryLog) truncateFrom(i Index) {
 	l.entries = slices.Clone(l.entries[:i-l.offset-1])
 	l.stable = min(l.stable, i-1)
 }
 
-// membership returns the newest membership in the log and its index.
+// membership returns the newest membership in the log and the index of its entry.
 func (l *entryLog) membership() (Membership, Index) {
 	for _, e := range slices.Backward(l.entries) {
 		if e.Kind != EntryMembers {
@@ -118,12 +117,12 @@
 			return m, e.Index
 		}
 	}
-	return l.base, l.baseIndex
+	return l.baseMembers, l.baseMembersIndex
 }
 
-// membershipAt returns the membership in use after the entry at i.
+// membershipAt returns the membership in effect after the entry at i.
 func (l *entryLog) membershipAt(i Index) Membership {
-	m := l.base
+	m := l.baseMembers
 	for _, e := range l.entries {
 		if e.Index > i {
 			break
@@ -137,7 +136,7 @@
 	return m
 }
 
-// compact takes a snapshot over and drops entries more than keep before it.
+// compact records a snapshot and drops all entries but the last keep before it.
 func (l *entryLog) compact(s Snapshot, keep int) {
 	l.snapshot = s
 	if s.Index <= l.offset+Index(keep) {
@@ -145,22 +144,22 @@
 	}
 	cut := s.Index - Index(keep)
 	t, _ := l.term(cut)
-	l.base = l.membershipAt(cut)
-	l.baseIndex = cut
+	l.baseMembers = l.membershipAt(cut)
+	l.baseMembersIndex = cut
 	l.entries = slices.Clone(l.entries[cut-l.offset:])
 	l.offset, l.offsetTerm = cut, t
 }
 
-// install replaces the log by a leader's snapshot. Entries after it stay only
-// if the log agrees with the snapshot at its index.
+// install replaces the log with a leader's snapshot. Later entries are kept only if the
+// log matches the snapshot at its index.
 func (l *entryLog) install(s Snapshot) {
 	if !l.matches(s.Index, s.Term) {
 		l.entries = nil
 		l.offset, l.offsetTerm = s.Index, s.Term
-		l.base, l.baseIndex = s.Members, s.Index
+		l.baseMembers, l.baseMembersIndex = s.Members, s.Index
 		l.stable = s.Index
 	}
 	l.snapshot = s
 	l.commit = max(l.commit, s.Index)
-	l.handed = max(l.handed, s.Index)
+	l.delivered = max(l.delivered, s.Index)
 }
--- a/internal/raft/transfer.go
+++ b/internal/raft/snapshot.go
@@ -6,17 +6,17 @@
 	"github.com/go-faster/errors"
 )
 
-// outgoingSnapshot is a snapshot under way to one replica. The encoded bytes
-// stay the same for the whole transfer, also when a newer snapshot is made.
+// outgoingSnapshot is a snapshot transfer to one replica. The encoded bytes stay the same
+// for the whole transfer, even if a newer snapshot is taken.
 type outgoingSnapshot struct {
-	index   Index
-	term    Term
-	encoded []byte
-	offset  uint64
-	sentAt  uint64
+	index     Index
+	term      Term
+	encoded   []byte
+	offset    uint64
+	sentRound uint64
 }
 
-// incomingSnapshot gathers chunks.
+// incomingSnapshot collects the chunks of a snapshot.
 type incomingSnapshot struct {
 	index Index
 	term  Term
@@ -24,8 +24,8 @@
 	data  bytes.Buffer
 }
 
-// maxSnapshot bounds what a peer can make this replica gather.
-const maxSnapshot = 256 << 20
+// maxSnapshotBytes bounds the memory that a peer can make this replica use.
+const maxSnapshotBytes = 256 << 20
 
 func (c *Core) startSnapshot(p *progress, id ID) {
 	encoded, err := c.log.snapshot.MarshalMsg(nil)
@@ -34,36 +34,36 @@
 	}
 	p.probing, p.paused = true, false
 	p.inFlight = nil
-	p.outgoing = &outgoingSnapshot{index: c.log.snapshot.Index, term: c.log.snapshot.Term, encoded: encoded}
+	p.snapshot = &outgoingSnapshot{index: c.log.snapshot.Index, term: c.log.snapshot.Term, encoded: encoded}
 	c.sendChunk(p, id)
 }
 
 func (c *Core) sendChunk(p *progress, id ID) {
-	o := p.outgoing
+	o := p.snapshot
 	end := min(o.offset+uint64(c.cfg.ChunkBytes), uint64(len(o.encoded)))
-	o.sentAt = c.round
+	o.sentRound = c.round
 	c.send(Message{Kind: MsgSnapshot, To: id, Chunk: &Chunk{
 		Index: o.index, Term: o.term, Offset: o.offset,
 		Total: uint64(len(o.encoded)), Data: o.encoded[o.offset:end],
 	}})
 }
 
-// resendChunk sends a chunk again that had no answer for some rounds.
+// resendChunk resends a chunk that was not acknowledged for some heartbeat rounds.
 func (c *Core) resendChunk(p *progress, id ID) {
-	const patience = 3
-	if p.outgoing != nil && c.round-p.outgoing.sentAt >= patience {
+	const resendAfterRounds = 3
+	if p.snapshot != nil && c.round-p.snapshot.sentRound >= resendAfterRounds {
 		c.sendChunk(p, id)
 	}
 }
 
 func (c *Core) handleSnapshotReply(p *progress, m Message) {
-	o := p.outgoing
+	o := p.snapshot
 	if o == nil || m.Chunk == nil || m.Chunk.Index != o.index || m.Chunk.Term != o.term {
 		return
 	}
 	next := m.Chunk.Offset
 	if next > uint64(len(o.encoded)) || next == o.offset && next != 0 {
-		return // the answer to a chunk sent twice
+		return // a duplicate reply
 	}
 	o.offset = next
 	if next < uint64(len(o.encoded)) {
@@ -71,11 +71,11 @@
 	}
 }
 
-// handleSnapshot gathers a chunk. The last one's answer is the acknowledgement
-// of the snapshot's index, which leaves after the snapshot is synced.
+// handleSnapshot stores a chunk. The reply to the last chunk acknowledges the snapshot's
+// index and is sent after the snapshot is synced.
 func (c *Core) handleSnapshot(m Message) {
 	k := m.Chunk
-	if k == nil || k.Total > maxSnapshot {
+	if k == nil || k.Total > maxSnapshotBytes {
 		return
 	}
 	if k.Index <= c.log.commit {
@@ -91,17 +91,17 @@
 		in.data.Write(k.Data)
 	}
 	if uint64(in.data.Len()) < in.total {
-		c.wantChunk(m.From, in)
+		c.requestChunk(m.From, in)
 		return
 	}
 	c.incoming = nil
 	if err := c.installSnapshot(in); err != nil {
-		return // the leader sends it again from the start
+		return // the leader restarts the transfer
 	}
 	c.acknowledge(m.From, in.index)
 }
 
-func (c *Core) wantChunk(leader ID, in *incomingSnapshot) {
+func (c *Core) requestChunk(leader ID, in *incomingSnapshot) {
 	c.send(Message{Kind: MsgSnapshotReply, To: leader, Chunk: &Chunk{
 		Index: in.index, Term: in.term, Offset: uint64(in.data.Len()), Total: in.total,
 	}})
@@ -110,13 +110,13 @@
 func (c *Core) installSnapshot(in *incomingSnapshot) error {
 	var s Snapshot
 	if _, err := s.UnmarshalMsg(in.data.Bytes()); err != nil {
-		return errors.Wrap(err, "raft: snapshot")
+		return errors.Wrap(err, "raft: decode snapshot")
 	}
 	if s.Index != in.index || s.Term != in.term {
-		return errors.Errorf("raft: snapshot of %d in chunks of %d", s.Index, in.index)
+		return errors.Errorf("raft: snapshot at index %d received in chunks for index %d", s.Index, in.index)
 	}
 	c.log.install(s)
-	c.install = &s
+	c.pendingInstall = &s
 	c.adoptMembers()
 	return nil
 }
--- a/internal/raft/step.go
+++ b/internal/raft/step.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Step takes one message in.
+// Step handles one message.
 func (c *Core) Step(now time.Duration, m Message) {
-	c.setNow(now)
+	c.advanceClock(now)
 	if m.To != c.cfg.ID || m.From == c.cfg.ID || c.halted() {
 		return
 	}
 	switch {
 	case m.Kind == MsgHelloReply:
 		c.handleHelloReply(m)
-	case c.isBarred(m.From):
+	case c.isRemoved(m.From):
 		c.send(Message{Kind: MsgHelloReply, To: m.From, Reject: true})
 	case m.Kind == MsgHello:
 		c.handleHello(m)
-	case c.probation:
+	case c.recovering:
 		c.sendHello(m.From)
 	default:
-		c.learn(m)
-		if c.settleTerm(m) {
+		c.recordPeer(m)
+		if c.reconcileTerm(m) {
 			c.dispatch(m)
 		}
 	}
@@ -46,30 +46,30 @@
 		c.handleReadIndex(m)
 	case MsgReadIndexReply:
 		c.handleReadIndexReply(m)
-	case MsgElectNow:
-		if c.state == Follower && m.From == c.lead {
+	case MsgTimeoutNow:
+		if c.state == Follower && m.From == c.leader {
 			c.campaign(false, true)
 		}
 	}
 }
 
-// settleTerm brings the terms of message and replica together; false if the
-// message is not to be handled further.
-func (c *Core) settleTerm(m Message) bool {
+// reconcileTerm compares the message's term with the current one and updates the replica.
+// It returns false if the message needs no further handling.
+func (c *Core) reconcileTerm(m Message) bool {
 	switch {
 	case m.Term > c.term:
-		return c.settleNewer(m)
+		return c.handleNewerTerm(m)
 	case m.Term < c.term:
-		c.answerOlder(m)
+		c.replyToOlderTerm(m)
 		return false
 	}
 	return true
 }
 
-func (c *Core) settleNewer(m Message) bool {
+func (c *Core) handleNewerTerm(m Message) bool {
 	switch m.Kind {
 	case MsgPreVote, MsgVote:
-		if c.inLease() && !m.Forced {
+		if c.inLease() && !m.IgnoreLease {
 			return false
 		}
 		if m.Kind == MsgVote {
@@ -88,10 +88,10 @@
 	return true
 }
 
-// answerOlder tells the sender of an older term about the newer one. Without
-// it a replica whose term ran ahead, and that nobody votes for, would ignore a
-// healthy leader for good.
-func (c *Core) answerOlder(m Message) {
+// replyToOlderTerm tells the sender of an older term about the newer one. Otherwise a
+// replica whose term is too high, and that nobody votes for, would ignore a healthy
+// leader for good.
+func (c *Core) replyToOlderTerm(m Message) {
 	switch m.Kind {
 	case MsgAppend, MsgHeartbeat, MsgSnapshot:
 		c.send(Message{Kind: MsgAppendReply, To: m.From, Reject: true, Index: c.log.last()})
@@ -102,10 +102,10 @@
 
 // followLeader accepts the sender as the leader of the current term.
 func (c *Core) followLeader(m Message) {
-	if c.state != Follower || c.lead != m.From {
+	if c.state != Follower || c.leader != m.From {
 		c.becomeFollower(m.Term, m.From)
 	}
-	c.heardLead = c.now
-	c.needed = false
+	c.leaderHeardAt = c.now
+	c.hasNewerLog = false
 	c.resetElection()
 }
--- a/internal/raft/types_gen.go
+++ b/internal/raft/types_gen.go
@@ -728,7 +728,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Known) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Member) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -745,71 +745,47 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "t":
+		case "i":
 			{
 				var zb0002 uint64
 				zb0002, err = dc.ReadUint64()
 				if err != nil {
-					err = msgp.WrapError(err, "Term")
-					return
-				}
-				z.Term = Term(zb0002)
-			}
-		case "a":
-			{
-				var zb0003 uint64
-				zb0003, err = dc.ReadUint64()
-				if err != nil {
-					err = msgp.WrapError(err, "AckTerm")
-					return
-				}
-				z.AckTerm = Term(zb0003)
-			}
-		case "m":
-			{
-				var zb0004 uint64
-				zb0004, err = dc.ReadUint64()
-				if err != nil {
-					err = msgp.WrapError(err, "Match")
+					err = msgp.WrapError(err, "ID")
 					return
 				}
-				z.Match = Index(zb0004)
+				z.ID = ID(zb0002)
 			}
-		case "c":
-			{
-				var zb0005 uint64
-				zb0005, err = dc.ReadUint64()
-				if err != nil {
-					err = msgp.WrapError(err, "Committed")
-					return
-				}
-				z.Committed = Index(zb0005)
+		case "n":
+			z.Name, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Name")
+				return
 			}
-		case "l":
-			err = z.Members.DecodeMsg(dc)
+		case "a":
+			z.Address, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Members")
+				err = msgp.WrapError(err, "Address")
 				return
 			}
-		case "i":
+		case "r":
 			{
-				var zb0006 uint64
-				zb0006, err = dc.ReadUint64()
+				var zb0003 uint8
+				zb0003, err = dc.ReadUint8()
 				if err != nil {
-					err = msgp.WrapError(err, "MembersAt")
+					err = msgp.WrapError(err, "Role")
 					return
 				}
-				z.MembersAt = Index(zb0006)
+				z.Role = Role(zb0003)
 			}
-		case "h":
+		case "p":
 			{
-				var zb0007 uint64
-				zb0007, err = dc.ReadUint64()
+				var zb0004 uint64
+				zb0004, err = dc.ReadUint64()
 				if err != nil {
-					err = msgp.WrapError(err, "Leader")
+					err = msgp.WrapError(err, "Replaces")
 					return
 				}
-				z.Leader = ID(zb0007)
+				z.Replaces = ID(zb0004)
 			}
 		default:
 			err = dc.Skip()
@@ -823,115 +799,85 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Known) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 7
-	// write "t"
-	err = en.Append(0x87, 0xa1, 0x74)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(uint64(z.Term))
-	if err != nil {
-		err = msgp.WrapError(err, "Term")
-		return
-	}
-	// write "a"
-	err = en.Append(0xa1, 0x61)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(uint64(z.AckTerm))
-	if err != nil {
-		err = msgp.WrapError(err, "AckTerm")
-		return
-	}
-	// write "m"
-	err = en.Append(0xa1, 0x6d)
+func (z *Member) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 5
+	// write "i"
+	err = en.Append(0x85, 0xa1, 0x69)
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(uint64(z.Match))
+	err = en.WriteUint64(uint64(z.ID))
 	if err != nil {
-		err = msgp.WrapError(err, "Match")
+		err = msgp.WrapError(err, "ID")
 		return
 	}
-	// write "c"
-	err = en.Append(0xa1, 0x63)
+	// write "n"
+	err = en.Append(0xa1, 0x6e)
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(uint64(z.Committed))
+	err = en.WriteString(z.Name)
 	if err != nil {
-		err = msgp.WrapError(err, "Committed")
+		err = msgp.WrapError(err, "Name")
 		return
 	}
-	// write "l"
-	err = en.Append(0xa1, 0x6c)
+	// write "a"
+	err = en.Append(0xa1, 0x61)
 	if err != nil {
 		return
 	}
-	err = z.Members.EncodeMsg(en)
+	err = en.WriteString(z.Address)
 	if err != nil {
-		err = msgp.WrapError(err, "Members")
+		err = msgp.WrapError(err, "Address")
 		return
 	}
-	// write "i"
-	err = en.Append(0xa1, 0x69)
+	// write "r"
+	err = en.Append(0xa1, 0x72)
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(uint64(z.MembersAt))
+	err = en.WriteUint8(uint8(z.Role))
 	if err != nil {
-		err = msgp.WrapError(err, "MembersAt")
+		err = msgp.WrapError(err, "Role")
 		return
 	}
-	// write "h"
-	err = en.Append(0xa1, 0x68)
+	// write "p"
+	err = en.Append(0xa1, 0x70)
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(uint64(z.Leader))
+	err = en.WriteUint64(uint64(z.Replaces))
 	if err != nil {
-		err = msgp.WrapError(err, "Leader")
+		err = msgp.WrapError(err, "Replaces")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Known) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Member) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 7
-	// string "t"
-	o = append(o, 0x87, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, uint64(z.Term))
+	// map header, size 5
+	// string "i"
+	o = append(o, 0x85, 0xa1, 0x69)
+	o = msgp.AppendUint64(o, uint64(z.ID))
+	// string "n"
+	o = append(o, 0xa1, 0x6e)
+	o = msgp.AppendString(o, z.Name)
 	// string "a"
 	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendUint64(o, uint64(z.AckTerm))
-	// string "m"
-	o = append(o, 0xa1, 0x6d)
-	o = msgp.AppendUint64(o, uint64(z.Match))
-	// string "c"
-	o = append(o, 0xa1, 0x63)
-	o = msgp.AppendUint64(o, uint64(z.Committed))
-	// string "l"
-	o = append(o, 0xa1, 0x6c)
-	o, err = z.Members.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Members")
-		return
-	}
-	// string "i"
-	o = append(o, 0xa1, 0x69)
-	o = msgp.AppendUint64(o, uint64(z.MembersAt))
-	// string "h"
-	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendUint64(o, uint64(z.Leader))
+	o = msgp.AppendString(o, z.Address)
+	// string "r"
+	o = append(o, 0xa1, 0x72)
+	o = msgp.AppendUint8(o, uint8(z.Role))
+	// string "p"
+	o = append(o, 0xa1, 0x70)
+	o = msgp.AppendUint64(o, uint64(z.Replaces))
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Known) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Member) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -948,71 +894,47 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "t":
+		case "i":
 			{
 				var zb0002 uint64
 				zb0002, bts, err = msgp.ReadUint64Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Term")
-					return
-				}
-				z.Term = Term(zb0002)
-			}
-		case "a":
-			{
-				var zb0003 uint64
-				zb0003, bts, err = msgp.ReadUint64Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "AckTerm")
-					return
-				}
-				z.AckTerm = Term(zb0003)
-			}
-		case "m":
-			{
-				var zb0004 uint64
-				zb0004, bts, err = msgp.ReadUint64Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Match")
+					err = msgp.WrapError(err, "ID")
 					return
 				}
-				z.Match = Index(zb0004)
+				z.ID = ID(zb0002)
 			}
-		case "c":
-			{
-				var zb0005 uint64
-				zb0005, bts, err = msgp.ReadUint64Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Committed")
-					return
-				}
-				z.Committed = Index(zb0005)
+		case "n":
+			z.Name, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Name")
+				return
 			}
-		case "l":
-			bts, err = z.Members.UnmarshalMsg(bts)
+		case "a":
+			z.Address, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Members")
+				err = msgp.WrapError(err, "Address")
 				return
 			}
-		case "i":
+		case "r":
 			{
-				var zb0006 uint64
-				zb0006, bts, err = msgp.ReadUint64Bytes(bts)
+				var zb0003 uint8
+				zb0003, bts, err = msgp.ReadUint8Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "MembersAt")
+					err = msgp.WrapError(err, "Role")
 					return
 				}
-				z.MembersAt = Index(zb0006)
+				z.Role = Role(zb0003)
 			}
-		case "h":
+		case "p":
 			{
-				var zb0007 uint64
-				zb0007, bts, err = msgp.ReadUint64Bytes(bts)
+				var zb0004 uint64
+				zb0004, bts, err = msgp.ReadUint64Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Leader")
+					err = msgp.WrapError(err, "Replaces")
 					return
 				}
-				z.Leader = ID(zb0007)
+				z.Replaces = ID(zb0004)
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -1027,13 +949,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Known) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + z.Members.Msgsize() + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
+func (z *Member) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Address) + 2 + msgp.Uint8Size + 2 + msgp.Uint64Size
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Member) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Membership) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1050,249 +972,22 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "i":
-			{
-				var zb0002 uint64
-				zb0002, err = dc.ReadUint64()
+		case "m":
+			var zb0002 uint32
+			zb0002, err = dc.ReadArrayHeader()
+			if err != nil {
+				err = msgp.WrapError(err, "Members")
+				return
+			}
+			if cap(z.Members) >= int(zb0002) {
+				z.Members = (z.Members)[:zb0002]
+			} else {
+				z.Members = make([]Member, zb0002)
+			}
+			for za0001 := range z.Members {
+				err = z.Members[za0001].DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "ID")
-					return
-				}
-				z.ID = ID(zb0002)
-			}
-		case "n":
-			z.Name, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Name")
-				return
-			}
-		case "a":
-			z.Address, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Address")
-				return
-			}
-		case "r":
-			{
-				var zb0003 uint8
-				zb0003, err = dc.ReadUint8()
-				if err != nil {
-					err = msgp.WrapError(err, "Role")
-					return
-				}
-				z.Role = Role(zb0003)
-			}
-		case "p":
-			{
-				var zb0004 uint64
-				zb0004, err = dc.ReadUint64()
-				if err != nil {
-					err = msgp.WrapError(err, "Replaces")
-					return
-				}
-				z.Replaces = ID(zb0004)
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Member) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 5
-	// write "i"
-	err = en.Append(0x85, 0xa1, 0x69)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(uint64(z.ID))
-	if err != nil {
-		err = msgp.WrapError(err, "ID")
-		return
-	}
-	// write "n"
-	err = en.Append(0xa1, 0x6e)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Name)
-	if err != nil {
-		err = msgp.WrapError(err, "Name")
-		return
-	}
-	// write "a"
-	err = en.Append(0xa1, 0x61)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Address)
-	if err != nil {
-		err = msgp.WrapError(err, "Address")
-		return
-	}
-	// write "r"
-	err = en.Append(0xa1, 0x72)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint8(uint8(z.Role))
-	if err != nil {
-		err = msgp.WrapError(err, "Role")
-		return
-	}
-	// write "p"
-	err = en.Append(0xa1, 0x70)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(uint64(z.Replaces))
-	if err != nil {
-		err = msgp.WrapError(err, "Replaces")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Member) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
-	// string "i"
-	o = append(o, 0x85, 0xa1, 0x69)
-	o = msgp.AppendUint64(o, uint64(z.ID))
-	// string "n"
-	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendString(o, z.Name)
-	// string "a"
-	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendString(o, z.Address)
-	// string "r"
-	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendUint8(o, uint8(z.Role))
-	// string "p"
-	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendUint64(o, uint64(z.Replaces))
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Member) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "i":
-			{
-				var zb0002 uint64
-				zb0002, bts, err = msgp.ReadUint64Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "ID")
-					return
-				}
-				z.ID = ID(zb0002)
-			}
-		case "n":
-			z.Name, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Name")
-				return
-			}
-		case "a":
-			z.Address, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Address")
-				return
-			}
-		case "r":
-			{
-				var zb0003 uint8
-				zb0003, bts, err = msgp.ReadUint8Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Role")
-					return
-				}
-				z.Role = Role(zb0003)
-			}
-		case "p":
-			{
-				var zb0004 uint64
-				zb0004, bts, err = msgp.ReadUint64Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Replaces")
-					return
-				}
-				z.Replaces = ID(zb0004)
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Member) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Address) + 2 + msgp.Uint8Size + 2 + msgp.Uint64Size
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Membership) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "m":
-			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "Members")
-				return
-			}
-			if cap(z.Members) >= int(zb0002) {
-				z.Members = (z.Members)[:zb0002]
-			} else {
-				z.Members = make([]Member, zb0002)
-			}
-			for za0001 := range z.Members {
-				err = z.Members[za0001].DecodeMsg(dc)
-				if err != nil {
-					err = msgp.WrapError(err, "Members", za0001)
+					err = msgp.WrapError(err, "Members", za0001)
 					return
 				}
 			}
@@ -1589,9 +1284,9 @@
 				return
 			}
 		case "h":
-			z.Forced, err = dc.ReadBool()
+			z.IgnoreLease, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Forced")
+				err = msgp.WrapError(err, "IgnoreLease")
 				return
 			}
 		case "n":
@@ -1607,15 +1302,15 @@
 				return
 			}
 		case "a":
-			z.Age, err = dc.ReadDuration()
+			z.ContactAge, err = dc.ReadDuration()
 			if err != nil {
-				err = msgp.WrapError(err, "Age")
+				err = msgp.WrapError(err, "ContactAge")
 				return
 			}
 		case "s":
-			z.Stamp, err = dc.ReadDuration()
+			z.Timestamp, err = dc.ReadDuration()
 			if err != nil {
-				err = msgp.WrapError(err, "Stamp")
+				err = msgp.WrapError(err, "Timestamp")
 				return
 			}
 		case "u":
@@ -1640,17 +1335,17 @@
 			if dc.IsNil() {
 				err = dc.ReadNil()
 				if err != nil {
-					err = msgp.WrapError(err, "Known")
+					err = msgp.WrapError(err, "Record")
 					return
 				}
-				z.Known = nil
+				z.Record = nil
 			} else {
-				if z.Known == nil {
-					z.Known = new(Known)
+				if z.Record == nil {
+					z.Record = new(PeerRecord)
 				}
-				err = z.Known.DecodeMsg(dc)
+				err = z.Record.DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "Known")
+					err = msgp.WrapError(err, "Record")
 					return
 				}
 			}
@@ -1691,7 +1386,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x100
 	}
-	if z.Forced == false {
+	if z.IgnoreLease == false {
 		zb0001Len--
 		zb0001Mask |= 0x200
 	}
@@ -1703,11 +1398,11 @@
 		zb0001Len--
 		zb0001Mask |= 0x800
 	}
-	if z.Age == 0 {
+	if z.ContactAge == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x1000
 	}
-	if z.Stamp == 0 {
+	if z.Timestamp == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x2000
 	}
@@ -1715,7 +1410,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x4000
 	}
-	if z.Known == nil {
+	if z.Record == nil {
 		zb0001Len--
 		zb0001Mask |= 0x8000
 	}
@@ -1840,9 +1535,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteBool(z.Forced)
+			err = en.WriteBool(z.IgnoreLease)
 			if err != nil {
-				err = msgp.WrapError(err, "Forced")
+				err = msgp.WrapError(err, "IgnoreLease")
 				return
 			}
 		}
@@ -1876,9 +1571,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteDuration(z.Age)
+			err = en.WriteDuration(z.ContactAge)
 			if err != nil {
-				err = msgp.WrapError(err, "Age")
+				err = msgp.WrapError(err, "ContactAge")
 				return
 			}
 		}
@@ -1888,9 +1583,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteDuration(z.Stamp)
+			err = en.WriteDuration(z.Timestamp)
 			if err != nil {
-				err = msgp.WrapError(err, "Stamp")
+				err = msgp.WrapError(err, "Timestamp")
 				return
 			}
 		}
@@ -1919,15 +1614,15 @@
 			if err != nil {
 				return
 			}
-			if z.Known == nil {
+			if z.Record == nil {
 				err = en.WriteNil()
 				if err != nil {
 					return
 				}
 			} else {
-				err = z.Known.EncodeMsg(en)
+				err = z.Record.EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "Known")
+					err = msgp.WrapError(err, "Record")
 					return
 				}
 			}
@@ -1963,7 +1658,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x100
 	}
-	if z.Forced == false {
+	if z.IgnoreLease == false {
 		zb0001Len--
 		zb0001Mask |= 0x200
 	}
@@ -1975,11 +1670,11 @@
 		zb0001Len--
 		zb0001Mask |= 0x800
 	}
-	if z.Age == 0 {
+	if z.ContactAge == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x1000
 	}
-	if z.Stamp == 0 {
+	if z.Timestamp == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x2000
 	}
@@ -1987,7 +1682,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x4000
 	}
-	if z.Known == nil {
+	if z.Record == nil {
 		zb0001Len--
 		zb0001Mask |= 0x8000
 	}
@@ -2043,7 +1738,7 @@
 		if (zb0001Mask & 0x200) == 0 { // if not omitted
 			// string "h"
 			o = append(o, 0xa1, 0x68)
-			o = msgp.AppendBool(o, z.Forced)
+			o = msgp.AppendBool(o, z.IgnoreLease)
 		}
 		if (zb0001Mask & 0x400) == 0 { // if not omitted
 			// string "n"
@@ -2058,12 +1753,12 @@
 		if (zb0001Mask & 0x1000) == 0 { // if not omitted
 			// string "a"
 			o = append(o, 0xa1, 0x61)
-			o = msgp.AppendDuration(o, z.Age)
+			o = msgp.AppendDuration(o, z.ContactAge)
 		}
 		if (zb0001Mask & 0x2000) == 0 { // if not omitted
 			// string "s"
 			o = append(o, 0xa1, 0x73)
-			o = msgp.AppendDuration(o, z.Stamp)
+			o = msgp.AppendDuration(o, z.Timestamp)
 		}
 		if (zb0001Mask & 0x4000) == 0 { // if not omitted
 			// string "u"
@@ -2081,12 +1776,12 @@
 		if (zb0001Mask & 0x8000) == 0 { // if not omitted
 			// string "w"
 			o = append(o, 0xa1, 0x77)
-			if z.Known == nil {
+			if z.Record == nil {
 				o = msgp.AppendNil(o)
 			} else {
-				o, err = z.Known.MarshalMsg(o)
+				o, err = z.Record.MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "Known")
+					err = msgp.WrapError(err, "Record")
 					return
 				}
 			}
@@ -2209,9 +1904,9 @@
 				return
 			}
 		case "h":
-			z.Forced, bts, err = msgp.ReadBoolBytes(bts)
+			z.IgnoreLease, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Forced")
+				err = msgp.WrapError(err, "IgnoreLease")
 				return
 			}
 		case "n":
@@ -2227,15 +1922,15 @@
 				return
 			}
 		case "a":
-			z.Age, bts, err = msgp.ReadDurationBytes(bts)
+			z.ContactAge, bts, err = msgp.ReadDurationBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Age")
+				err = msgp.WrapError(err, "ContactAge")
 				return
 			}
 		case "s":
-			z.Stamp, bts, err = msgp.ReadDurationBytes(bts)
+			z.Timestamp, bts, err = msgp.ReadDurationBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Stamp")
+				err = msgp.WrapError(err, "Timestamp")
 				return
 			}
 		case "u":
@@ -2261,14 +1956,14 @@
 				if err != nil {
 					return
 				}
-				z.Known = nil
+				z.Record = nil
 			} else {
-				if z.Known == nil {
-					z.Known = new(Known)
+				if z.Record == nil {
+					z.Record = new(PeerRecord)
 				}
-				bts, err = z.Known.UnmarshalMsg(bts)
+				bts, err = z.Record.UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Known")
+					err = msgp.WrapError(err, "Record")
 					return
 				}
 			}
@@ -2297,10 +1992,10 @@
 		s += z.Chunk.Msgsize()
 	}
 	s += 2
-	if z.Known == nil {
+	if z.Record == nil {
 		s += msgp.NilSize
 	} else {
-		s += z.Known.Msgsize()
+		s += z.Record.Msgsize()
 	}
 	return
 }
@@ -2357,6 +2052,311 @@
 	return
 }
 
+// DecodeMsg implements msgp.Decodable
+func (z *PeerRecord) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "t":
+			{
+				var zb0002 uint64
+				zb0002, err = dc.ReadUint64()
+				if err != nil {
+					err = msgp.WrapError(err, "Term")
+					return
+				}
+				z.Term = Term(zb0002)
+			}
+		case "a":
+			{
+				var zb0003 uint64
+				zb0003, err = dc.ReadUint64()
+				if err != nil {
+					err = msgp.WrapError(err, "AckTerm")
+					return
+				}
+				z.AckTerm = Term(zb0003)
+			}
+		case "m":
+			{
+				var zb0004 uint64
+				zb0004, err = dc.ReadUint64()
+				if err != nil {
+					err = msgp.WrapError(err, "Match")
+					return
+				}
+				z.Match = Index(zb0004)
+			}
+		case "c":
+			{
+				var zb0005 uint64
+				zb0005, err = dc.ReadUint64()
+				if err != nil {
+					err = msgp.WrapError(err, "Committed")
+					return
+				}
+				z.Committed = Index(zb0005)
+			}
+		case "l":
+			err = z.Members.DecodeMsg(dc)
+			if err != nil {
+				err = msgp.WrapError(err, "Members")
+				return
+			}
+		case "i":
+			{
+				var zb0006 uint64
+				zb0006, err = dc.ReadUint64()
+				if err != nil {
+					err = msgp.WrapError(err, "MembersIndex")
+					return
+				}
+				z.MembersIndex = Index(zb0006)
+			}
+		case "h":
+			{
+				var zb0007 uint64
+				zb0007, err = dc.ReadUint64()
+				if err != nil {
+					err = msgp.WrapError(err, "Leader")
+					return
+				}
+				z.Leader = ID(zb0007)
+			}
+		default:
+			err = dc.Skip()
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *PeerRecord) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 7
+	// write "t"
+	err = en.Append(0x87, 0xa1, 0x74)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(uint64(z.Term))
+	if err != nil {
+		err = msgp.WrapError(err, "Term")
+		return
+	}
+	// write "a"
+	err = en.Append(0xa1, 0x61)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(uint64(z.AckTerm))
+	if err != nil {
+		err = msgp.WrapError(err, "AckTerm")
+		return
+	}
+	// write "m"
+	err = en.Append(0xa1, 0x6d)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(uint64(z.Match))
+	if err != nil {
+		err = msgp.WrapError(err, "Match")
+		return
+	}
+	// write "c"
+	err = en.Append(0xa1, 0x63)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(uint64(z.Committed))
+	if err != nil {
+		err = msgp.WrapError(err, "Committed")
+		return
+	}
+	// write "l"
+	err = en.Append(0xa1, 0x6c)
+	if err != nil {
+		return
+	}
+	err = z.Members.EncodeMsg(en)
+	if err != nil {
+		err = msgp.WrapError(err, "Members")
+		return
+	}
+	// write "i"
+	err = en.Append(0xa1, 0x69)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(uint64(z.MembersIndex))
+	if err != nil {
+		err = msgp.WrapError(err, "MembersIndex")
+		return
+	}
+	// write "h"
+	err = en.Append(0xa1, 0x68)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(uint64(z.Leader))
+	if err != nil {
+		err = msgp.WrapError(err, "Leader")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *PeerRecord) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 7
+	// string "t"
+	o = append(o, 0x87, 0xa1, 0x74)
+	o = msgp.AppendUint64(o, uint64(z.Term))
+	// string "a"
+	o = append(o, 0xa1, 0x61)
+	o = msgp.AppendUint64(o, uint64(z.AckTerm))
+	// string "m"
+	o = append(o, 0xa1, 0x6d)
+	o = msgp.AppendUint64(o, uint64(z.Match))
+	// string "c"
+	o = append(o, 0xa1, 0x63)
+	o = msgp.AppendUint64(o, uint64(z.Committed))
+	// string "l"
+	o = append(o, 0xa1, 0x6c)
+	o, err = z.Members.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Members")
+		return
+	}
+	// string "i"
+	o = append(o, 0xa1, 0x69)
+	o = msgp.AppendUint64(o, uint64(z.MembersIndex))
+	// string "h"
+	o = append(o, 0xa1, 0x68)
+	o = msgp.AppendUint64(o, uint64(z.Leader))
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *PeerRecord) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "t":
+			{
+				var zb0002 uint64
+				zb0002, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Term")
+					return
+				}
+				z.Term = Term(zb0002)
+			}
+		case "a":
+			{
+				var zb0003 uint64
+				zb0003, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "AckTerm")
+					return
+				}
+				z.AckTerm = Term(zb0003)
+			}
+		case "m":
+			{
+				var zb0004 uint64
+				zb0004, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Match")
+					return
+				}
+				z.Match = Index(zb0004)
+			}
+		case "c":
+			{
+				var zb0005 uint64
+				zb0005, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Committed")
+					return
+				}
+				z.Committed = Index(zb0005)
+			}
+		case "l":
+			bts, err = z.Members.UnmarshalMsg(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Members")
+				return
+			}
+		case "i":
+			{
+				var zb0006 uint64
+				zb0006, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "MembersIndex")
+					return
+				}
+				z.MembersIndex = Index(zb0006)
+			}
+		case "h":
+			{
+				var zb0007 uint64
+				zb0007, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Leader")
+					return
+				}
+				z.Leader = ID(zb0007)
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *PeerRecord) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + z.Members.Msgsize() + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
+	return
+}
+
 // DecodeMsg implements msgp.Decodable
 func (z *Role) DecodeMsg(dc *msgp.Reader) (err error) {
 	{
--- a/internal/replica/disk_test.go
+++ b/internal/replica/disk_test.go
@@ -196,7 +196,7 @@
 	await(t, "the place to be taken", func() bool {
 		for _, x := range members {
 			s := x.Status()
-			if voters(s) != 3 || len(s.Members) != 3 || s.ChangeOpen {
+			if voters(s) != 3 || len(s.Members) != 3 || s.ChangePending {
 				return false
 			}
 			for _, member := range s.Members {
--- a/internal/replica/errors.go
+++ b/internal/replica/errors.go
@@ -60,7 +60,7 @@
 	errOther, ErrBusy, ErrClosed, ErrFailed, ErrNoLeader, ErrLostLeader, ErrOverwrote, ErrNobody, ErrTimeout,
 	raft.ErrNotLeader, raft.ErrNoLeader, raft.ErrBusy, raft.ErrChangeOpen, raft.ErrUnknown,
 	raft.ErrMember, raft.ErrRemoved, raft.ErrTooMany, raft.ErrLastVoter, raft.ErrNameInUse,
-	raft.ErrManyAtOnce, ErrTooLarge,
+	raft.ErrTooManyVoterChanges, ErrTooLarge,
 }
 
 func codeOf(err error) reasonCode {
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -30,7 +30,7 @@
 			r.drain()
 			r.core.Tick(r.now())
 		case id := <-r.met:
-			r.core.Met(r.now(), id)
+			r.core.PeerConnected(r.now(), id)
 		case m := <-r.inbox:
 			r.receive(m)
 		case q := <-r.requests:
@@ -214,7 +214,7 @@
 		r.count.leaderChanges.Add(1)
 		events.Log(r.cfg.Log, events.LeaderChanged, logrus.Fields{"leader": leader.String(), "term": uint64(r.core.Term())})
 	}
-	if leads := r.core.Leads(); leads != r.leading {
+	if leads := r.core.IsLeader(); leads != r.leading {
 		r.leading = leads
 		if !leads {
 			r.failWaiters(func(raft.Index) bool { return true }, unknown(ErrLostLeader))
@@ -236,11 +236,11 @@
 
 // handOver lets a stopping leader pass the lead on.
 func (r *Replica) handOver(tick <-chan time.Time) {
-	if !r.core.Leads() || !r.core.HandOver() {
+	if !r.core.IsLeader() || !r.core.TransferLeadership() {
 		return
 	}
 	deadline := r.now() + handOverPatience*r.cfg.Heartbeat
-	for r.core.Leads() && r.now() < deadline {
+	for r.core.IsLeader() && r.now() < deadline {
 		if r.process() != nil {
 			return
 		}
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -50,14 +50,14 @@
 	return err
 }
 
-func (r *Replica) replace(old raft.ID) (raft.Place, error) {
+func (r *Replica) replace(old raft.ID) (raft.Position, error) {
 	member, ok := r.core.Members().Find(old)
 	if !ok {
-		return raft.Place{}, raft.ErrUnknown
+		return raft.Position{}, raft.ErrUnknown
 	}
 	w, ok := r.waiting[member.Name]
 	if !ok {
-		return raft.Place{}, ErrNobody
+		return raft.Position{}, ErrNobody
 	}
 	w.member.Replaces = old
 	return r.core.AddLearner(w.member)
@@ -86,7 +86,7 @@
 // healthy VM must not push that one out, so an operator decides, or Upkeep once
 // the member has fallen silent.
 func (r *Replica) takeJoin(j join) {
-	if !r.core.Leads() {
+	if !r.core.IsLeader() {
 		if leader := r.core.Leader(); leader != 0 {
 			r.links.send(leader, kindJoin, &j)
 		}
@@ -97,7 +97,7 @@
 		delete(r.waiting, j.Member.Name)
 		return
 	}
-	if old, ok := members.Named(j.Member.Name); ok {
+	if old, ok := members.FindByName(j.Member.Name); ok {
 		if !r.admitFresh(j.Member, old) {
 			r.noteWaiting(j.Member, old)
 		}
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -149,7 +149,7 @@
 	if !q.state.CompareAndSwap(requestWaiting, requestTaken) {
 		return
 	}
-	if r.core.Leads() {
+	if r.core.IsLeader() {
 		r.lead(q)
 		return
 	}
@@ -181,7 +181,7 @@
 	r.waiters[place.Index] = waiter{term: place.Term, request: q}
 }
 
-func (r *Replica) append(q *request) (raft.Place, error) {
+func (r *Replica) append(q *request) (raft.Position, error) {
 	switch q.Op {
 	case opPropose:
 		return r.core.Propose(q.Command)
@@ -192,7 +192,7 @@
 	case opReplace:
 		return r.replace(q.Target)
 	}
-	return raft.Place{}, errOther
+	return raft.Position{}, errOther
 }
 
 // settle answers the request whose place in the log is now committed. Another
--- a/internal/replica/upkeep.go
+++ b/internal/replica/upkeep.go
@@ -117,7 +117,7 @@
 		return
 	}
 	r.upkeepAt = r.now() + upkeepInterval*r.cfg.Heartbeat
-	if !r.core.Leads() {
+	if !r.core.IsLeader() {
 		return
 	}
 	lost, ok := r.cfg.Upkeep.evictable(r.core.Status().Members, r.cfg.Heartbeat)
