--- a/internal/replica/measure_test.go
+++ b/internal/replica/bench_test.go
@@ -15,8 +15,9 @@
 	"bergamotstall/internal/raft"
 )
 
-// Commands that wait while the disk syncs share the next sync. Without that a
-// disk with 5 ms a sync would carry 200 commands a second, however many come.
+// Guards against one sync per command: commands that arrive during a sync must share the
+// next one. Otherwise a disk that takes 5 ms per sync would allow only 200 commands a
+// second.
 func TestOneSyncCoversManyCommands(t *testing.T) {
 	is := is.New(t)
 	m := newMember(t, newNetwork(), "a")
@@ -33,11 +34,11 @@
 			mustPropose(t, m, fmt.Sprint(i))
 		}()
 	}
-	await(t, "callers to queue", func() bool { return len(m.requests) == callers })
+	waitFor(t, "callers to queue", func() bool { return len(m.requests) == callers })
 	before := m.cfg.Metrics.Value("replica_syncs")
 	release()
 	done.Wait()
-	is.True(m.cfg.Metrics.Value("replica_syncs")-before <= 4) // far under one a command
+	is.True(m.cfg.Metrics.Value("replica_syncs")-before <= 4) // far less than one per command
 }
 
 func benchPropose(b *testing.B, members []*member, callers int) {
@@ -70,8 +71,8 @@
 	b.ReportMetric(float64(leader.cfg.Metrics.Value("replica_syncs")-before)/float64(b.N), "syncs/op")
 }
 
-// BenchmarkPropose measures a command from call to answer on the machine's
-// disk, for one caller (a sync each) and for many (group commit).
+// BenchmarkPropose measures a command from call to reply on the machine's disk, for one
+// caller (one sync each) and for many (group commit).
 func BenchmarkPropose(b *testing.B) {
 	for _, callers := range []int{1, 16, 128} {
 		b.Run(fmt.Sprintf("replicas=1/callers=%d", callers), func(b *testing.B) {
@@ -82,19 +83,18 @@
 			benchPropose(b, []*member{m}, callers)
 		})
 		b.Run(fmt.Sprintf("replicas=3/callers=%d", callers), func(b *testing.B) {
-			members := trio(b, nil)
+			members := startThree(b, nil)
 			mustPropose(b, members[0], "before")
 			benchPropose(b, members, callers)
 		})
 	}
 }
 
-// BenchmarkProposeSlowDisk is BenchmarkPropose with 5 ms a sync, as on a network
-// disk.
+// BenchmarkProposeSlowDisk is BenchmarkPropose with 5 ms per sync, as on a network disk.
 func BenchmarkProposeSlowDisk(b *testing.B) {
 	for _, callers := range []int{1, 128} {
 		b.Run(fmt.Sprintf("replicas=3/callers=%d", callers), func(b *testing.B) {
-			members := trio(b, withHooks)
+			members := startThree(b, withHooks)
 			for _, m := range members {
 				m.disk().set(&m.disk().beforeSync, func() error { time.Sleep(5 * time.Millisecond); return nil })
 			}
@@ -104,16 +104,16 @@
 	}
 }
 
-// BenchmarkFailover measures from the leader's sudden end to the next accepted
+// BenchmarkFailover measures the time from the leader's sudden loss to the next accepted
 // command, with the default timeouts. Run it with -benchtime 30x.
 func BenchmarkFailover(b *testing.B) {
-	members := trio(b, func(c *Config) { c.Heartbeat = 0 })
+	members := startThree(b, func(c *Config) { c.Heartbeat = 0 })
 	var took []time.Duration
 	for i := range b.N {
 		old := leaderOf(b, members)
 		mustPropose(b, old, fmt.Sprint("before ", i))
 		rest := others(members, old)
-		old.net.isolate(old, members, true) // no hand-over gets through
+		old.net.isolate(old, members, true) // no leadership transfer gets through
 		began := time.Now()
 		for {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -127,16 +127,16 @@
 		_ = old.Close()
 		old.net.isolate(old, members, false)
 		old.start()
-		sameCommandsAs(b, members, rest[0])
+		waitForSameCommands(b, members, rest[0])
 	}
 	slices.Sort(took)
 	b.ReportMetric(float64(took[len(took)/2].Milliseconds()), "p50-ms")
 	b.ReportMetric(float64(took[len(took)-1].Milliseconds()), "max-ms")
 }
 
-func sameCommandsAs(t testing.TB, members []*member, like *member) {
+func waitForSameCommands(t testing.TB, members []*member, like *member) {
 	t.Helper()
-	await(t, "equal states", func() bool {
+	waitFor(t, "equal states", func() bool {
 		for _, m := range members {
 			if len(m.sm.all()) != len(like.sm.all()) {
 				return false
@@ -146,12 +146,12 @@
 	})
 }
 
-// BenchmarkReturn measures from the start of a replica that was away until it
-// has all commands that passed it by.
+// BenchmarkReturn measures how long a restarted replica takes to catch up with the
+// commands that it missed.
 func BenchmarkReturn(b *testing.B) {
 	for _, missed := range []int{1_000, 100_000} {
 		b.Run(fmt.Sprintf("missed=%d", missed), func(b *testing.B) {
-			members := trio(b, func(c *Config) { c.Heartbeat = 0 })
+			members := startThree(b, func(c *Config) { c.Heartbeat = 0 })
 			mustPropose(b, members[0], "first")
 			leader := leaderOf(b, members)
 			away := others(members, leader)[0]
@@ -161,7 +161,7 @@
 				proposeMany(b, leader, i, missed)
 				b.StartTimer()
 				away.start()
-				sameCommandsAs(b, []*member{away}, leader)
+				waitForSameCommands(b, []*member{away}, leader)
 			}
 			b.ReportMetric(float64(away.cfg.Metrics.Value("replica_snapshots_installed")), "snapshots")
 		})
@@ -183,14 +183,14 @@
 	done.Wait()
 }
 
-// BenchmarkRest measures what three replicas send while nothing happens, with
-// the default heartbeat; one operation is one second.
+// BenchmarkRest measures what three idle replicas send, with the default heartbeat. One
+// operation is one second.
 func BenchmarkRest(b *testing.B) {
-	members := trio(b, func(c *Config) { c.Heartbeat = 0 })
+	members := startThree(b, func(c *Config) { c.Heartbeat = 0 })
 	leader := leaderOf(b, members)
 	follower := others(members, leader)[0]
 	bytes := func(m *member) int64 { return m.cfg.Metrics.Value("replica_bytes_sent") }
-	time.Sleep(2 * time.Second) // the last connections for the joining end
+	time.Sleep(2 * time.Second) // lets the connections used for joining close
 	fromLeader, fromFollower := bytes(leader), bytes(follower)
 	b.ResetTimer()
 	for range b.N {
@@ -200,8 +200,8 @@
 	b.ReportMetric(float64(bytes(follower)-fromFollower)/b.Elapsed().Seconds(), "follower-B/s")
 }
 
-// BenchmarkReplay measures the opening of a folder with 100,000 commands of
-// 100 bytes in its segments.
+// BenchmarkReplay measures opening a folder with 100,000 commands of 100 bytes each in
+// its segments.
 func BenchmarkReplay(b *testing.B) {
 	const entries, batch = 100_000, 100
 	o := journal.Options{FS: journal.Disk{}, Folder: b.TempDir(), NewID: newID}
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -18,28 +18,28 @@
 	"bergamotstall/internal/raft"
 )
 
-// patience bounds waits for what must happen; no verdict depends on its length.
-const patience = 60 * time.Second
+// waitTimeout bounds all waits. No result depends on its length.
+const waitTimeout = 60 * time.Second
 
-// register is a state machine that keeps all commands in order. A command that
-// comes again gets its first outcome.
-type register struct {
+// recordingMachine is a state machine that records all commands in order. A repeated
+// command gets its first outcome.
+type recordingMachine struct {
 	mu       sync.Mutex
 	Commands []string
 	Outcomes map[string]uint64
-	// before and after are a test's say around Apply.
+	// before and after are hooks that run around Apply.
 	before, after func() error
 }
 
-func (g *register) hook(which *func() error, f func() error) {
+func (g *recordingMachine) hook(which *func() error, f func() error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	*which = f
 }
 
-func newRegister() *register { return &register{Outcomes: map[string]uint64{}} }
+func newRecordingMachine() *recordingMachine { return &recordingMachine{Outcomes: map[string]uint64{}} }
 
-func (g *register) Apply(_ uint64, command []byte) []byte {
+func (g *recordingMachine) Apply(_ uint64, command []byte) []byte {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.before != nil {
@@ -50,30 +50,30 @@
 			_ = g.after()
 		}
 	}()
-	place, ok := g.Outcomes[string(command)]
+	position, ok := g.Outcomes[string(command)]
 	if !ok {
 		g.Commands = append(g.Commands, string(command))
-		place = uint64(len(g.Commands))
-		g.Outcomes[string(command)] = place
+		position = uint64(len(g.Commands))
+		g.Outcomes[string(command)] = position
 	}
-	out, _ := json.Marshal(place)
+	out, _ := json.Marshal(position)
 	return out
 }
 
-func (g *register) Snapshot() ([]byte, error) {
+func (g *recordingMachine) Snapshot() ([]byte, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return json.Marshal(g)
 }
 
-func (g *register) Restore(snapshot []byte) error {
+func (g *recordingMachine) Restore(snapshot []byte) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.Commands, g.Outcomes = nil, map[string]uint64{}
 	return json.Unmarshal(snapshot, g)
 }
 
-func (g *register) all() []string {
+func (g *recordingMachine) all() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]string(nil), g.Commands...)
@@ -87,11 +87,11 @@
 	folder  string
 	address string
 	cfg     Config
-	sm      *register
+	sm      *recordingMachine
 	*Replica
 }
 
-func quiet() logrus.FieldLogger {
+func discardLog() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
@@ -102,17 +102,17 @@
 	m := &member{t: t, net: network, name: name, folder: filepath.Join(t.TempDir(), name)}
 	m.cfg = Config{
 		Folder: m.folder, Name: name, Peers: peers, Listen: "127.0.0.1:0",
-		Heartbeat: 20 * time.Millisecond, Log: quiet(), FS: journal.Disk{},
+		Heartbeat: 20 * time.Millisecond, Log: discardLog(), FS: journal.Disk{},
 	}
 	m.cfg.Dial = func(ctx context.Context, address string) (net.Conn, error) {
-		return network.dial(ctx, way{name, address})
+		return network.dial(ctx, direction{name, address})
 	}
 	return m
 }
 
 func (m *member) start() {
 	m.t.Helper()
-	m.sm = newRegister()
+	m.sm = newRecordingMachine()
 	m.cfg.Metrics = metrics.New()
 	r, err := Open(m.cfg, m.sm)
 	if err != nil {
@@ -124,9 +124,9 @@
 	m.t.Cleanup(func() { _ = r.Close() })
 }
 
-// trio starts three replicas, the first by bootstrap, and waits for three
+// startThree starts three replicas, the first by bootstrap, and waits until all are
 // voters.
-func trio(t testing.TB, change func(*Config)) []*member {
+func startThree(t testing.TB, change func(*Config)) []*member {
 	t.Helper()
 	network := newNetwork()
 	first := newMember(t, network, "a")
@@ -153,7 +153,7 @@
 
 func waitVoters(t testing.TB, members []*member, want int) {
 	t.Helper()
-	await(t, "voters", func() bool {
+	waitFor(t, "the number of voters", func() bool {
 		for _, m := range members {
 			if voters(m.Status()) != want || m.Status().Leader == 0 {
 				return false
@@ -173,12 +173,12 @@
 	return n
 }
 
-func await(t testing.TB, what string, ok func() bool) {
+func waitFor(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -187,7 +187,7 @@
 func leaderOf(t testing.TB, members []*member) *member {
 	t.Helper()
 	var found *member
-	await(t, "a leader", func() bool {
+	waitFor(t, "a leader", func() bool {
 		for _, m := range members {
 			if m.Status().State == raft.Leader && m.Err() == nil {
 				found = m
@@ -199,7 +199,7 @@
 	return found
 }
 
-func within(t testing.TB, d time.Duration) context.Context {
+func withTimeout(t testing.TB, d time.Duration) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	t.Cleanup(cancel)
@@ -210,23 +210,23 @@
 func mustPropose(t testing.TB, m *member, command string) string {
 	t.Helper()
 	for {
-		out, err := m.Propose(within(t, patience), []byte(command))
+		out, err := m.Propose(withTimeout(t, waitTimeout), []byte(command))
 		if err == nil {
 			return string(out)
 		}
 		t.Logf("propose %q at %s: %v", command, m.name, err)
-		time.Sleep(retryPause)
+		time.Sleep(retryDelay)
 		if m.Err() != nil {
 			t.Fatalf("%s: %v", m.name, m.Err())
 		}
 	}
 }
 
-func sameCommands(t testing.TB, members []*member, want []string) {
+func requireCommands(t testing.TB, members []*member, want []string) {
 	t.Helper()
 	is := is.New(t)
 	for _, m := range members {
-		is.NoErr(m.Barrier(within(t, patience)))
+		is.NoErr(m.Barrier(withTimeout(t, waitTimeout)))
 		is.Equal(m.sm.all(), want)
 	}
 }
@@ -235,7 +235,7 @@
 	m.t.Helper()
 	select {
 	case <-m.Done():
-	case <-time.After(patience):
-		m.t.Fatalf("%s goes on", m.name)
+	case <-time.After(waitTimeout):
+		m.t.Fatalf("%s didn't stop", m.name)
 	}
 }
--- a/internal/replica/disk_test.go
+++ b/internal/replica/disk_test.go
@@ -15,12 +15,12 @@
 	"bergamotstall/internal/raft"
 )
 
-// hookDisk is the machine's disk, with a say for the test before each write and
-// before and after each sync.
+// hookDisk is a disk that calls a test's hooks before each write, and before and after
+// each sync.
 type hookDisk struct {
 	journal.Disk
-	mu                            sync.Mutex
-	onWrite, beforeSync, postSync func() error
+	mu                             sync.Mutex
+	onWrite, beforeSync, afterSync func() error
 }
 
 type hookFile struct {
@@ -63,16 +63,16 @@
 	if err := f.File.Sync(); err != nil {
 		return err
 	}
-	return f.disk.call(&f.disk.postSync)
+	return f.disk.call(&f.disk.afterSync)
 }
 
-// withHooks gives every replica of a test a hookDisk of its own.
+// withHooks gives each replica of a test its own hookDisk.
 func withHooks(c *Config) { c.FS = &hookDisk{} }
 
 func (m *member) disk() *hookDisk { return m.cfg.FS.(*hookDisk) }
 
-// hangDisk returns once the replica's loop hangs in a sync, with one command
-// taken, and gives back what lets it go on.
+// hangDisk returns once the replica's loop hangs in a sync with one command taken.
+// Calling release ends the hang.
 func (m *member) hangDisk() (release func()) {
 	hanging, again := make(chan struct{}), make(chan struct{})
 	var once sync.Once
@@ -86,86 +86,87 @@
 	return func() { close(again) }
 }
 
-func full() error { return syscall.ENOSPC }
+func diskFull() error { return syscall.ENOSPC }
 
-// The leader's disk is full. The operator's command may end as unknown, but it
-// is never answered on the full disk's word; another replica takes the lead and
-// runs the resent command once. With room again the replica comes back.
+// Guards against acknowledging a command that a full disk didn't store. The leader's disk
+// fills up, so the command ends as unknown and the leader stops. Another replica takes
+// over and runs the resent command once; the old leader rejoins when there is space
+// again.
 func TestDiskFullAtTheLeader(t *testing.T) {
 	is := is.New(t)
-	members := trio(t, withHooks)
+	members := startThree(t, withHooks)
 	mustPropose(t, members[0], "before")
 	old := leaderOf(t, members)
-	old.disk().set(&old.disk().onWrite, full)
-	_, err := old.Propose(within(t, patience), []byte("command"))
+	old.disk().set(&old.disk().onWrite, diskFull)
+	_, err := old.Propose(withTimeout(t, waitTimeout), []byte("command"))
 	is.True(errors.Is(err, ErrOutcomeUnknown))
 	old.waitDone()
 	is.True(errors.Is(old.Err(), journal.ErrPoisoned) && errors.Is(old.Err(), syscall.ENOSPC))
-	_, err = old.Propose(within(t, patience), []byte("x"))
+	_, err = old.Propose(withTimeout(t, waitTimeout), []byte("x"))
 	is.True(errors.Is(err, ErrNotRun) && errors.Is(err, ErrFailed))
-	is.True(errors.Is(old.Barrier(within(t, patience)), ErrNotRun))
+	is.True(errors.Is(old.Barrier(withTimeout(t, waitTimeout)), ErrNotRun))
 
 	rest := others(members, old)
 	is.Equal(mustPropose(t, rest[0], "command"), "2")
 	old.disk().set(&old.disk().onWrite, nil)
 	old.start()
 	mustPropose(t, old, "after")
-	sameCommands(t, members, []string{"before", "command", "after"})
+	requireCommands(t, members, []string{"before", "command", "after"})
 }
 
-// One follower's disk takes long for each sync. Commands go on with the other
-// two; the slow one is seen in its counter and catches up.
-func TestSlowDiskOfOneFollowerHoldsNobodyUp(t *testing.T) {
+// Guards against one slow disk delaying all commands. One follower's sync hangs; the
+// other two replicas commit, the slow one shows in its counter and catches up.
+func TestSlowFollowerDiskDoesNotDelayCommands(t *testing.T) {
 	is := is.New(t)
-	members := trio(t, withHooks)
+	members := startThree(t, withHooks)
 	leader := leaderOf(t, members)
 	slow := others(members, leader)[0]
 	release := make(chan struct{})
 	slow.disk().set(&slow.disk().beforeSync, func() error { <-release; return nil })
 	for _, command := range []string{"one", "two", "three"} {
-		mustPropose(t, leader, command) // the slow disk hasn't synced one of them
+		mustPropose(t, leader, command) // the slow disk has synced none of them
 	}
 	is.Equal(len(slow.sm.all()), 0)
-	await(t, "the slow one's word to age", func() bool { return slow.ContactAge() > 5*slow.cfg.Heartbeat })
+	waitFor(t, "the slow replica's contact age to rise", func() bool { return slow.ContactAge() > 5*slow.cfg.Heartbeat })
 	close(release)
-	sameCommands(t, members, []string{"one", "two", "three"})
+	requireCommands(t, members, []string{"one", "two", "three"})
 	is.True(slow.cfg.Metrics.Value("replica_syncs_slow") > 0)
 }
 
-// A disk that hangs at the leader ends its lead, and callers learn that their
-// outcome is unknown rather than nothing.
+// Guards against callers that never get a reply when the leader's disk hangs: they get an
+// unknown outcome, and another replica takes over.
 func TestHangingDiskAtTheLeader(t *testing.T) {
 	is := is.New(t)
-	members := trio(t, withHooks)
+	members := startThree(t, withHooks)
 	old := leaderOf(t, members)
 	release := make(chan struct{})
 	old.disk().set(&old.disk().beforeSync, func() error { <-release; return nil })
-	_, err := old.Propose(within(t, 300*time.Millisecond), []byte("command"))
+	_, err := old.Propose(withTimeout(t, 300*time.Millisecond), []byte("command"))
 	is.True(errors.Is(err, ErrOutcomeUnknown))
 	rest := others(members, old)
 	mustPropose(t, rest[0], "command")
 	mustPropose(t, rest[1], "after")
 	close(release)
-	sameCommands(t, members, []string{"command", "after"})
+	requireCommands(t, members, []string{"command", "after"})
 }
 
-// A VM's disk is restored from a copy made earlier. The others remember what it
-// acknowledged since; it must take no further part, and an operator replaces
-// it by the same VM with an empty folder.
-func TestOldCopyOfDisk(t *testing.T) {
+// Guards against a VM whose disk was restored from an old copy. Its peers remember what
+// it acknowledged since, so it must stop. The operator replaces it by the same VM with an
+// empty folder.
+func TestOldDiskCopyIsRefused(t *testing.T) {
 	is := is.New(t)
-	members := trio(t, nil)
+	members := startThree(t, nil)
 	mustPropose(t, members[0], "before")
 	leader := leaderOf(t, members)
 	back := others(members, leader)[0]
-	sameCommands(t, members, []string{"before"})
+	requireCommands(t, members, []string{"before"})
 	is.NoErr(back.Close())
 	saved := back.folder + ".saved"
 	is.NoErr(os.CopyFS(saved, os.DirFS(back.folder)))
 	back.start()
-	sameCommands(t, members, []string{"before"})
+	requireCommands(t, members, []string{"before"})
 	mustPropose(t, back, "since")
-	sameCommands(t, members, []string{"before", "since"})
+	requireCommands(t, members, []string{"before", "since"})
 	is.NoErr(back.Close())
 	is.NoErr(os.RemoveAll(back.folder))
 	is.NoErr(os.Rename(saved, back.folder))
@@ -174,10 +175,11 @@
 	is.True(errors.Is(back.Err(), raft.ErrRegressed))
 
 	replaceWithEmptyFolder(t, members, back)
-	sameCommands(t, members, []string{"before", "since"})
+	requireCommands(t, members, []string{"before", "since"})
 }
 
-// replaceWithEmptyFolder does what the operator does about a lost disk.
+// replaceWithEmptyFolder restarts a VM with an empty folder and replaces the old member,
+// as an operator does after a lost disk.
 func replaceWithEmptyFolder(t *testing.T, members []*member, m *member) {
 	t.Helper()
 	is := is.New(t)
@@ -187,13 +189,13 @@
 	m.start()
 	is.True(m.ID() != lost)
 	rest := others(members, m)
-	await(t, "the newcomer to be known", func() bool { return len(leaderOf(t, rest).Status().Waiting) == 1 })
-	is.Equal(voters(rest[0].Status()), 3) // until an operator decides, it is nobody
+	waitFor(t, "the replacement to be known", func() bool { return len(leaderOf(t, rest).Status().Waiting) == 1 })
+	is.Equal(voters(rest[0].Status()), 3) // it isn't a member until an operator decides
 	is.Equal(len(m.Status().Members), 0)
-	for rest[0].ReplaceMember(within(t, patience), lost) != nil {
-		time.Sleep(retryPause) // the leader may just have changed
+	for rest[0].ReplaceMember(withTimeout(t, waitTimeout), lost) != nil {
+		time.Sleep(retryDelay) // the leader may have changed
 	}
-	await(t, "the place to be taken", func() bool {
+	waitFor(t, "the replacement to become a voter", func() bool {
 		for _, x := range members {
 			s := x.Status()
 			if voters(s) != 3 || len(s.Members) != 3 || s.ChangePending {
@@ -209,11 +211,12 @@
 	})
 }
 
-// A VM's disk is lost and replaced; right after, a second VM dies for good. The
-// two left must have all that an operator was told, and go on.
+// Guards against losing commands when a second VM fails for good right after the first
+// VM's disk was replaced. The two VMs left must have everything that was acknowledged,
+// and continue.
 func TestSecondVMLostRightAfterTheFirstWasReplaced(t *testing.T) {
 	is := is.New(t)
-	members := trio(t, nil)
+	members := startThree(t, nil)
 	want := []string{"one", "two", "three"}
 	for _, command := range want {
 		mustPropose(t, members[0], command)
@@ -226,18 +229,17 @@
 	is.NoErr(second[0].Close())
 	left := others(members, second[0])
 	mustPropose(t, left[0], "after")
-	sameCommands(t, left, append(want, "after"))
+	requireCommands(t, left, append(want, "after"))
 }
 
-// A VM whose settings still say bootstrap loses its disk. It must not make a
-// second cluster beside the first.
+// Guards against a second cluster: a VM that still has Bootstrap set loses its disk.
 func TestBootstrapOnALostDiskMakesNoSecondCluster(t *testing.T) {
 	is := is.New(t)
-	members := trio(t, nil)
+	members := startThree(t, nil)
 	mustPropose(t, members[0], "before")
 	cluster := members[0].Status().Cluster
 	is.True(members[0].cfg.Bootstrap)
 	replaceWithEmptyFolder(t, members, members[0])
 	is.Equal(members[0].Status().Cluster, cluster)
-	sameCommands(t, members, []string{"before"})
+	requireCommands(t, members, []string{"before"})
 }
--- a/internal/replica/errors.go
+++ b/internal/replica/errors.go
@@ -6,31 +6,31 @@
 	"bergamotstall/internal/raft"
 )
 
-// Verdicts on a request that has no outcome.
+// Every RequestError matches one of these.
 var (
 	// ErrNotRun means that the command is in no log and will never run.
-	ErrNotRun = errors.New("replica: not run")
-	// ErrOutcomeUnknown means that the command may run, now or later. Whoever
-	// needs to know sends it again with the same command identity.
+	ErrNotRun = errors.New("replica: request not run")
+	// ErrOutcomeUnknown means that the command may have run or may still run. A caller
+	// that needs to know resends it with the same command ID.
 	ErrOutcomeUnknown = errors.New("replica: outcome unknown")
 )
 
-// Reasons, beside those of package raft.
+// Reasons of a RequestError, in addition to those of package raft.
 var (
-	ErrBusy       = errors.New("replica: too many requests wait")
-	ErrClosed     = errors.New("replica: closed")
-	ErrFailed     = errors.New("replica: takes no further part")
-	ErrNoLeader   = errors.New("replica: no leader within reach")
-	ErrLostLeader = errors.New("replica: the leader was lost before it answered")
-	ErrOverwrote  = errors.New("replica: another leader's entry took the place")
-	ErrNobody     = errors.New("replica: no new replica waits under that name")
-	ErrTimeout    = errors.New("replica: no answer in time")
-	ErrTooLarge   = errors.New("replica: command over the limit")
-	errOther      = errors.New("replica: refused by the leader")
+	ErrBusy        = errors.New("replica: too many pending requests")
+	ErrClosed      = errors.New("replica: closed")
+	ErrFailed      = errors.New("replica: stopped after a failure")
+	ErrNoLeader    = errors.New("replica: no leader reachable")
+	ErrLostLeader  = errors.New("replica: leader lost before it replied")
+	ErrOverwritten = errors.New("replica: entry overwritten by another leader")
+	ErrNobody      = errors.New("replica: no replacement with that name is waiting")
+	ErrTimeout     = errors.New("replica: timed out")
+	ErrTooLarge    = errors.New("replica: command exceeds the size limit")
+	errOther       = errors.New("replica: refused by the leader")
 )
 
-// RequestError is a request without an outcome. It matches ErrNotRun or
-// ErrOutcomeUnknown, and its reason.
+// RequestError is the error of a request without an outcome. It matches its reason, and
+// either ErrNotRun or ErrOutcomeUnknown.
 type RequestError struct {
 	verdict verdict
 	Reason  error
@@ -45,7 +45,7 @@
 	return ErrOutcomeUnknown
 }
 
-// Is matches the verdict.
+// Is reports whether target is ErrNotRun or ErrOutcomeUnknown, whichever applies.
 func (e *RequestError) Is(target error) bool { return target == e.kind() }
 
 // Unwrap returns the reason.
@@ -53,17 +53,20 @@
 
 func notRun(reason error) error { return &RequestError{verdict: verdictNotRun, Reason: reason} }
 
-func unknown(reason error) error { return &RequestError{verdict: verdictUnknown, Reason: reason} }
+func outcomeUnknown(reason error) error {
+	return &RequestError{verdict: verdictUnknown, Reason: reason}
+}
 
-// reasons are in the order of their codes; append only.
+// reasons maps reason codes, which are sent between replicas, to errors. Only append to
+// it.
 var reasons = []error{
-	errOther, ErrBusy, ErrClosed, ErrFailed, ErrNoLeader, ErrLostLeader, ErrOverwrote, ErrNobody, ErrTimeout,
+	errOther, ErrBusy, ErrClosed, ErrFailed, ErrNoLeader, ErrLostLeader, ErrOverwritten, ErrNobody, ErrTimeout,
 	raft.ErrNotLeader, raft.ErrNoLeader, raft.ErrBusy, raft.ErrChangeOpen, raft.ErrUnknown,
 	raft.ErrMember, raft.ErrRemoved, raft.ErrTooMany, raft.ErrLastVoter, raft.ErrNameInUse,
 	raft.ErrTooManyVoterChanges, ErrTooLarge,
 }
 
-func codeOf(err error) reasonCode {
+func reasonCodeOf(err error) reasonCode {
 	for i, reason := range reasons {
 		if errors.Is(err, reason) {
 			return reasonCode(i)
@@ -72,7 +75,7 @@
 	return 0
 }
 
-func reasonOf(code reasonCode) error {
+func reasonForCode(code reasonCode) error {
 	if int(code) < len(reasons) {
 		return reasons[code]
 	}
--- a/internal/replica/greet.go
+++ b/internal/replica/handshake.go
@@ -9,8 +9,8 @@
 	"bergamotstall/internal/framing"
 )
 
-func (r *Replica) ownGreeting() *greeting {
-	return &greeting{
+func (r *Replica) localHandshake() *handshake {
+	return &handshake{
 		Version: protocolVersion,
 		Cluster: r.cluster.Load(),
 		Replica: r.id,
@@ -19,40 +19,40 @@
 	}
 }
 
-// greet opens a connection as its dialler and returns the other's greeting.
-func (r *Replica) greet(conn *framing.Conn) (greeting, error) {
+// startHandshake performs the dialler's side of the handshake and returns the peer's.
+func (r *Replica) startHandshake(conn *framing.Conn) (handshake, error) {
 	if err := conn.Raw().SetReadDeadline(time.Now().Add(dialTimeout)); err != nil {
-		return greeting{}, errors.Wrap(err, "replica: read deadline")
+		return handshake{}, errors.Wrap(err, "replica: read deadline")
 	}
-	if _, err := conn.Write(kindGreeting, r.ownGreeting()); err != nil {
-		return greeting{}, err
+	if _, err := conn.Write(kindHandshake, r.localHandshake()); err != nil {
+		return handshake{}, err
 	}
-	return r.readGreeting(conn)
+	return r.readHandshake(conn)
 }
 
-func (r *Replica) answerGreeting(conn *framing.Conn) (greeting, error) {
-	peer, err := r.readGreeting(conn)
+func (r *Replica) answerHandshake(conn *framing.Conn) (handshake, error) {
+	peer, err := r.readHandshake(conn)
 	if err != nil {
 		return peer, err
 	}
-	_, err = conn.Write(kindGreeting, r.ownGreeting())
+	_, err = conn.Write(kindHandshake, r.localHandshake())
 	return peer, err
 }
 
-// readGreeting refuses a peer of another cluster: after a disk was restored
-// from another cluster's, or an address reused, its messages would be taken for
-// this cluster's.
-func (r *Replica) readGreeting(conn *framing.Conn) (greeting, error) {
-	var peer greeting
+// readHandshake refuses a peer of another cluster. After a disk was restored from another
+// cluster's, or an address was reused, such a peer's messages could be taken for this
+// cluster's.
+func (r *Replica) readHandshake(conn *framing.Conn) (handshake, error) {
+	var peer handshake
 	f, err := conn.Read()
 	if err != nil {
 		return peer, err
 	}
-	if f.Kind != kindGreeting {
-		return peer, errors.Wrapf(errGreeting, "frame kind %d", f.Kind)
+	if f.Kind != kindHandshake {
+		return peer, errors.Wrapf(errHandshake, "frame kind %d", f.Kind)
 	}
 	if err := f.Decode(&peer); err != nil {
-		return peer, errors.Wrap(errGreeting, err.Error())
+		return peer, errors.Wrap(errHandshake, err.Error())
 	}
 	mine := r.cluster.Load()
 	switch {
@@ -64,12 +64,12 @@
 	return peer, nil
 }
 
-// findCluster asks the peers whether one has a cluster already.
+// findCluster looks for a peer that already belongs to a cluster and returns its address.
 func (r *Replica) findCluster() (address string, found bool) {
 	answers := make(chan string, len(r.cfg.Peers))
 	for _, peer := range r.cfg.Peers {
 		go func() {
-			if r.hasCluster(peer) {
+			if r.peerHasCluster(peer) {
 				answers <- peer
 			} else {
 				answers <- ""
@@ -84,7 +84,7 @@
 	return "", false
 }
 
-func (r *Replica) hasCluster(address string) bool {
+func (r *Replica) peerHasCluster(address string) bool {
 	if address == r.cfg.Advertise {
 		return false
 	}
@@ -93,6 +93,6 @@
 		return false
 	}
 	defer raw.Close()
-	answer, err := r.greet(framing.NewConn(raw, frameLimit, writeTimeout))
+	answer, err := r.startHandshake(framing.NewConn(raw, maxFrameBytes, writeTimeout))
 	return err == nil && answer.Cluster != 0
 }
--- a/internal/replica/kill_test.go
+++ b/internal/replica/kill_test.go
@@ -10,7 +10,7 @@
 
 var errKilled = errors.New("killed")
 
-// killPoint is one step of a command at its leader.
+// killPoint is a step of handling a command at which the leader is killed.
 type killPoint struct {
 	name string
 	arm  func(m *member, kill func() error)
@@ -19,31 +19,30 @@
 var killPoints = []killPoint{
 	{"before it is written", func(m *member, kill func() error) { m.disk().set(&m.disk().onWrite, kill) }},
 	{"written, not synced", func(m *member, kill func() error) { m.disk().set(&m.disk().beforeSync, kill) }},
-	{"synced, not counted", func(m *member, kill func() error) { m.disk().set(&m.disk().postSync, kill) }},
+	{"synced, not counted", func(m *member, kill func() error) { m.disk().set(&m.disk().afterSync, kill) }},
 	{"committed, not applied", func(m *member, kill func() error) { m.sm.hook(&m.sm.before, kill) }},
 	{"applied, not answered", func(m *member, kill func() error) { m.sm.hook(&m.sm.after, kill) }},
 }
 
-// The leader dies at each step of an operator's command: it vanishes from the
-// network and its process ends. The operator gets no answer and resends the
-// command, under the same identity, to another replica. It must run once, and
-// the old leader must agree when it is back.
+// Guards against lost or repeated commands when the leader dies at any step of handling
+// one. The operator gets no reply and resends the command, under the same ID, to another
+// replica. It must run once, and the old leader must agree when it is back.
 func TestLeaderKilledAtEachStepOfACommand(t *testing.T) {
 	for _, point := range killPoints {
 		t.Run(point.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			members := trio(t, withHooks)
+			members := startThree(t, withHooks)
 			mustPropose(t, members[0], "before")
-			sameCommands(t, members, []string{"before"})
+			requireCommands(t, members, []string{"before"})
 			old := leaderOf(t, members)
 			point.arm(old, func() error {
 				old.net.isolate(old, members, true)
 				go old.Close()
 				return errKilled
 			})
-			_, err := old.Propose(within(t, patience), []byte("command"))
-			is.True(err == nil || errors.Is(err, ErrOutcomeUnknown)) // never "not run": it may be
+			_, err := old.Propose(withTimeout(t, waitTimeout), []byte("command"))
+			is.True(err == nil || errors.Is(err, ErrOutcomeUnknown)) // never "not run", since it may have run
 			old.waitDone()
 
 			rest := others(members, old)
@@ -51,19 +50,19 @@
 			old.cfg.FS = &hookDisk{}
 			old.net.isolate(old, members, false)
 			old.start()
-			is.Equal(mustPropose(t, old, "command"), "2") // the first outcome, also now
+			is.Equal(mustPropose(t, old, "command"), "2") // still the first outcome
 			mustPropose(t, old, "after")
-			sameCommands(t, members, []string{"before", "command", "after"})
+			requireCommands(t, members, []string{"before", "command", "after"})
 		})
 	}
 }
 
-// A replica was away while the log was cut behind snapshots. It gets the
-// snapshot, and with it the outcomes of old commands: a resent one isn't run
-// again.
+// Guards against running a resent command again on a replica that was down while the log
+// was truncated. It is sent the snapshot, which includes the outcomes of earlier
+// commands.
 func TestReplicaFarBehindGetsTheSnapshot(t *testing.T) {
 	is := is.New(t)
-	members := trio(t, func(c *Config) { c.SnapshotEvery, c.KeepEntries = 20, 5 })
+	members := startThree(t, func(c *Config) { c.SnapshotEvery, c.KeepEntries = 20, 5 })
 	mustPropose(t, members[0], "command 0")
 	away := others(members, leaderOf(t, members))[0]
 	is.NoErr(away.Close())
@@ -74,14 +73,15 @@
 		mustPropose(t, rest[i%2], want[i+1])
 	}
 	away.start()
-	sameCommands(t, members, want)
+	requireCommands(t, members, want)
 	is.True(away.cfg.Metrics.Value("replica_snapshots_installed") > 0)
 	is.Equal(mustPropose(t, away, "command 3"), "4")
-	sameCommands(t, members, want)
+	requireCommands(t, members, want)
 }
 
-// More callers than the queue holds while the disk hangs: those over the bound
-// are refused at once as not run, and counted; the others are answered.
+// Guards against unbounded queues: with a hanging disk and more callers than the queue
+// holds, those over the limit are refused at once as not run, and counted. The others are
+// answered.
 func TestFullQueueRefuses(t *testing.T) {
 	is := is.New(t)
 	m := newMember(t, newNetwork(), "a")
@@ -93,7 +93,7 @@
 	errs := make(chan error, callers)
 	for i := range callers {
 		go func() {
-			_, err := m.Propose(within(t, patience), []byte(fmt.Sprint(i)))
+			_, err := m.Propose(withTimeout(t, waitTimeout), []byte(fmt.Sprint(i)))
 			errs <- err
 		}()
 	}
@@ -106,5 +106,5 @@
 	for range m.cfg.QueueLimit {
 		is.NoErr(<-errs)
 	}
-	is.Equal(len(m.sm.all()), 2+m.cfg.QueueLimit) // who was refused did not run
+	is.Equal(len(m.sm.all()), 2+m.cfg.QueueLimit) // refused commands did not run
 }
--- a/internal/replica/link.go
+++ b/internal/replica/link.go
@@ -19,47 +19,47 @@
 )
 
 const (
-	// linkQueue bounds the frames that wait for one peer. Frames over it are
-	// dropped: the core sends again what it still needs.
-	linkQueue = 512
-	// connectTimeout is short because a VM without power doesn't answer at all:
-	// with a second, replicas that came back 0.3 s before the others heard of
-	// them a second later, and nobody led meanwhile. Control VMs of one region
-	// are a few milliseconds apart, regions a hundred.
+	// linkQueueFrames bounds the frames queued for one peer. Frames over the limit are
+	// dropped; the core resends what it still needs.
+	linkQueueFrames = 512
+	// connectTimeout is short because a VM without power doesn't answer at all. With 1 s,
+	// replicas that come back 0.3 s before the others would reach them a second later,
+	// with no leader meanwhile. Round trips are a few milliseconds between control VMs of
+	// one region, and a hundred between regions.
 	connectTimeout = 300 * time.Millisecond
-	// dialTimeout bounds TLS and the greeting besides.
+	// dialTimeout bounds the dial including TLS, and separately the handshake.
 	dialTimeout = time.Second
-	// writeTimeout and pongTimeout bound how long a half-open connection, over
-	// which nothing comes back, can pass for a working one.
+	// writeTimeout and pongTimeout bound how long a half-open connection, over which
+	// nothing comes back, goes unnoticed.
 	writeTimeout = 2 * time.Second
 	pingInterval = 500 * time.Millisecond
 	pongTimeout  = 2 * time.Second
-	// idleTimeout ends a connection that nothing was sent over.
-	idleTimeout = 30 * time.Second
-	backoffMin  = 50 * time.Millisecond
-	backoffMax  = 2 * time.Second
-	frameLimit  = 32 << 20
+	// idleTimeout closes a connection over which nothing but pings was sent.
+	idleTimeout   = 30 * time.Second
+	backoffMin    = 50 * time.Millisecond
+	backoffMax    = 2 * time.Second
+	maxFrameBytes = 32 << 20
 )
 
-// outFrame is one frame to a peer.
+// outFrame is a frame queued for a peer.
 type outFrame struct {
 	kind framing.Kind
 	body msgp.Marshaler
 }
 
-// link is the outgoing connection to one address.
+// link maintains the outgoing connection to one address.
 type link struct {
 	links   *links
 	address string
 	queue   chan outFrame
 	up      bool // guarded by links.mu
-	// replica is who must answer there; 0 for anyone.
+	// replica is the replica expected at the address; 0 for any.
 	replica raft.ID
-	// wake ends a pause.
+	// wake interrupts a backoff or a dial.
 	wake chan struct{}
 }
 
-// links are a replica's outgoing connections.
+// links holds a replica's outgoing connections.
 type links struct {
 	r      *Replica
 	ctx    context.Context
@@ -67,32 +67,32 @@
 	done   sync.WaitGroup
 
 	mu sync.Mutex
-	// byReplica and byAddress hold links to members and to peers whose identity
-	// isn't known.
+	// byReplica holds links to replicas with a known ID, byAddress those to peers without
+	// one.
 	byReplica map[raft.ID]*link
 	byAddress map[string]*link
-	// book holds where replicas said that they take connections.
-	book map[raft.ID]string
+	// advertised holds the addresses that replicas said they accept connections on.
+	advertised map[raft.ID]string
 }
 
 func newLinks(r *Replica) *links {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &links{
 		r: r, ctx: ctx, cancel: cancel,
-		byReplica: map[raft.ID]*link{},
-		byAddress: map[string]*link{},
-		book:      map[raft.ID]string{},
+		byReplica:  map[raft.ID]*link{},
+		byAddress:  map[string]*link{},
+		advertised: map[raft.ID]string{},
 	}
 }
 
-// note records where a replica takes connections. One that connects is there:
-// the link to it doesn't wait for its pause to end, or a replica that was away
-// for long would hear nothing for up to backoffMax after its start.
-func (l *links) note(id raft.ID, address string) {
+// recordAddress records where a replica accepts connections. The replica has just
+// connected, so a link to it that is down retries at once; otherwise a replica that was
+// away for long would hear nothing for up to backoffMax after its start.
+func (l *links) recordAddress(id raft.ID, address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if address != "" {
-		l.book[id] = address
+		l.advertised[id] = address
 	}
 	if k := l.byReplica[id]; k != nil && !k.up {
 		select {
@@ -102,14 +102,14 @@
 	}
 }
 
-func (l *links) sendQuorum(m *raft.Message) { l.send(m.To, kindQuorum, m) }
+func (l *links) sendRaft(m *raft.Message) { l.send(m.To, kindRaft, m) }
 
-// send queues a frame for a replica. False means that it surely isn't sent;
-// true promises nothing. Only the loop calls it.
+// send queues a frame for a replica. False means that the frame is certainly not sent;
+// true doesn't mean that it will arrive. It may only be called from the loop.
 func (l *links) send(to raft.ID, kind framing.Kind, body msgp.Marshaler) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	address, ok := l.book[to]
+	address, ok := l.advertised[to]
 	if !ok {
 		member, _ := l.r.core.Find(to)
 		address = member.Address
@@ -120,11 +120,11 @@
 	}
 	k := l.byReplica[to]
 	if k != nil && k.address != address {
-		close(k.queue) // it moved
+		close(k.queue) // its address changed
 		k = nil
 	}
 	if k == nil {
-		k = l.open(address, to)
+		k = l.openLink(address, to)
 		l.byReplica[to] = k
 	}
 	if kind == kindForward && !k.up {
@@ -133,20 +133,20 @@
 	return l.enqueue(k, kind, body)
 }
 
-// sendTo queues a frame for whoever is at an address.
-func (l *links) sendTo(address string, kind framing.Kind, body msgp.Marshaler) {
+// sendToAddress queues a frame for whichever replica is at the address.
+func (l *links) sendToAddress(address string, kind framing.Kind, body msgp.Marshaler) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := l.byAddress[address]
 	if k == nil {
-		k = l.open(address, 0)
+		k = l.openLink(address, 0)
 		l.byAddress[address] = k
 	}
 	l.enqueue(k, kind, body)
 }
 
-func (l *links) open(address string, id raft.ID) *link {
-	k := &link{links: l, address: address, replica: id, queue: make(chan outFrame, linkQueue), wake: make(chan struct{}, 1)}
+func (l *links) openLink(address string, id raft.ID) *link {
+	k := &link{links: l, address: address, replica: id, queue: make(chan outFrame, linkQueueFrames), wake: make(chan struct{}, 1)}
 	l.done.Add(1)
 	go k.run()
 	return k
@@ -162,8 +162,8 @@
 	}
 }
 
-// forget drops an idle link; false if something was queued meanwhile.
-func (l *links) forget(k *link) bool {
+// removeIdle removes an idle link; false if a frame was queued in the meantime.
+func (l *links) removeIdle(k *link) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(k.queue) > 0 {
@@ -178,9 +178,10 @@
 	return true
 }
 
-// endIfRemoved ends a link that can't be made to a replica that was removed for good. A
-// fresh replica at the same address would refuse each dial meant for the removed one.
-func (l *links) endIfRemoved(k *link) bool {
+// removeIfMemberRemoved removes a link whose replica was removed from the cluster, and
+// reports whether it did. Otherwise a new replica at the same address would refuse every
+// dial meant for the removed one.
+func (l *links) removeIfMemberRemoved(k *link) bool {
 	if !slices.Contains(l.r.Status().Removed, k.replica) {
 		return false
 	}
@@ -203,50 +204,50 @@
 	l.done.Wait()
 }
 
-// run keeps one connection, and makes it anew with growing pauses. The pauses
-// have jitter, so that replicas that lost each other don't dial in step.
+// run keeps one connection open and reconnects with exponential backoff. The jitter keeps
+// replicas that lost each other from dialling in step.
 func (k *link) run() {
 	defer k.links.done.Done()
-	pause := backoffMin
-	told := false // one event for each time that the peer is lost
+	backoff := backoffMin
+	logged := false // one event per lost connection
 	for k.links.ctx.Err() == nil {
 		conn, err := k.connect()
 		if err == nil {
-			pause = backoffMin
-			told = false
+			backoff = backoffMin
+			logged = false
 			k.links.setUp(k, true)
-			k.links.r.meet(k.replica)
-			err = k.carry(conn)
+			k.links.r.notifyConnected(k.replica)
+			err = k.sendFrames(conn)
 			k.links.setUp(k, false)
-			if errors.Is(err, errLinkEnds) {
+			if errors.Is(err, errLinkClosed) {
 				return
 			}
 		}
 		k.links.r.count.reconnects.Add(1)
-		if errors.Is(err, errPeerIsBack) {
+		if errors.Is(err, errPeerConnected) {
 			continue
 		}
-		if !told {
-			told = true
+		if !logged {
+			logged = true
 			events.Log(k.links.r.cfg.Log, events.ReplicaPeerLost, logrus.Fields{"address": k.address, "error": err.Error()})
 		}
-		if k.links.endIfRemoved(k) || !k.sleep(pause/2+mathrand.N(pause)) {
+		if k.links.removeIfMemberRemoved(k) || !k.waitBackoff(backoff/2+mathrand.N(backoff)) {
 			return
 		}
-		pause = min(2*pause, backoffMax)
+		backoff = min(2*backoff, backoffMax)
 	}
 }
 
 var (
-	errLinkEnds = errors.New("replica: link no longer needed")
-	// errPeerIsBack means that the peer connected while it was being dialled.
-	errPeerIsBack = errors.New("replica: peer is back")
+	errLinkClosed = errors.New("replica: link closed")
+	// errPeerConnected means that the peer connected while it was being dialled.
+	errPeerConnected = errors.New("replica: peer connected during the dial")
 )
 
-// sleep waits and drops what is queued meanwhile: a message that waited for a
-// connection is older than what the core sends once there is one.
-func (k *link) sleep(pause time.Duration) bool {
-	timer := time.NewTimer(pause)
+// waitBackoff waits and drops the frames queued meanwhile: they are older than what the
+// core sends once there is a connection. It returns false if the link was closed.
+func (k *link) waitBackoff(backoff time.Duration) bool {
+	timer := time.NewTimer(backoff)
 	defer timer.Stop()
 	for {
 		select {
@@ -265,27 +266,27 @@
 	}
 }
 
-// meet tells the loop that a connection stands.
-func (r *Replica) meet(id raft.ID) {
+// notifyConnected tells the loop that a connection to the replica was made.
+func (r *Replica) notifyConnected(id raft.ID) {
 	if id == 0 {
 		return
 	}
 	select {
-	case r.met <- id:
-	default: // the next heartbeat asks
+	case r.connected <- id:
+	default: // a recovering core asks again at the next heartbeat
 	}
 }
 
-// connect dials the peer and greets it.
+// connect dials the peer and performs the handshake.
 func (k *link) connect() (*framing.Conn, error) {
 	raw, err := k.dial()
 	if err != nil {
 		return nil, err
 	}
-	conn := framing.NewConn(raw, frameLimit, writeTimeout)
-	answer, err := k.links.r.greet(conn)
+	conn := framing.NewConn(raw, maxFrameBytes, writeTimeout)
+	answer, err := k.links.r.startHandshake(conn)
 	if err == nil && k.replica != 0 && answer.Replica != k.replica {
-		err = errors.Wrapf(errStranger, "%s is replica %s, not %s", k.address, answer.Replica, k.replica)
+		err = errors.Wrapf(errWrongReplica, "replica at %s is %s, want %s", k.address, answer.Replica, k.replica)
 		k.links.r.refusePeer(k.address, err)
 	}
 	if err != nil {
@@ -297,28 +298,29 @@
 	return conn, nil
 }
 
-// dial connects to the peer. A dial that began while the peer had no power hangs until
-// its timeout, although the peer is there by then; it ends as soon as the peer connects.
-// Without this, replicas that come back one after the other grant their votes late.
+// dial connects to the peer and stops as soon as the peer connects. A dial that began
+// while the peer had no power would hang until its timeout even though the peer is up
+// again, and replicas that come back one after another would grant their votes late.
 func (k *link) dial() (net.Conn, error) {
 	ctx, cancel := context.WithCancelCause(k.links.ctx)
 	defer cancel(nil)
 	go func() {
 		select {
 		case <-k.wake:
-			cancel(errPeerIsBack)
+			cancel(errPeerConnected)
 		case <-ctx.Done():
 		}
 	}()
 	raw, err := k.links.r.dial(ctx, k.address)
-	if err != nil && errors.Is(context.Cause(ctx), errPeerIsBack) {
-		return nil, errPeerIsBack
+	if err != nil && errors.Is(context.Cause(ctx), errPeerConnected) {
+		return nil, errPeerConnected
 	}
 	return raw, err
 }
 
-// carry sends frames until the connection fails or nothing needs it.
-func (k *link) carry(conn *framing.Conn) error {
+// sendFrames sends queued frames and pings until the connection fails or isn't needed any
+// more.
+func (k *link) sendFrames(conn *framing.Conn) error {
 	defer conn.Close()
 	failed := make(chan error, 1)
 	go func() { failed <- readPongs(conn) }()
@@ -326,19 +328,19 @@
 	defer ping.Stop()
 	used := time.Now()
 	for {
-		frame := outFrame{kind: kindPing, body: &pulse{}}
+		frame := outFrame{kind: kindPing, body: &emptyBody{}}
 		select {
 		case <-k.links.ctx.Done():
-			return errLinkEnds
+			return errLinkClosed
 		case err := <-failed:
 			return err
 		case <-ping.C:
-			if time.Since(used) > idleTimeout && k.links.forget(k) {
-				return errLinkEnds
+			if time.Since(used) > idleTimeout && k.links.removeIdle(k) {
+				return errLinkClosed
 			}
 		case f, ok := <-k.queue:
 			if !ok {
-				return errLinkEnds
+				return errLinkClosed
 			}
 			frame = f
 			used = time.Now()
@@ -352,9 +354,9 @@
 	}
 }
 
-// readPongs returns once the peer no longer answers pings. Writing to a
-// half-open connection succeeds until the kernel's buffer is full, which at a
-// heartbeat's size takes minutes.
+// readPongs returns once the peer stops answering pings. Writes to a half-open connection
+// succeed until the kernel's buffer is full, which takes minutes at the size of a
+// heartbeat.
 func readPongs(conn *framing.Conn) error {
 	for {
 		if err := conn.Raw().SetReadDeadline(time.Now().Add(pongTimeout)); err != nil {
@@ -366,7 +368,7 @@
 	}
 }
 
-// dial connects, with TLS if configured.
+// dial connects to the address, with TLS if configured.
 func (r *Replica) dial(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -388,12 +390,12 @@
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		_ = raw.Close()
-		return nil, errors.Wrap(err, "replica: address")
+		return nil, errors.Wrap(err, "replica: peer address")
 	}
 	secure, err := keys.Client(ctx, raw, r.cfg.TLS.Client, host)
 	if err != nil {
 		_ = raw.Close()
-		return nil, errors.Wrap(err, "replica: TLS")
+		return nil, errors.Wrap(err, "replica: TLS handshake")
 	}
 	return secure, nil
 }
--- a/internal/replica/link_test.go
+++ b/internal/replica/link_test.go
@@ -9,7 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against votes that come late since a dial began before the peer had power.
+// Guards against late votes: a dial that began while the peer had no power would hang
+// until its timeout although the peer is up again.
 func TestDialEndsWhenThePeerConnects(t *testing.T) {
 	is := is.New(t)
 	dialled := make(chan struct{})
@@ -28,6 +29,6 @@
 		ended <- err
 	}()
 	<-dialled
-	l.note(7, "10.0.0.7:1")
-	is.True(errors.Is(<-ended, errPeerIsBack))
+	l.recordAddress(7, "10.0.0.7:1")
+	is.True(errors.Is(<-ended, errPeerConnected))
 }
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -11,14 +11,15 @@
 	"bergamotstall/internal/raft"
 )
 
-// maxBatch bounds how much input one sync covers.
-const maxBatch = 512
+// maxBatchInputs bounds the messages and requests that one sync covers.
+const maxBatchInputs = 512
 
-// handOverPatience bounds how long a stopping leader waits to be followed.
-const handOverPatience = 5
+// transferTimeoutHeartbeats bounds how long a stopping leader waits for another to take
+// over, in heartbeats.
+const transferTimeoutHeartbeats = 5
 
-// loop owns the core. All input that waits is taken before the next sync, so
-// that one sync covers many commands.
+// loop owns the core. It handles all pending input before the next sync, so that one sync
+// covers many commands.
 func (r *Replica) loop() {
 	defer close(r.ended)
 	defer r.shutDown()
@@ -26,39 +27,38 @@
 	defer ticker.Stop()
 	for {
 		select {
-		case <-r.soon():
-			r.drain()
+		case <-r.wakeTimer():
+			r.handlePending()
 			r.core.Tick(r.now())
-		case id := <-r.met:
+		case id := <-r.connected:
 			r.core.PeerConnected(r.now(), id)
 		case m := <-r.inbox:
-			r.receive(m)
+			r.handleFrame(m)
 		case q := <-r.requests:
-			r.take(q)
+			r.handleRequest(q)
 		case b := <-r.barriers:
-			r.fresh = append(r.fresh, b)
+			r.newBarriers = append(r.newBarriers, b)
 		case <-ticker.C:
-			r.drain()
+			r.handlePending()
 			r.core.Tick(r.now())
 			r.expireReads()
-			r.dropForwards()
+			r.dropAbandonedForwards()
 			r.join()
-			r.upkeep()
+			r.evictSilentVoter()
 		case <-r.stopping:
-			r.handOver(ticker.C)
+			r.transferLeadership(ticker.C)
 			return
 		}
-		r.drain()
-		if err := r.process(); err != nil {
+		r.handlePending()
+		if err := r.processReady(); err != nil {
 			r.fail(err)
 			return
 		}
 	}
 }
 
-// soon ends when the core has something to do that doesn't wait for a tick; nil,
-// and so never, if nothing presses.
-func (r *Replica) soon() <-chan time.Time {
+// wakeTimer fires when the core needs a tick before the regular one; nil if it doesn't.
+func (r *Replica) wakeTimer() <-chan time.Time {
 	at, presses := r.core.WakeAt()
 	if !presses {
 		return nil
@@ -66,29 +66,29 @@
 	return time.After(at - r.now())
 }
 
-// drain takes what waits, messages first: after a stall they often hold the
-// leader's heartbeats, and without them a tick would begin an election.
-func (r *Replica) drain() {
-	for range maxBatch {
+// handlePending handles pending input, messages first: after a stall they often include
+// the leader's heartbeats, without which a tick would start an election.
+func (r *Replica) handlePending() {
+	for range maxBatchInputs {
 		select {
 		case m := <-r.inbox:
-			r.receive(m)
+			r.handleFrame(m)
 			continue
 		default:
 		}
 		select {
 		case q := <-r.requests:
-			r.take(q)
+			r.handleRequest(q)
 		case b := <-r.barriers:
-			r.fresh = append(r.fresh, b)
+			r.newBarriers = append(r.newBarriers, b)
 		default:
 			return
 		}
 	}
 }
 
-// process carries out all work of the core.
-func (r *Replica) process() error {
+// processReady carries out all pending work of the core.
+func (r *Replica) processReady() error {
 	r.startReads()
 	for {
 		ready, some := r.core.Ready()
@@ -108,7 +108,7 @@
 			return err
 		}
 	}
-	r.noteRoles()
+	r.updateRoles()
 	r.finishReads()
 	r.publish()
 	return r.core.Err()
@@ -121,16 +121,16 @@
 	began := time.Now()
 	var err error
 	if ready.Snapshot != nil {
-		whole := journal.Batch{Hard: ready.Hard, Commit: ready.Commit, Entries: append(r.core.Tail(), ready.Entries...)}
-		err = r.journal.SaveSnapshot(*ready.Snapshot, whole)
+		batch := journal.Batch{Hard: ready.Hard, Commit: ready.Commit, Entries: append(r.core.Tail(), ready.Entries...)}
+		err = r.journal.SaveSnapshot(*ready.Snapshot, batch)
 	} else {
 		err = r.journal.Save(journal.Batch{Hard: ready.Hard, Commit: ready.Commit, Entries: ready.Entries})
 	}
-	r.noteSync(time.Since(began), len(ready.Entries))
+	r.recordSync(time.Since(began), len(ready.Entries))
 	return err
 }
 
-func (r *Replica) noteSync(took time.Duration, entries int) {
+func (r *Replica) recordSync(took time.Duration, entries int) {
 	r.count.syncs.Add(1)
 	r.count.syncMicros.Add(took.Microseconds())
 	r.count.entries.Add(int64(entries))
@@ -140,7 +140,7 @@
 	}
 }
 
-// apply runs committed commands and answers whoever proposed them.
+// apply applies committed commands and replies to whoever proposed them.
 func (r *Replica) apply(ready raft.Ready) error {
 	if ready.Snapshot != nil {
 		if err := r.install(ready.Snapshot); err != nil {
@@ -157,13 +157,13 @@
 			r.count.applied.Add(1)
 		}
 		r.applied = e.Index
-		r.settle(e, outcome)
+		r.completeRequest(e, outcome)
 	}
 	for _, read := range ready.Reads {
 		r.releaseRead(read)
 	}
 	if ready.Snapshot != nil || len(ready.Committed) > 0 {
-		r.noteChange()
+		r.notifyChanged()
 	}
 	return nil
 }
@@ -173,7 +173,7 @@
 		return errors.Wrap(err, "replica: restore snapshot")
 	}
 	r.applied = s.Index
-	r.failWaiters(func(i raft.Index) bool { return i <= s.Index }, unknown(ErrLostLeader))
+	r.failWaiters(func(i raft.Index) bool { return i <= s.Index }, outcomeUnknown(ErrLostLeader))
 	r.count.snapshotsInstalled.Add(1)
 	events.Log(r.cfg.Log, events.SnapshotInstalled, logrus.Fields{"index": uint64(s.Index), "bytes": len(s.Data)})
 	return nil
@@ -185,14 +185,14 @@
 	}
 	data, err := r.sm.Snapshot()
 	if err != nil {
-		return errors.Wrap(err, "replica: snapshot")
+		return errors.Wrap(err, "replica: take snapshot")
 	}
 	s, err := r.core.Compact(r.applied, data)
 	if err != nil {
 		return err
 	}
-	whole := journal.Batch{Hard: r.core.Hard(), Commit: r.applied, Entries: r.core.Tail()}
-	if err := r.journal.SaveSnapshot(s, whole); err != nil {
+	batch := journal.Batch{Hard: r.core.Hard(), Commit: r.applied, Entries: r.core.Tail()}
+	if err := r.journal.SaveSnapshot(s, batch); err != nil {
 		return err
 	}
 	r.count.snapshotsTaken.Add(1)
@@ -202,56 +202,56 @@
 
 func (r *Replica) sendAll(ms []raft.Message) {
 	for i := range ms {
-		r.links.sendQuorum(&ms[i])
+		r.links.sendRaft(&ms[i])
 	}
 }
 
-// noteRoles reacts to a change of leader or membership.
-func (r *Replica) noteRoles() {
+// updateRoles handles a change of leader or membership.
+func (r *Replica) updateRoles() {
 	if leader := r.core.Leader(); leader != r.leader {
 		r.leader = leader
 		r.failForwards(leader)
 		r.count.leaderChanges.Add(1)
 		events.Log(r.cfg.Log, events.LeaderChanged, logrus.Fields{"leader": leader.String(), "term": uint64(r.core.Term())})
 	}
-	if leads := r.core.IsLeader(); leads != r.leading {
-		r.leading = leads
+	if leads := r.core.IsLeader(); leads != r.wasLeader {
+		r.wasLeader = leads
 		if !leads {
-			r.failWaiters(func(raft.Index) bool { return true }, unknown(ErrLostLeader))
+			r.failWaiters(func(raft.Index) bool { return true }, outcomeUnknown(ErrLostLeader))
 		}
 	}
-	if at := r.core.MembersIndex(); at != r.members {
-		r.members = at
-		events.Log(r.cfg.Log, events.ReplicaMembersChanged, logrus.Fields{"members": describe(r.core.Members())})
+	if at := r.core.MembersIndex(); at != r.membersIndex {
+		r.membersIndex = at
+		events.Log(r.cfg.Log, events.ReplicaMembersChanged, logrus.Fields{"members": describeMembers(r.core.Members())})
 	}
 }
 
-// fail ends the replica's part. It answers nothing more; its contact age rises,
-// so that subscribers leave it.
+// fail stops the replica. It sends no more replies, and its contact age rises, so that
+// its subscribers switch to another control VM.
 func (r *Replica) fail(err error) {
 	r.failure.Store(&err)
 	r.count.failed.Add(1)
 	events.Log(r.cfg.Log, events.ReplicaFailed, logrus.Fields{"error": err.Error()})
 }
 
-// handOver lets a stopping leader pass the lead on.
-func (r *Replica) handOver(tick <-chan time.Time) {
+// transferLeadership lets a stopping leader transfer leadership to another voter.
+func (r *Replica) transferLeadership(tick <-chan time.Time) {
 	if !r.core.IsLeader() || !r.core.TransferLeadership() {
 		return
 	}
-	deadline := r.now() + handOverPatience*r.cfg.Heartbeat
+	deadline := r.now() + transferTimeoutHeartbeats*r.cfg.Heartbeat
 	for r.core.IsLeader() && r.now() < deadline {
-		if r.process() != nil {
+		if r.processReady() != nil {
 			return
 		}
 		select {
 		case m := <-r.inbox:
-			r.receive(m)
+			r.handleFrame(m)
 		case <-tick:
 			r.core.Tick(r.now())
 		}
 	}
-	_ = r.process() // the answer that ends this lead may hold others
+	_ = r.processReady() // commands committed by the last messages are answered
 }
 
 func (r *Replica) shutDown() {
@@ -260,7 +260,7 @@
 	if r.Err() != nil {
 		reason = ErrFailed
 	}
-	r.failWaiters(func(raft.Index) bool { return true }, unknown(reason))
+	r.failWaiters(func(raft.Index) bool { return true }, outcomeUnknown(reason))
 	r.failForwards(0)
 	r.failReads(reason)
 	r.server.close()
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -12,41 +12,41 @@
 	"bergamotstall/internal/raft"
 )
 
-// waitingReplica is a fresh replica that has the name of a member.
-type waitingReplica struct {
+// replacement is a new replica that has the name of a member and waits to replace it.
+type replacement struct {
 	member raft.Member
 	seenAt time.Duration
 }
 
 const (
-	// joinInterval paces a fresh replica's wish to be taken in, in heartbeats.
-	joinInterval = 5
-	// waitingLimit bounds the replicas remembered as waiting.
-	waitingLimit = 16
-	// waitingMemory is how long one is remembered, in join intervals.
-	waitingMemory = 10
+	// joinIntervalHeartbeats is the interval between a new replica's join requests.
+	joinIntervalHeartbeats = 5
+	// maxReplacements bounds the replacements that the leader remembers.
+	maxReplacements = 16
+	// replacementTTLIntervals is how long a replacement is remembered, in join intervals.
+	replacementTTLIntervals = 10
 )
 
-// AddMember takes a replica in as a learner; nil once that is committed. It
-// becomes a voter on its own once it has caught up. A fresh replica with the
-// address of a member in its Peers asks for this by itself.
+// AddMember adds a replica as a learner and returns nil once that is committed. The
+// learner becomes a voter by itself once it has caught up. A new replica with a member's
+// address in its Peers requests this by itself.
 func (r *Replica) AddMember(ctx context.Context, m raft.Member) error {
-	_, err := r.do(ctx, forward{Op: opAdd, Member: m})
+	_, err := r.submit(ctx, forward{Op: opAdd, Member: m})
 	return err
 }
 
-// RemoveMember takes a member out for good; nil once that is committed.
+// RemoveMember removes a member for good and returns nil once that is committed.
 func (r *Replica) RemoveMember(ctx context.Context, id raft.ID) error {
-	_, err := r.do(ctx, forward{Op: opRemove, Target: id})
+	_, err := r.submit(ctx, forward{Op: opRemove, MemberID: id})
 	return err
 }
 
-// ReplaceMember lets the fresh replica that waits under a member's name take
-// the member's place: it is added as a learner, becomes a voter once caught up,
-// and then the old identity is removed. Nil once the first step is committed;
-// the others follow by themselves, also under another leader.
+// ReplaceMember replaces a member by the new replica that waits under its name. The new
+// one is added as a learner, becomes a voter once it has caught up, and then the old ID
+// is removed. ReplaceMember returns nil once the first step is committed; the others
+// follow by themselves, even under another leader.
 func (r *Replica) ReplaceMember(ctx context.Context, old raft.ID) error {
-	_, err := r.do(ctx, forward{Op: opReplace, Target: old})
+	_, err := r.submit(ctx, forward{Op: opReplace, MemberID: old})
 	return err
 }
 
@@ -55,7 +55,7 @@
 	if !ok {
 		return raft.Position{}, raft.ErrUnknown
 	}
-	w, ok := r.waiting[member.Name]
+	w, ok := r.replacements[member.Name]
 	if !ok {
 		return raft.Position{}, ErrNobody
 	}
@@ -63,7 +63,7 @@
 	return r.core.AddLearner(w.member)
 }
 
-// join asks the peers to be taken in, while this replica is in no membership.
+// join sends join requests to the peers while this replica isn't a member.
 func (r *Replica) join() {
 	peers := *r.peers.Load()
 	if r.now() < r.joinAt || len(peers) == 0 || r.core.Err() != nil {
@@ -72,20 +72,20 @@
 	if _, ok := r.core.Members().Find(r.ID()); ok {
 		return
 	}
-	r.joinAt = r.now() + joinInterval*r.cfg.Heartbeat
-	wish := join{Member: raft.Member{ID: r.ID(), Name: r.cfg.Name, Address: r.cfg.Advertise}}
+	r.joinAt = r.now() + joinIntervalHeartbeats*r.cfg.Heartbeat
+	req := joinRequest{Member: raft.Member{ID: r.ID(), Name: r.cfg.Name, Address: r.cfg.Advertise}}
 	for _, address := range peers {
 		if address != r.cfg.Advertise {
-			r.links.sendTo(address, kindJoin, &wish)
+			r.links.sendToAddress(address, kindJoin, &req)
 		}
 	}
 }
 
-// takeJoin handles a fresh replica's wish. A new name is taken in at once. A
-// member's name is not: whoever starts a second process under the name of a
-// healthy VM must not push that one out, so an operator decides, or Upkeep once
-// the member has fallen silent.
-func (r *Replica) takeJoin(j join) {
+// handleJoin handles a new replica's join request. A new name is added at once. A
+// member's name is not, since a second process started under the name of a healthy VM
+// must not remove that VM. An operator decides, or Upkeep does once the member has been
+// silent for long enough.
+func (r *Replica) handleJoin(j joinRequest) {
 	if !r.core.IsLeader() {
 		if leader := r.core.Leader(); leader != 0 {
 			r.links.send(leader, kindJoin, &j)
@@ -94,22 +94,22 @@
 	}
 	members := r.core.Members()
 	if _, ok := members.Find(j.Member.ID); ok || members.WasRemoved(j.Member.ID) {
-		delete(r.waiting, j.Member.Name)
+		delete(r.replacements, j.Member.Name)
 		return
 	}
 	if old, ok := members.FindByName(j.Member.Name); ok {
-		if !r.admitFresh(j.Member, old) {
-			r.noteWaiting(j.Member, old)
+		if !r.replaceSilentMember(j.Member, old) {
+			r.recordReplacement(j.Member, old)
 		}
 		return
 	}
-	r.admitNew(j.Member)
+	r.addNewMember(j.Member)
 }
 
-func (r *Replica) noteWaiting(m, old raft.Member) {
-	r.forgetWaiting()
-	if known, ok := r.waiting[m.Name]; !ok || known.member.ID != m.ID {
-		if !ok && len(r.waiting) >= waitingLimit {
+func (r *Replica) recordReplacement(m, old raft.Member) {
+	r.expireReplacements()
+	if known, ok := r.replacements[m.Name]; !ok || known.member.ID != m.ID {
+		if !ok && len(r.replacements) >= maxReplacements {
 			r.count.joinsRefused.Add(1)
 			return
 		}
@@ -117,19 +117,19 @@
 			"name": m.Name, "address": m.Address, "replica": m.ID.String(), "member": old.ID.String(),
 		})
 	}
-	r.waiting[m.Name] = waitingReplica{member: m, seenAt: r.now()}
+	r.replacements[m.Name] = replacement{member: m, seenAt: r.now()}
 }
 
-// forgetWaiting drops replicas that no longer ask.
-func (r *Replica) forgetWaiting() {
-	for name, w := range r.waiting {
-		if r.now()-w.seenAt > waitingMemory*joinInterval*r.cfg.Heartbeat {
-			delete(r.waiting, name)
+// expireReplacements removes replacements that have stopped sending join requests.
+func (r *Replica) expireReplacements() {
+	for name, w := range r.replacements {
+		if r.now()-w.seenAt > replacementTTLIntervals*joinIntervalHeartbeats*r.cfg.Heartbeat {
+			delete(r.replacements, name)
 		}
 	}
 }
 
-func describe(m raft.Membership) string {
+func describeMembers(m raft.Membership) string {
 	var parts []string
 	for _, x := range m.Members {
 		parts = append(parts, fmt.Sprintf("%s=%s (%s)", x.Name, x.ID, x.Role))
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -7,11 +7,11 @@
 
 //go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/replica/messages.go -o ../internal/replica/messages_gen.go -tests=false -unexported -io=false
 
-// Frames between replicas. A connection carries one direction: its dialler
-// sends, and gets only greetings and pongs back.
+// Frame kinds between replicas. A connection carries frames from its dialler only; back
+// come the handshake and pongs.
 const (
-	kindGreeting framing.Kind = iota + 1
-	kindQuorum
+	kindHandshake framing.Kind = iota + 1
+	kindRaft
 	kindForward
 	kindForwardReply
 	kindJoin
@@ -19,20 +19,20 @@
 	kindPong
 )
 
-// protocolVersion changes with any frame that an older replica can't read.
+// protocolVersion is raised with any frame that an older replica can't decode.
 const protocolVersion = 1
 
-// greeting opens a connection, in both directions.
-type greeting struct {
+// handshake is the first frame in each direction.
+type handshake struct {
 	Version uint64  `msg:"v"`
 	Cluster uint64  `msg:"c"`
 	Replica raft.ID `msg:"r"`
 	Name    string  `msg:"n"`
-	// Address is where the sender takes connections.
+	// Address is where the sender accepts connections.
 	Address string `msg:"a"`
 }
 
-// operation says what a forwarded request asks of the leader.
+// operation is what a forwarded request asks of the leader.
 type operation uint8
 
 const (
@@ -42,19 +42,19 @@
 	opReplace
 )
 
-// forward carries a request to the leader.
+// forward sends a request to the leader.
 type forward struct {
-	// Number is the sender's own number of the request.
+	// Number identifies the request at the sender.
 	Number  uint64    `msg:"n"`
 	Op      operation `msg:"o"`
 	Command []byte    `msg:"c"`
-	// Member is the newcomer of opAdd.
+	// Member is the replica that opAdd adds.
 	Member raft.Member `msg:"m"`
-	// Target is the member that opRemove and opReplace take out.
-	Target raft.ID `msg:"t"`
+	// MemberID is the member that opRemove and opReplace remove.
+	MemberID raft.ID `msg:"t"`
 }
 
-// verdict is what is certain about a request.
+// verdict tells whether a request ran.
 type verdict uint8
 
 const (
@@ -63,10 +63,10 @@
 	verdictUnknown
 )
 
-// reasonCode carries a reason between replicas.
+// reasonCode is an index into reasons.
 type reasonCode uint8
 
-// forwardReply ends a forward.
+// forwardReply is the reply to a forward.
 type forwardReply struct {
 	Number  uint64     `msg:"n"`
 	Verdict verdict    `msg:"v"`
@@ -74,10 +74,10 @@
 	Outcome []byte     `msg:"o"`
 }
 
-// join is a fresh replica's wish to be taken in.
-type join struct {
+// joinRequest is a new replica's request to join the cluster.
+type joinRequest struct {
 	Member raft.Member `msg:"m"`
 }
 
-// pulse is the empty body of pings and pongs.
-type pulse struct{}
+// emptyBody is the body of pings and pongs.
+type emptyBody struct{}
--- a/internal/replica/messages_gen.go
+++ b/internal/replica/messages_gen.go
@@ -6,6 +6,51 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
+// MarshalMsg implements msgp.Marshaler
+func (z emptyBody) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 0
+	_ = z
+	o = append(o, 0x80)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *emptyBody) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z emptyBody) Msgsize() (s int) {
+	s = 1
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z *forward) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -28,9 +73,9 @@
 	}
 	// string "t"
 	o = append(o, 0xa1, 0x74)
-	o, err = z.Target.MarshalMsg(o)
+	o, err = z.MemberID.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Target")
+		err = msgp.WrapError(err, "MemberID")
 		return
 	}
 	return
@@ -83,9 +128,9 @@
 				return
 			}
 		case "t":
-			bts, err = z.Target.UnmarshalMsg(bts)
+			bts, err = z.MemberID.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Target")
+				err = msgp.WrapError(err, "MemberID")
 				return
 			}
 		default:
@@ -102,7 +147,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *forward) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint8Size + 2 + msgp.BytesPrefixSize + len(z.Command) + 2 + z.Member.Msgsize() + 2 + z.Target.Msgsize()
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint8Size + 2 + msgp.BytesPrefixSize + len(z.Command) + 2 + z.Member.Msgsize() + 2 + z.MemberID.Msgsize()
 	return
 }
 
@@ -194,7 +239,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *greeting) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *handshake) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 5
 	// string "v"
@@ -220,7 +265,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *greeting) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *handshake) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -280,13 +325,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *greeting) Msgsize() (s int) {
+func (z *handshake) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + z.Replica.Msgsize() + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Address)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *join) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *joinRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "m"
@@ -300,7 +345,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *join) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *joinRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -336,7 +381,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *join) Msgsize() (s int) {
+func (z *joinRequest) Msgsize() (s int) {
 	s = 1 + 2 + z.Member.Msgsize()
 	return
 }
@@ -369,51 +414,6 @@
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z pulse) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 0
-	_ = z
-	o = append(o, 0x80)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *pulse) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z pulse) Msgsize() (s int) {
-	s = 1
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z reasonCode) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
--- a/internal/replica/network_test.go
+++ b/internal/replica/network_test.go
@@ -11,35 +11,35 @@
 
 var errCut = errors.New("network: cut")
 
-// way is one direction between two VMs: the dialler's name and the address.
-type way struct{ from, to string }
+// direction is one direction between two VMs: the dialler's name and the address dialled.
+type direction struct{ from, to string }
 
-// network lets replicas reach each other unless a test cuts them apart.
+// network connects replicas, except where a test partitions them.
 type network struct {
 	mu    sync.Mutex
-	cut   map[way]bool
-	conns map[way][]*testConn
+	cut   map[direction]bool
+	conns map[direction][]*testConn
 }
 
 func newNetwork() *network {
-	return &network{cut: map[way]bool{}, conns: map[way][]*testConn{}}
+	return &network{cut: map[direction]bool{}, conns: map[direction][]*testConn{}}
 }
 
-// testConn can fall silent: writes succeed and nothing arrives, as over a
-// half-open connection.
+// testConn can be muted: writes succeed and nothing arrives, as on a half-open
+// connection.
 type testConn struct {
 	net.Conn
-	mute atomic.Bool
+	muted atomic.Bool
 }
 
 func (c *testConn) Write(b []byte) (int, error) {
-	if c.mute.Load() {
+	if c.muted.Load() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
-func (n *network) dial(ctx context.Context, w way) (net.Conn, error) {
+func (n *network) dial(ctx context.Context, w direction) (net.Conn, error) {
 	n.mu.Lock()
 	apart := n.cut[w]
 	n.mu.Unlock()
@@ -61,16 +61,16 @@
 	return c, nil
 }
 
-// ways returns both directions between two VMs.
-func ways(a, b *member) []way {
-	return []way{{a.name, b.address}, {b.name, a.address}}
+// directions returns both directions between two VMs.
+func directions(a, b *member) []direction {
+	return []direction{{a.name, b.address}, {b.name, a.address}}
 }
 
-// part cuts two VMs off from each other, or joins them again.
-func (n *network) part(a, b *member, apart bool) {
+// setPartitioned cuts two VMs off from each other, or reconnects them.
+func (n *network) setPartitioned(a, b *member, apart bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, w := range ways(a, b) {
+	for _, w := range directions(a, b) {
 		n.cut[w] = apart
 		for _, c := range n.conns[w] {
 			if apart {
@@ -80,22 +80,22 @@
 	}
 }
 
-// isolate cuts a VM off from all others, or joins it again.
+// isolate cuts a VM off from all others, or reconnects it.
 func (n *network) isolate(m *member, all []*member, apart bool) {
 	for _, x := range all {
 		if x != m {
-			n.part(m, x, apart)
+			n.setPartitioned(m, x, apart)
 		}
 	}
 }
 
-// silence makes the open connections between two VMs half-open. New ones work.
-func (n *network) silence(a, b *member) {
+// muteConns makes the open connections between two VMs half-open. New connections work.
+func (n *network) muteConns(a, b *member) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, w := range ways(a, b) {
+	for _, w := range directions(a, b) {
 		for _, c := range n.conns[w] {
-			c.mute.Store(true)
+			c.muted.Store(true)
 		}
 	}
 }
--- a/internal/replica/read.go
+++ b/internal/replica/read.go
@@ -8,29 +8,28 @@
 	"bergamotstall/internal/raft"
 )
 
-// barrier is a read that waits to be as new as every answered write.
+// barrier is a linearizable read in progress.
 type barrier struct {
 	done chan error
-	// over is the moment after which the core is asked again: the question or
-	// its answer may be lost.
-	over time.Duration
-	ctx  context.Context
+	// retryAt is when the core is asked again, in case the request or its reply was lost.
+	retryAt time.Duration
+	ctx     context.Context
 }
 
-// releasedRead waits until an index is applied.
+// releasedRead holds barriers whose read index is known but may not be applied yet.
 type releasedRead struct {
 	index    raft.Index
 	barriers []*barrier
 }
 
-// Barrier waits until the local state machine is at least as new as every write
-// that was answered, by any replica, before the call. It fails, with ErrNoLeader
-// or ErrTimeout as the reason, where that can't be known before ctx ends.
+// Barrier waits until the local state machine includes every write that any replica
+// acknowledged before the call. If that can't be confirmed before ctx ends, it returns a
+// RequestError with ErrNoLeader or ErrTimeout as the reason.
 func (r *Replica) Barrier(ctx context.Context) error {
 	b := &barrier{done: make(chan error, 1), ctx: ctx}
 	select {
 	case <-r.stopping:
-		return notRun(r.endReason())
+		return notRun(r.stopReason())
 	default:
 	}
 	select {
@@ -46,26 +45,26 @@
 		r.count.readsTimedOut.Add(1)
 		return notRun(ErrTimeout)
 	case <-r.ended:
-		return notRun(r.endReason())
+		return notRun(r.stopReason())
 	}
 }
 
-// startReads asks the core once for all barriers that came since the last time.
+// startReads starts one read in the core for all new barriers.
 func (r *Replica) startReads() {
-	r.fresh = slices.DeleteFunc(r.fresh, func(b *barrier) bool { return b.ctx.Err() != nil })
-	if len(r.fresh) == 0 {
+	r.newBarriers = slices.DeleteFunc(r.newBarriers, func(b *barrier) bool { return b.ctx.Err() != nil })
+	if len(r.newBarriers) == 0 {
 		return
 	}
 	r.lastNumber++
 	if r.core.Read(r.lastNumber) != nil {
-		return // no leader yet: asked again at the next input
+		return // no leader yet: retried after the next input
 	}
-	over := r.now() + r.cfg.ElectionTimeout
-	for _, b := range r.fresh {
-		b.over = over
+	retryAt := r.now() + r.cfg.ElectionTimeout
+	for _, b := range r.newBarriers {
+		b.retryAt = retryAt
 	}
-	r.reads[r.lastNumber] = r.fresh
-	r.fresh = nil
+	r.reads[r.lastNumber] = r.newBarriers
+	r.newBarriers = nil
 }
 
 func (r *Replica) releaseRead(read raft.ReadResult) {
@@ -77,7 +76,7 @@
 	r.released = append(r.released, releasedRead{index: read.Index, barriers: barriers})
 }
 
-// finishReads ends the barriers whose index is applied.
+// finishReads completes the barriers whose index is applied.
 func (r *Replica) finishReads() {
 	r.released = slices.DeleteFunc(r.released, func(x releasedRead) bool {
 		if x.index > r.applied {
@@ -91,13 +90,13 @@
 	})
 }
 
-// expireReads asks anew for reads without an answer.
+// expireReads retries reads that got no reply in time.
 func (r *Replica) expireReads() {
 	now := r.now()
 	for n, barriers := range r.reads {
-		if barriers[0].over < now {
+		if barriers[0].retryAt < now {
 			delete(r.reads, n)
-			r.fresh = append(r.fresh, barriers...)
+			r.newBarriers = append(r.newBarriers, barriers...)
 			r.count.readsRetried.Add(int64(len(barriers)))
 		}
 	}
@@ -109,7 +108,7 @@
 			b.done <- notRun(reason)
 		}
 	}
-	fail(r.fresh)
+	fail(r.newBarriers)
 	for _, barriers := range r.reads {
 		fail(barriers)
 	}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,10 +1,10 @@
-// Package replica runs one member of the replicated log: the deterministic core
-// of package raft, the durable files of package journal, and the connections
-// between control VMs. The state machine on top is its user's.
+// Package replica runs one member of the replicated log. It connects the deterministic
+// core of package raft to the durable log of package journal and to the other control
+// VMs. The caller supplies the state machine.
 //
-// One goroutine, the loop, owns core, journal and state machine. Everything
-// else hands it messages and requests through bounded channels; requests over
-// the bound are refused as not run, and counted.
+// One goroutine, the loop, owns the core, the journal and the state machine. Other
+// goroutines pass messages and requests to it over bounded channels. Requests over the
+// limit are refused as not run, and counted.
 package replica
 
 import (
@@ -27,69 +27,69 @@
 	"bergamotstall/internal/raft"
 )
 
-// StateMachine is the state that committed commands build. Apply must be
-// deterministic: no clock, no randomness, no order of map iteration. All its
-// methods are called from one goroutine.
+// StateMachine is the state that committed commands change. Apply must be deterministic:
+// it must not depend on a clock, randomness or map iteration order. All methods are
+// called from one goroutine.
 type StateMachine interface {
-	// Apply runs one committed command and returns its outcome, which goes to
-	// whoever proposed it.
+	// Apply runs one committed command and returns its outcome, which is sent to the
+	// caller that proposed it.
 	Apply(index uint64, command []byte) []byte
-	// Snapshot returns the whole state, for a replica that is far behind and to
-	// bound the log.
+	// Snapshot returns the encoded state. It is sent to replicas that are far behind, and
+	// allows the log to be truncated.
 	Snapshot() ([]byte, error)
 	// Restore replaces the state with that of a snapshot.
 	Restore(snapshot []byte) error
 }
 
-// TLS holds what connections between replicas are secured with; nil for tests.
+// TLS configures TLS between replicas. Nil configs mean plain TCP, for tests.
 type TLS struct {
 	Server *tls.Config
-	// Client is used for outgoing connections, through keys.Client. The name in
-	// a VM's certificate must be its Config.Name.
+	// Client is used for outgoing connections, through keys.Client. A VM's certificate
+	// must be issued for its Config.Name.
 	Client *tls.Config
 }
 
-// Config sets one replica up. Folder, Name, Listen (or Listener) and Log are
-// required.
+// Config configures a replica. Folder, Name, Listen (or Listener) and Log are required.
 type Config struct {
-	// Folder is the data folder; a new one is a new replica.
+	// Folder is the data folder. A new folder makes a new replica.
 	Folder string
 	// Name is the VM's name, unique within the cluster.
 	Name string
-	// Listen is the TCP address to take peers' connections on.
+	// Listen is the TCP address on which to accept peers' connections.
 	Listen string
-	// Listener is used instead of Listen if set; the replica closes it.
+	// Listener, if set, is used instead of Listen. The replica closes it.
 	Listener net.Listener
-	// Advertise is the address that peers dial; the listener's own if empty.
+	// Advertise is the address that peers dial; the listener's address if empty.
 	Advertise string
-	// Peers are addresses of other replicas, through which a new one joins.
+	// Peers are addresses of other replicas, which a new one asks to join the cluster.
 	Peers []string
-	// Bootstrap makes a new cluster if the folder is new and no peer has one.
-	// Without it a new folder waits to be taken in as a learner.
+	// Bootstrap creates a new cluster if the folder is new and no peer belongs to a
+	// cluster. Without it, a replica with a new folder waits until it is added as a
+	// learner.
 	Bootstrap bool
 	TLS       TLS
-	// Upkeep lets the leader replace and remove members by itself.
+	// Upkeep lets the leader replace and remove members without an operator.
 	Upkeep Upkeep
-	// Heartbeat is the leader's interval; 100 ms if 0.
+	// Heartbeat is the interval between a leader's heartbeats; 100 ms if 0.
 	Heartbeat time.Duration
-	// ElectionTimeout is the shortest silence before an election; ten
+	// ElectionTimeout is the shortest time without a leader before an election; ten
 	// heartbeats if 0.
 	ElectionTimeout time.Duration
-	// SnapshotEvery is how many entries are applied between snapshots; 10,000
-	// if 0.
+	// SnapshotEvery is the number of entries applied between snapshots; 10,000 if 0.
 	SnapshotEvery int
-	// KeepEntries is how many entries stay in memory behind a snapshot; 1,000
-	// if 0. A replica that lags more gets the snapshot.
+	// KeepEntries is how many entries before a snapshot stay in memory; 1,000 if 0. A
+	// replica that is further behind is sent the snapshot.
 	KeepEntries int
-	// QueueLimit bounds the requests that wait; 1,024 if 0.
+	// QueueLimit bounds the pending requests, and separately the pending reads; 1,024 if
+	// 0.
 	QueueLimit int
-	// CommandLimit bounds one command, in bytes; 1 MiB if 0.
+	// CommandLimit bounds the size of a command in bytes; 1 MiB if 0.
 	CommandLimit int
-	// Seed makes election timeouts repeatable; drawn if 0.
+	// Seed makes election timeouts reproducible; random if 0.
 	Seed uint64
-	// Dial is used for outgoing connections if set.
+	// Dial, if set, is used for outgoing connections.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// FS is the file system of the journal; the machine's if nil.
+	// FS is the journal's file system; the machine's if nil.
 	FS      journal.FS
 	Log     logrus.FieldLogger
 	Metrics *metrics.Set
@@ -102,7 +102,7 @@
 	defaultKeepEntries   = 1_000
 	defaultQueueLimit    = 1_024
 	defaultCommandLimit  = 1 << 20
-	// clockStart keeps the loop's clock off zero, which means "no stamp".
+	// clockStart keeps the loop's clock above zero, which means "no timestamp".
 	clockStart = time.Hour
 	inboxSize  = 1_024
 )
@@ -135,7 +135,7 @@
 	return c
 }
 
-// Replica is one running member. Its methods are safe for concurrent use.
+// Replica is a running member. Its methods are safe for concurrent use.
 type Replica struct {
 	cfg     Config
 	id      raft.ID
@@ -148,12 +148,12 @@
 	links   *links
 	server  *server
 
-	inbox    chan inbound
-	requests chan *request
-	barriers chan *barrier
-	met      chan raft.ID
-	stopping chan struct{}
-	stopOnce sync.Once
+	inbox     chan inbound
+	requests  chan *request
+	barriers  chan *barrier
+	connected chan raft.ID
+	stopping  chan struct{}
+	stopOnce  sync.Once
 	// ended is closed once the loop has ended.
 	ended chan struct{}
 
@@ -164,25 +164,25 @@
 	changedMu sync.Mutex
 	changed   chan struct{}
 
-	// The rest is the loop's alone.
+	// The fields below belong to the loop.
 
-	applied    raft.Index
-	waiters    map[raft.Index]waiter
-	forwards   map[uint64]forwarded
-	lastNumber uint64
-	reads      map[uint64][]*barrier
-	fresh      []*barrier
-	released   []releasedRead
-	waiting    map[string]waitingReplica
-	leader     raft.ID
-	members    raft.Index
-	leading    bool
-	joinAt     time.Duration
-	upkeepAt   time.Duration
+	applied      raft.Index
+	waiters      map[raft.Index]waiter
+	forwards     map[uint64]forwarded
+	lastNumber   uint64
+	reads        map[uint64][]*barrier
+	newBarriers  []*barrier
+	released     []releasedRead
+	replacements map[string]replacement
+	leader       raft.ID
+	membersIndex raft.Index
+	wasLeader    bool
+	joinAt       time.Duration
+	upkeepAt     time.Duration
 }
 
-// Open opens the data folder and starts to take part. The state machine must be
-// empty; it is restored from the newest snapshot before Open returns.
+// Open opens the data folder and starts the replica. The state machine must be empty; it
+// is restored from the newest snapshot before Open returns.
 func Open(cfg Config, sm StateMachine) (*Replica, error) {
 	cfg = cfg.withDefaults()
 	if cfg.Name == "" || cfg.Folder == "" || cfg.Log == nil {
@@ -210,22 +210,22 @@
 func open(cfg Config, sm StateMachine) (*Replica, error) {
 	j, stored, err := journal.Open(journal.Options{FS: cfg.FS, Folder: cfg.Folder, NewID: newID})
 	if err != nil {
-		return nil, errors.Wrap(err, "replica: open folder")
+		return nil, errors.Wrap(err, "replica: open data folder")
 	}
 	r := &Replica{
 		cfg: cfg, id: j.Identity().Replica, sm: sm, journal: j, count: newCounters(cfg.Metrics),
-		started:  time.Now(),
-		inbox:    make(chan inbound, inboxSize),
-		requests: make(chan *request, cfg.QueueLimit),
-		barriers: make(chan *barrier, cfg.QueueLimit),
-		met:      make(chan raft.ID, inboxSize),
-		stopping: make(chan struct{}),
-		ended:    make(chan struct{}),
-		changed:  make(chan struct{}),
-		waiters:  map[raft.Index]waiter{},
-		forwards: map[uint64]forwarded{},
-		reads:    map[uint64][]*barrier{},
-		waiting:  map[string]waitingReplica{},
+		started:      time.Now(),
+		inbox:        make(chan inbound, inboxSize),
+		requests:     make(chan *request, cfg.QueueLimit),
+		barriers:     make(chan *barrier, cfg.QueueLimit),
+		connected:    make(chan raft.ID, inboxSize),
+		stopping:     make(chan struct{}),
+		ended:        make(chan struct{}),
+		changed:      make(chan struct{}),
+		waiters:      map[raft.Index]waiter{},
+		forwards:     map[uint64]forwarded{},
+		reads:        map[uint64][]*barrier{},
+		replacements: map[string]replacement{},
 	}
 	r.cluster.Store(j.Identity().Cluster)
 	r.SetPeers(cfg.Peers)
@@ -237,7 +237,7 @@
 	return r, nil
 }
 
-// restore brings state machine and core to what the folder holds.
+// restore sets up the state machine and the core from the stored state.
 func (r *Replica) restore(stored *raft.Stored) error {
 	if stored.Empty() && r.cfg.Bootstrap {
 		if err := r.bootstrap(stored); err != nil {
@@ -264,8 +264,8 @@
 	return nil
 }
 
-// bootstrap makes a new cluster, unless a peer has one already: then a VM whose
-// disk was lost, and whose settings still say bootstrap, must not make a second.
+// bootstrap creates a new cluster, unless a peer already belongs to one. A VM that lost
+// its disk and still has Bootstrap set must not create a second cluster.
 func (r *Replica) bootstrap(stored *raft.Stored) error {
 	if address, ok := r.findCluster(); ok {
 		events.Log(r.cfg.Log, events.BootstrapSkipped, logrus.Fields{"peer": address})
@@ -300,46 +300,47 @@
 	events.Log(r.cfg.Log, events.ReplicaStarted, logrus.Fields{
 		"replica": r.ID().String(), "name": r.cfg.Name, "address": r.cfg.Advertise, "applied": uint64(r.applied),
 	})
-	r.gauges()
+	r.registerGauges()
 	r.server = newServer(r, listener)
 	go r.server.run()
 	go r.loop()
 }
 
-// newID draws a random number that isn't zero.
+// newID returns a random number that isn't zero.
 func newID() raft.ID {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // never fails
+	_, _ = rand.Read(b[:]) // crypto/rand.Read never fails
 	return raft.ID(binary.BigEndian.Uint64(b[:]) | 1)
 }
 
-// now is the loop's clock: monotonic, from the start of the process.
+// now returns the loop's clock: monotonic time since the process started, plus
+// clockStart.
 func (r *Replica) now() time.Duration { return clockStart + time.Since(r.started) }
 
-// ID returns the replica's identity.
+// ID returns the replica's ID.
 func (r *Replica) ID() raft.ID { return r.id }
 
-// Applied returns the last entry that the state machine has applied.
+// Applied returns the index of the last entry applied to the state machine.
 func (r *Replica) Applied() uint64 { return uint64(r.status.Load().Applied) }
 
-// Changed returns a channel that is closed when entries have been applied, or
-// a snapshot restored, after the call.
+// Changed returns a channel that is closed when, after the call, entries have been
+// applied or a snapshot restored.
 func (r *Replica) Changed() <-chan struct{} {
 	r.changedMu.Lock()
 	defer r.changedMu.Unlock()
 	return r.changed
 }
 
-func (r *Replica) noteChange() {
+func (r *Replica) notifyChanged() {
 	r.changedMu.Lock()
 	defer r.changedMu.Unlock()
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// ContactAge tells how long ago this replica was last surely in touch with a
-// quorum. It may be too high by a round trip, never too low; it keeps rising
-// while the replica is cut off, its disk hangs, or it has failed.
+// ContactAge returns how long ago this replica last had contact with a quorum. It may be
+// too high by a round trip, but never too low. It keeps rising while the replica is cut
+// off, its disk hangs, or it has failed.
 func (r *Replica) ContactAge() time.Duration {
 	at := time.Duration(r.contactAt.Load())
 	if at == 0 {
@@ -348,10 +349,10 @@
 	return r.now() - at
 }
 
-// neverInContact is the age reported before any contact with a quorum.
+// neverInContact is the contact age before the first contact with a quorum.
 const neverInContact = 365 * 24 * time.Hour
 
-// Err returns why the replica takes no further part; nil while it does.
+// Err returns the failure that stopped the replica; nil if there was none.
 func (r *Replica) Err() error {
 	if err := r.failure.Load(); err != nil {
 		return *err
@@ -359,13 +360,13 @@
 	return nil
 }
 
-// Done returns a channel that is closed once the replica has ended, by Close or
-// by a failure that Err tells.
+// Done returns a channel that is closed once the replica has stopped, after Close or a
+// failure that Err returns.
 func (r *Replica) Done() <-chan struct{} { return r.ended }
 
-// Close ends the replica. A leader hands over first, so that commands wait for
-// one election without a timeout. What was accepted and not yet answered ends
-// as unknown.
+// Close stops the replica. A leader transfers leadership first, so that commands wait for
+// an election but not for an election timeout. Requests that are still pending end with
+// ErrOutcomeUnknown.
 func (r *Replica) Close() error {
 	r.stopOnce.Do(func() { close(r.stopping) })
 	<-r.ended
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -16,16 +16,16 @@
 	is.NoErr(m.Close())
 	m.start()
 	mustPropose(t, m, "two")
-	sameCommands(t, []*member{m}, []string{"one", "two"})
+	requireCommands(t, []*member{m}, []string{"one", "two"})
 }
 
 func TestThreeReplicasAgree(t *testing.T) {
-	members := trio(t, nil)
+	members := startThree(t, nil)
 	var want []string
 	for i := range 30 {
 		command := fmt.Sprint("command ", i)
 		mustPropose(t, members[i%3], command)
 		want = append(want, command)
 	}
-	sameCommands(t, members, want)
+	requireCommands(t, members, want)
 }
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -12,14 +12,14 @@
 	"bergamotstall/internal/raft"
 )
 
-// request is one wish of a caller, local or forwarded.
+// request is a proposal or membership change, local or forwarded.
 type request struct {
 	forward
-	// state goes from waiting to taken or abandoned, once.
+	// state changes once, from waiting to taken or abandoned.
 	state atomic.Uint32
 	// answer is called once, from the loop.
 	answer func(result)
-	// remote requests are not forwarded again.
+	// remote requests came from another replica and aren't forwarded again.
 	remote bool
 }
 
@@ -34,60 +34,60 @@
 	err     error
 }
 
-// waiter is a request whose entry is in the log.
+// waiter is a request whose entry was appended to the log.
 type waiter struct {
 	term    raft.Term
 	request *request
 }
 
-// forwarded is a request that is at the leader.
+// forwarded is a request that was sent to the leader.
 type forwarded struct {
 	leader  raft.ID
 	request *request
 }
 
-// retryPause is the mean wait before a request that surely did not run is tried
-// again. An election takes some hundred milliseconds.
-const retryPause = 30 * time.Millisecond
+// retryDelay is the mean delay before a request that certainly didn't run is retried. An
+// election takes some hundred milliseconds.
+const retryDelay = 30 * time.Millisecond
 
-// Propose has a command committed and returns its outcome. Any replica takes
-// it; one that doesn't lead forwards it. While no leader is within reach it
-// tries again until ctx ends. An error matches ErrNotRun, and the command will
-// never run, or ErrOutcomeUnknown, and it may.
+// Propose commits a command and returns its outcome. It may be called on any replica; one
+// that doesn't lead forwards the command. While no leader is reachable it retries until
+// ctx ends. An error matches ErrNotRun if the command will never run, or
+// ErrOutcomeUnknown if it may.
 func (r *Replica) Propose(ctx context.Context, command []byte) ([]byte, error) {
 	if len(command) > r.cfg.CommandLimit {
 		r.count.refusedLarge.Add(1)
 		return nil, notRun(errors.Wrapf(ErrTooLarge, "%d bytes", len(command)))
 	}
-	return r.do(ctx, forward{Op: opPropose, Command: command})
+	return r.submit(ctx, forward{Op: opPropose, Command: command})
 }
 
-// do tries a request until it has run, may have run, or ctx ends.
-func (r *Replica) do(ctx context.Context, f forward) ([]byte, error) {
+// submit attempts a request until it has run, may have run, or ctx ends.
+func (r *Replica) submit(ctx context.Context, f forward) ([]byte, error) {
 	for {
 		res := r.attempt(ctx, f)
-		if res.err == nil || !worthRetry(res.err) {
+		if res.err == nil || !isRetryable(res.err) {
 			return res.outcome, res.err
 		}
 		r.count.retries.Add(1)
-		pause := retryPause/2 + mathrand.N(retryPause)
+		delay := retryDelay/2 + mathrand.N(retryDelay)
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-ctx.Done():
 			return nil, res.err
 		case <-r.ended:
-			return nil, notRun(r.endReason())
+			return nil, notRun(r.stopReason())
 		}
 	}
 }
 
-// worthRetry holds for requests that surely did not run because of where the
-// lead was just then.
-func worthRetry(err error) bool {
+// isRetryable reports whether a request certainly didn't run because leadership was
+// changing.
+func isRetryable(err error) bool {
 	if !errors.Is(err, ErrNotRun) {
 		return false
 	}
-	for _, reason := range []error{ErrNoLeader, ErrOverwrote, raft.ErrNotLeader, raft.ErrNoLeader} {
+	for _, reason := range []error{ErrNoLeader, ErrOverwritten, raft.ErrNotLeader, raft.ErrNoLeader} {
 		if errors.Is(err, reason) {
 			return true
 		}
@@ -100,7 +100,7 @@
 	q := &request{forward: f, answer: func(res result) { done <- res }}
 	select {
 	case <-r.stopping:
-		return result{err: notRun(r.endReason())}
+		return result{err: notRun(r.stopReason())}
 	default:
 	}
 	select {
@@ -115,14 +115,14 @@
 	case <-ctx.Done():
 	case <-r.ended:
 	}
-	return r.giveUp(q, done, ctx)
+	return r.abandon(q, done, ctx)
 }
 
-// giveUp ends a request whose caller waits no longer, or whose replica ended.
-func (r *Replica) giveUp(q *request, done chan result, ctx context.Context) result {
+// abandon ends a request whose caller has stopped waiting, or whose replica has stopped.
+func (r *Replica) abandon(q *request, done chan result, ctx context.Context) result {
 	reason := error(ErrTimeout)
 	if ctx.Err() == nil {
-		reason = r.endReason()
+		reason = r.stopReason()
 	}
 	if q.state.CompareAndSwap(requestWaiting, requestAbandoned) {
 		return result{err: notRun(reason)}
@@ -134,23 +134,23 @@
 	}
 	q.state.Store(requestAbandoned)
 	r.count.unknown.Add(1)
-	return result{err: unknown(reason)}
+	return result{err: outcomeUnknown(reason)}
 }
 
-func (r *Replica) endReason() error {
+func (r *Replica) stopReason() error {
 	if r.Err() != nil {
 		return ErrFailed
 	}
 	return ErrClosed
 }
 
-// take handles one request in the loop.
-func (r *Replica) take(q *request) {
+// handleRequest handles a request in the loop.
+func (r *Replica) handleRequest(q *request) {
 	if !q.state.CompareAndSwap(requestWaiting, requestTaken) {
 		return
 	}
 	if r.core.IsLeader() {
-		r.lead(q)
+		r.appendRequest(q)
 		return
 	}
 	leader := r.core.Leader()
@@ -170,41 +170,41 @@
 	r.forwards[q.Number] = forwarded{leader: leader, request: q}
 }
 
-// lead appends a request to the log.
-func (r *Replica) lead(q *request) {
-	place, err := r.append(q)
+// appendRequest appends a request to the leader's log.
+func (r *Replica) appendRequest(q *request) {
+	pos, err := r.appendOperation(q)
 	if err != nil {
 		r.count.refusedByCore.Add(1)
 		q.answer(result{err: notRun(err)})
 		return
 	}
-	r.waiters[place.Index] = waiter{term: place.Term, request: q}
+	r.waiters[pos.Index] = waiter{term: pos.Term, request: q}
 }
 
-func (r *Replica) append(q *request) (raft.Position, error) {
+func (r *Replica) appendOperation(q *request) (raft.Position, error) {
 	switch q.Op {
 	case opPropose:
 		return r.core.Propose(q.Command)
 	case opAdd:
 		return r.core.AddLearner(q.Member)
 	case opRemove:
-		return r.core.RemoveMember(q.Target)
+		return r.core.RemoveMember(q.MemberID)
 	case opReplace:
-		return r.replace(q.Target)
+		return r.replace(q.MemberID)
 	}
 	return raft.Position{}, errOther
 }
 
-// settle answers the request whose place in the log is now committed. Another
-// term's entry in that place means that the request's own can't ever be.
-func (r *Replica) settle(e raft.Entry, outcome []byte) {
+// completeRequest replies to the request at a committed index. An entry of another term
+// there means that the request's own entry was overwritten and can never be committed.
+func (r *Replica) completeRequest(e raft.Entry, outcome []byte) {
 	w, ok := r.waiters[e.Index]
 	if !ok {
 		return
 	}
 	delete(r.waiters, e.Index)
 	if w.term != e.Term {
-		w.request.answer(result{err: notRun(ErrOverwrote)})
+		w.request.answer(result{err: notRun(ErrOverwritten)})
 		return
 	}
 	w.request.answer(result{outcome: outcome})
@@ -220,35 +220,35 @@
 	}
 }
 
-// failForwards ends requests at another than the present leader: it may have
-// appended them.
+// failForwards ends the requests that were sent to a leader other than the given one:
+// that leader may have appended them.
 func (r *Replica) failForwards(leader raft.ID) {
 	for n, f := range r.forwards {
 		if f.leader != leader {
 			delete(r.forwards, n)
 			r.count.unknown.Add(1)
-			f.request.answer(result{err: unknown(ErrLostLeader)})
+			f.request.answer(result{err: outcomeUnknown(ErrLostLeader)})
 		}
 	}
 }
 
-// dropForwards forgets requests at the leader whose callers wait no longer. A
-// reply that was lost with its connection never comes, and under a leader that
-// stays for weeks they would pile up.
-func (r *Replica) dropForwards() {
+// dropAbandonedForwards removes forwarded requests whose callers have stopped waiting. A
+// reply lost with its connection never arrives, so under a long-lived leader they would
+// accumulate.
+func (r *Replica) dropAbandonedForwards() {
 	maps.DeleteFunc(r.forwards, func(_ uint64, f forwarded) bool {
 		return f.request.state.Load() == requestAbandoned
 	})
 }
 
-// takeForward handles a request from another replica.
-func (r *Replica) takeForward(from raft.ID, f forward) {
+// handleForward handles a request from another replica.
+func (r *Replica) handleForward(from raft.ID, f forward) {
 	number := f.Number
 	q := &request{forward: f, remote: true}
 	q.answer = func(res result) {
 		reply := forwardReply{Number: number, Verdict: verdictDone, Outcome: res.outcome}
 		if res.err != nil {
-			reply.Reason = codeOf(res.err)
+			reply.Reason = reasonCodeOf(res.err)
 			reply.Verdict = verdictUnknown
 			if errors.Is(res.err, ErrNotRun) {
 				reply.Verdict = verdictNotRun
@@ -256,10 +256,10 @@
 		}
 		r.links.send(from, kindForwardReply, &reply)
 	}
-	r.take(q)
+	r.handleRequest(q)
 }
 
-func (r *Replica) takeForwardReply(f forwardReply) {
+func (r *Replica) handleForwardReply(f forwardReply) {
 	w, ok := r.forwards[f.Number]
 	if !ok {
 		return
@@ -269,8 +269,8 @@
 	case verdictDone:
 		w.request.answer(result{outcome: f.Outcome})
 	case verdictNotRun:
-		w.request.answer(result{err: notRun(reasonOf(f.Reason))})
+		w.request.answer(result{err: notRun(reasonForCode(f.Reason))})
 	default:
-		w.request.answer(result{err: unknown(reasonOf(f.Reason))})
+		w.request.answer(result{err: outcomeUnknown(reasonForCode(f.Reason))})
 	}
 }
--- a/internal/replica/server.go
+++ b/internal/replica/server.go
@@ -17,35 +17,35 @@
 )
 
 const (
-	// maxPeers bounds incoming connections: nine members, each perhaps with a
-	// connection that the other end has given up.
-	maxPeers = 64
-	// peerTimeout ends an incoming connection over which nothing came, not even
-	// a ping.
-	peerTimeout = 10 * time.Second
+	// maxPeerConns bounds the incoming connections. There are at most nine members, and
+	// each may also have connections that it has given up.
+	maxPeerConns = 64
+	// peerIdleTimeout closes an incoming connection on which nothing arrives, not even a
+	// ping.
+	peerIdleTimeout = 10 * time.Second
 )
 
 // Errors of a refused peer.
 var (
-	errStranger = errors.New("replica: another replica answers there")
-	errCluster  = errors.New("replica: the peer belongs to another cluster")
-	errVersion  = errors.New("replica: the peer speaks another version")
-	errGreeting = errors.New("replica: no greeting")
-	errName     = errors.New("replica: the peer's certificate has another name")
+	errWrongReplica = errors.New("replica: address belongs to another replica")
+	errCluster      = errors.New("replica: peer belongs to another cluster")
+	errVersion      = errors.New("replica: peer has another protocol version")
+	errHandshake    = errors.New("replica: handshake failed")
+	errName         = errors.New("replica: name doesn't match the peer's certificate")
 )
 
-// inbound is one frame from a peer, decoded.
+// inbound is a decoded frame from a peer.
 type inbound struct {
 	from    raft.ID
 	name    string
 	cluster uint64
-	quorum  *raft.Message
+	message *raft.Message
 	forward *forward
 	reply   *forwardReply
-	join    *join
+	join    *joinRequest
 }
 
-// server takes peers' connections.
+// server accepts peers' connections.
 type server struct {
 	r        *Replica
 	listener net.Listener
@@ -69,10 +69,10 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(backoffMin) // out of file descriptors, most likely
+			time.Sleep(backoffMin) // most likely out of file descriptors
 			continue
 		}
-		if !s.admit(conn) {
+		if !s.track(conn) {
 			_ = conn.Close()
 			continue
 		}
@@ -80,10 +80,10 @@
 	}
 }
 
-func (s *server) admit(conn net.Conn) bool {
+func (s *server) track(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || len(s.conns) >= maxPeers {
+	if s.closed || len(s.conns) >= maxPeerConns {
 		s.r.count.peersRefused.Add(1)
 		return false
 	}
@@ -100,13 +100,13 @@
 		defer s.mu.Unlock()
 		delete(s.conns, raw)
 	}()
-	if err := s.talk(raw); err != nil && isRefusal(err) {
+	if err := s.handleConn(raw); err != nil && isRefusal(err) {
 		s.r.refusePeer(raw.RemoteAddr().String(), err)
 	}
 }
 
 func isRefusal(err error) bool {
-	for _, x := range []error{errCluster, errVersion, errGreeting, errName} {
+	for _, x := range []error{errCluster, errVersion, errHandshake, errName} {
 		if errors.Is(err, x) {
 			return true
 		}
@@ -119,7 +119,7 @@
 	events.Log(r.cfg.Log, events.ReplicaPeerRefused, logrus.Fields{"address": address, "error": err.Error()})
 }
 
-func (s *server) talk(raw net.Conn) error {
+func (s *server) handleConn(raw net.Conn) error {
 	if err := raw.SetDeadline(time.Now().Add(dialTimeout)); err != nil {
 		return err
 	}
@@ -127,31 +127,31 @@
 	if s.r.cfg.TLS.Server != nil {
 		secure := tls.Server(raw, s.r.cfg.TLS.Server)
 		if err := secure.HandshakeContext(context.Background()); err != nil {
-			return errors.Wrapf(errGreeting, "TLS: %v", err)
+			return errors.Wrapf(errHandshake, "TLS: %v", err)
 		}
 		holder, err := keys.PeerOf(secure.ConnectionState())
 		if err != nil {
-			return errors.Wrap(errGreeting, err.Error())
+			return errors.Wrap(errHandshake, err.Error())
 		}
 		certified = holder.Name
 		raw = secure
 	}
-	conn := framing.NewConn(raw, frameLimit, writeTimeout)
-	peer, err := s.r.answerGreeting(conn)
+	conn := framing.NewConn(raw, maxFrameBytes, writeTimeout)
+	peer, err := s.r.answerHandshake(conn)
 	if err != nil {
 		return err
 	}
 	if certified != "" && certified != peer.Name {
-		return errors.Wrapf(errName, "certificate of %s, greeting of %s", certified, peer.Name)
+		return errors.Wrapf(errName, "certificate for %s, handshake from %s", certified, peer.Name)
 	}
-	s.r.links.note(peer.Replica, peer.Address)
-	return s.receive(conn, peer)
+	s.r.links.recordAddress(peer.Replica, peer.Address)
+	return s.readFrames(conn, peer)
 }
 
-// receive hands frames to the loop until the connection ends.
-func (s *server) receive(conn *framing.Conn, peer greeting) error {
+// readFrames passes frames to the loop until the connection ends.
+func (s *server) readFrames(conn *framing.Conn, peer handshake) error {
 	for {
-		if err := conn.Raw().SetDeadline(time.Now().Add(peerTimeout)); err != nil {
+		if err := conn.Raw().SetDeadline(time.Now().Add(peerIdleTimeout)); err != nil {
 			return err
 		}
 		f, err := conn.Read()
@@ -160,12 +160,12 @@
 		}
 		s.r.count.received.Add(1)
 		if f.Kind == kindPing {
-			if _, err := conn.Write(kindPong, &pulse{}); err != nil {
+			if _, err := conn.Write(kindPong, &emptyBody{}); err != nil {
 				return err
 			}
 			continue
 		}
-		in, err := decode(f, peer)
+		in, err := decodeFrame(f, peer)
 		if err != nil {
 			return err
 		}
@@ -177,12 +177,12 @@
 	}
 }
 
-func decode(f framing.Frame, peer greeting) (inbound, error) {
+func decodeFrame(f framing.Frame, peer handshake) (inbound, error) {
 	in := inbound{from: peer.Replica, name: peer.Name, cluster: peer.Cluster}
 	switch f.Kind {
-	case kindQuorum:
-		in.quorum = new(raft.Message)
-		return in, f.Decode(in.quorum)
+	case kindRaft:
+		in.message = new(raft.Message)
+		return in, f.Decode(in.message)
 	case kindForward:
 		in.forward = new(forward)
 		return in, f.Decode(in.forward)
@@ -190,10 +190,10 @@
 		in.reply = new(forwardReply)
 		return in, f.Decode(in.reply)
 	case kindJoin:
-		in.join = new(join)
+		in.join = new(joinRequest)
 		return in, f.Decode(in.join)
 	}
-	return in, errors.Errorf("replica: frame kind %d", f.Kind)
+	return in, errors.Errorf("replica: unknown frame kind %d", f.Kind)
 }
 
 func (s *server) close() {
@@ -207,34 +207,35 @@
 	s.done.Wait()
 }
 
-// receive takes one frame in the loop. A peer speaks only for itself: one whose
-// name, which its certificate vouches for, isn't that of the member with its
-// identity could otherwise vote in another VM's place.
-func (r *Replica) receive(in inbound) {
+// handleFrame handles a frame in the loop. It drops frames whose sender's name, which its
+// certificate confirms, isn't the name of the member with its ID. Otherwise a peer could
+// vote as another VM.
+func (r *Replica) handleFrame(in inbound) {
 	if member, ok := r.core.Find(in.from); ok && member.Name != in.name {
 		r.count.peersRefused.Add(1)
 		return
 	}
 	switch {
-	case in.quorum != nil:
-		if in.quorum.From == in.from && r.joinCluster(in.cluster) {
-			r.core.Step(r.now(), *in.quorum)
+	case in.message != nil:
+		if in.message.From == in.from && r.acceptCluster(in.cluster) {
+			r.core.Step(r.now(), *in.message)
 		}
 	case in.forward != nil:
-		r.takeForward(in.from, *in.forward)
+		r.handleForward(in.from, *in.forward)
 	case in.reply != nil:
-		r.takeForwardReply(*in.reply)
+		r.handleForwardReply(*in.reply)
 	case in.join != nil:
-		r.takeJoin(*in.join)
+		r.handleJoin(*in.join)
 	}
 }
 
-// joinCluster records the cluster of the first replica that speaks to a new
-// one; from then on no other cluster's replica is listened to.
-func (r *Replica) joinCluster(cluster uint64) bool {
+// acceptCluster reports whether the sender belongs to this replica's cluster. A new
+// replica adopts the cluster of the first replica that sends it a message, and then
+// ignores all others.
+func (r *Replica) acceptCluster(cluster uint64) bool {
 	mine := r.cluster.Load()
 	if mine != 0 || cluster == 0 {
 		return mine == cluster && mine != 0
 	}
-	return r.setCluster(cluster) == nil // after a failure the next sync ends the replica
+	return r.setCluster(cluster) == nil // if this fails, the next sync fails and stops the replica
 }
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -11,15 +11,15 @@
 // Status is one replica's view of the cluster.
 type Status struct {
 	raft.Status
-	// Cluster is 0 until the replica has joined one.
+	// Cluster is the cluster's ID; 0 until the replica has joined one.
 	Cluster uint64
 	Name    string
-	// Waiting are fresh replicas that have the name of a member and wait for an
-	// operator to replace it. Only the leader knows of them.
+	// Waiting lists new replicas that have the name of a member and wait for an operator
+	// to replace it. Only the leader knows them.
 	Waiting []raft.Member
 }
 
-// Lag returns how many entries a member still lacks, as the leader knows it.
+// Lag returns how many entries a member lacks, as the leader knows it.
 func (s Status) Lag(m raft.MemberStatus) uint64 {
 	if m.Match >= s.Last {
 		return 0
@@ -27,15 +27,15 @@
 	return uint64(s.Last - m.Match)
 }
 
-// Status returns the view as of the loop's last turn. It doesn't wait, also
-// not while the disk hangs.
+// Status returns the view after the loop's last iteration. It doesn't block, even while
+// the disk hangs.
 func (r *Replica) Status() Status { return *r.status.Load() }
 
-// publish makes the loop's view visible to other goroutines.
+// publish makes the loop's view available to other goroutines.
 func (r *Replica) publish() {
 	s := &Status{Status: r.core.Status(), Cluster: r.cluster.Load(), Name: r.cfg.Name}
 	s.Applied = r.applied
-	for _, w := range r.waiting {
+	for _, w := range r.replacements {
 		s.Waiting = append(s.Waiting, w.member)
 	}
 	r.status.Store(s)
@@ -44,7 +44,7 @@
 	}
 }
 
-// counters are the replica's metrics.
+// counters holds the replica's metrics.
 type counters struct {
 	applied, entries, syncs, syncMicros, slowSyncs              *expvar.Int
 	refusedBusy, refusedLarge, refusedNoLeader, refusedByCore   *expvar.Int
@@ -88,9 +88,8 @@
 	}
 }
 
-// voters counts the members of the given kind that count for the quorum, by this
-// replica's own view.
-func (r *Replica) voters(which func(raft.ID) bool) int {
+// countVoters counts the voters for which the predicate holds, in this replica's view.
+func (r *Replica) countVoters(which func(raft.ID) bool) int {
 	n := 0
 	for _, m := range r.status.Load().Members {
 		if m.Role == raft.Voter && which(m.ID) {
@@ -100,13 +99,13 @@
 	return n
 }
 
-func (r *Replica) gauges() {
+func (r *Replica) registerGauges() {
 	m := r.cfg.Metrics
 	m.Gauge("replica_term", func() int64 { return int64(r.status.Load().Term) })
 	m.Gauge("replica_commit", func() int64 { return int64(r.status.Load().Commit) })
 	m.Gauge("replica_applied", func() int64 { return int64(r.status.Load().Applied) })
-	m.Gauge("replica_votes", func() int64 { return int64(r.voters(func(m raft.ID) bool { return m == r.ID() })) })
-	m.Gauge("replica_voters", func() int64 { return int64(r.voters(func(raft.ID) bool { return true })) })
+	m.Gauge("replica_votes", func() int64 { return int64(r.countVoters(func(m raft.ID) bool { return m == r.ID() })) })
+	m.Gauge("replica_voters", func() int64 { return int64(r.countVoters(func(raft.ID) bool { return true })) })
 	m.Gauge("replica_contact_age_milliseconds", func() int64 { return int64(r.ContactAge() / time.Millisecond) })
 	m.Text("replica_state", func() string { return r.status.Load().State.String() })
 	m.Text("replica_leader", func() string { return r.status.Load().Leader.String() })
--- a/internal/replica/tls_test.go
+++ b/internal/replica/tls_test.go
@@ -18,24 +18,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	store, err := keys.Load(files, quiet(), metrics.New())
+	store, err := keys.Load(files, discardLog(), metrics.New())
 	if err != nil {
 		t.Fatal(err)
 	}
 	return TLS{Server: store.Server(keys.Control), Client: store.Client(keys.Control)}
 }
 
-// Three replicas speak over TLS. A process with an agent's certificate, one
-// that isn't certified for the name it gives, and one of another authority
-// connect: none gets to say a word to the log.
+// Guards against uncertified peers. Three replicas use TLS; a process with an agent's
+// certificate, one whose certificate has another name, and one with another authority's
+// certificate connect. None may take part.
 func TestOnlyCertifiedReplicasTakePart(t *testing.T) {
 	is := is.New(t)
 	folder, foreign := t.TempDir(), t.TempDir()
 	is.NoErr(keys.Init(folder))
 	is.NoErr(keys.Init(foreign))
-	members := trio(t, func(c *Config) { c.TLS = tlsFor(t, folder, keys.Control, c.Name) })
+	members := startThree(t, func(c *Config) { c.TLS = tlsFor(t, folder, keys.Control, c.Name) })
 	mustPropose(t, members[1], "one")
-	sameCommands(t, members, []string{"one"})
+	requireCommands(t, members, []string{"one"})
 
 	leader := leaderOf(t, members)
 	for _, intruder := range []TLS{
@@ -47,7 +47,7 @@
 		m.cfg.TLS = intruder
 		m.start()
 		refused := leader.cfg.Metrics.Value("replica_peers_refused")
-		await(t, "the refusal", func() bool { return leader.cfg.Metrics.Value("replica_peers_refused") > refused })
+		waitFor(t, "the peer to be refused", func() bool { return leader.cfg.Metrics.Value("replica_peers_refused") > refused })
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		_, err := m.Propose(ctx, []byte("intruder"))
 		cancel()
@@ -55,5 +55,5 @@
 		is.Equal(len(leader.Status().Members), 3)
 		is.NoErr(m.Close())
 	}
-	sameCommands(t, members, []string{"one"})
+	requireCommands(t, members, []string{"one"})
 }
--- a/internal/replica/upkeep.go
+++ b/internal/replica/upkeep.go
@@ -10,29 +10,29 @@
 	"bergamotstall/internal/raft"
 )
 
-// Upkeep lets the leader change the membership by itself, where no operator
-// watches it. The zero value leaves every replacement to an operator.
+// Upkeep configures how the leader changes the membership without an operator. The zero
+// value leaves all changes to an operator.
 type Upkeep struct {
-	// ReplaceAfter is the silence after which a member's place goes to a fresh
-	// replica. It has to outlast lost frames and short pauses.
+	// ReplaceAfter is how long a member must be silent before a new replica replaces it.
+	// It must outlast lost frames and short pauses.
 	ReplaceAfter time.Duration
-	// EvictAfter is the silence after which a voter is removed though nobody
-	// takes its place. A VM that is gone for good otherwise counts for the quorum
-	// for ever, and each later loss weighs more. It must outlast the usual cuts:
-	// a removed replica has to come back as a fresh one.
+	// EvictAfter is how long a voter must be silent before it is removed without a
+	// replacement. A VM that is lost for good otherwise counts towards the quorum
+	// forever, so the cluster tolerates fewer further losses. It must outlast the usual
+	// partitions, since a removed replica can only come back as a new one.
 	EvictAfter time.Duration
 }
 
 const (
-	// evictFloor is the number of voters under which none is evicted: with
-	// fewer than three a second loss stops all commands.
-	evictFloor = 3
-	// upkeepInterval paces the leader's look at its members, in heartbeats.
-	upkeepInterval = 10
+	// minVotersKept is the number of voters below which eviction doesn't go: with fewer
+	// than three voters, a second loss stops all commands.
+	minVotersKept = 3
+	// upkeepIntervalHeartbeats is the interval between the leader's checks for silent
+	// voters.
+	upkeepIntervalHeartbeats = 10
 )
 
-// longestSilent returns the voter that has been silent longest, if that is for
-// as long as given.
+// longestSilent returns the voter that has been silent longest, if for at least atLeast.
 func longestSilent(members []raft.MemberStatus, atLeast time.Duration) (raft.MemberStatus, bool) {
 	var worst raft.MemberStatus
 	found := false
@@ -44,10 +44,10 @@
 	return worst, found
 }
 
-// evictable returns the voter to remove. The voters that are heard must be a
-// majority before and after, or the removal could take the last copies of what
-// was accepted out of reach.
-func (u Upkeep) evictable(members []raft.MemberStatus, heartbeat time.Duration) (raft.MemberStatus, bool) {
+// evictionCandidate returns the voter to remove, if any. The voters that are heard from
+// must be a majority both before and after the removal; otherwise it could leave no
+// reachable copy of acknowledged commands.
+func (u Upkeep) evictionCandidate(members []raft.MemberStatus, heartbeat time.Duration) (raft.MemberStatus, bool) {
 	if u.EvictAfter <= 0 {
 		return raft.MemberStatus{}, false
 	}
@@ -61,14 +61,15 @@
 			heard++
 		}
 	}
-	if voters <= evictFloor || heard <= voters/2 {
+	if voters <= minVotersKept || heard <= voters/2 {
 		return raft.MemberStatus{}, false
 	}
 	return longestSilent(members, u.EvictAfter)
 }
 
-// silence is how long the leader hasn't heard a member; 0 if it isn't one.
-func silence(members []raft.MemberStatus, id raft.ID) time.Duration {
+// silenceOf returns how long the leader hasn't heard from a member; 0 if the ID isn't a
+// member's.
+func silenceOf(members []raft.MemberStatus, id raft.ID) time.Duration {
 	i := slices.IndexFunc(members, func(m raft.MemberStatus) bool { return m.ID == id })
 	if i < 0 {
 		return 0
@@ -76,11 +77,11 @@
 	return members[i].Silence
 }
 
-// admitFresh takes a fresh replica in without an operator where the upkeep
-// allows it; false where an operator has to decide.
-func (r *Replica) admitFresh(m raft.Member, old raft.Member) bool {
+// replaceSilentMember adds a new replica in place of the member with its name, if that
+// member has been silent for ReplaceAfter. It returns false if an operator has to decide.
+func (r *Replica) replaceSilentMember(m raft.Member, old raft.Member) bool {
 	u := r.cfg.Upkeep
-	if u.ReplaceAfter <= 0 || silence(r.core.Status().Members, old.ID) < u.ReplaceAfter {
+	if u.ReplaceAfter <= 0 || silenceOf(r.core.Status().Members, old.ID) < u.ReplaceAfter {
 		return false
 	}
 	m.Replaces = old.ID
@@ -88,11 +89,11 @@
 	return true
 }
 
-// admitNew takes in a replica with a new name. It takes the place of a voter
-// that is silent: a VM that is gone for good would otherwise count on beside its
-// successor, and of four voters with one gone, the loss of one more stops all
-// commands. A voter that was only cut off comes back as a fresh replica.
-func (r *Replica) admitNew(m raft.Member) {
+// addNewMember adds a replica with a new name, in place of a silent voter if there is
+// one. Otherwise a VM that is lost for good would still count beside its successor, and
+// with one of four voters lost, one more loss would stop all commands. A voter that was
+// only cut off comes back as a new replica.
+func (r *Replica) addNewMember(m raft.Member) {
 	if u := r.cfg.Upkeep; u.ReplaceAfter > 0 {
 		if lost, ok := longestSilent(r.core.Status().Members, u.ReplaceAfter); ok {
 			m.Replaces = lost.ID
@@ -103,7 +104,7 @@
 
 func (r *Replica) addLearner(m raft.Member, replaces raft.ID) {
 	if _, err := r.core.AddLearner(m); err != nil {
-		r.count.joinsRefused.Add(1) // it asks again
+		r.count.joinsRefused.Add(1) // the replica repeats its join request
 		return
 	}
 	events.Log(r.cfg.Log, events.MemberAdmitted, logrus.Fields{
@@ -111,28 +112,28 @@
 	})
 }
 
-// upkeep removes a voter that is gone.
-func (r *Replica) upkeep() {
+// evictSilentVoter removes a voter that has been silent for EvictAfter.
+func (r *Replica) evictSilentVoter() {
 	if r.now() < r.upkeepAt {
 		return
 	}
-	r.upkeepAt = r.now() + upkeepInterval*r.cfg.Heartbeat
+	r.upkeepAt = r.now() + upkeepIntervalHeartbeats*r.cfg.Heartbeat
 	if !r.core.IsLeader() {
 		return
 	}
-	lost, ok := r.cfg.Upkeep.evictable(r.core.Status().Members, r.cfg.Heartbeat)
+	lost, ok := r.cfg.Upkeep.evictionCandidate(r.core.Status().Members, r.cfg.Heartbeat)
 	if !ok {
 		return
 	}
 	if _, err := r.core.RemoveMember(lost.ID); err != nil {
-		return // another change is open; looked at again
+		return // another change is pending; retried at the next check
 	}
 	events.Log(r.cfg.Log, events.MemberEvicted, logrus.Fields{
 		"name": lost.Name, "address": lost.Address, "replica": lost.ID.String(), "silent": lost.Silence.String(),
 	})
 }
 
-// SetPeers changes the addresses through which this replica joins a cluster.
+// SetPeers replaces the addresses that a new replica asks to join the cluster.
 func (r *Replica) SetPeers(addresses []string) {
 	r.peers.Store(&addresses)
 }
--- a/internal/replica/upkeep_test.go
+++ b/internal/replica/upkeep_test.go
@@ -11,13 +11,13 @@
 	"bergamotstall/internal/raft"
 )
 
-// testUpkeep is in proportion to the tests' heartbeat of 20 ms.
+// testUpkeep sets times in proportion to the tests' heartbeat of 20 ms.
 func testUpkeep(c *Config) {
 	c.Upkeep = Upkeep{ReplaceAfter: 300 * time.Millisecond, EvictAfter: 800 * time.Millisecond}
 }
 
-// votes tells whether all know the replica as a voter; none may.
-func votes(members []*member, id raft.ID) bool {
+// allSeeVoter reports whether all members see the replica as a voter.
+func allSeeVoter(members []*member, id raft.ID) bool {
 	for _, m := range members {
 		known := false
 		for _, x := range m.Status().Members {
@@ -30,12 +30,12 @@
 	return true
 }
 
-// A control VM loses its disk and comes back empty under its name. Nobody is
-// there to replace the member: the leader does, once the old one is silent, and
-// three vote again. What was accepted is on the empty disk too.
+// Guards against a cluster that stays short of a voter. A control VM loses its disk and
+// comes back empty under its name. Without an operator, the leader replaces the old
+// member once it is silent, and the empty disk gets everything that was accepted.
 func TestLostDiskIsReplacedWithoutAnOperator(t *testing.T) {
 	is := is.New(t)
-	members := trio(t, testUpkeep)
+	members := startThree(t, testUpkeep)
 	mustPropose(t, members[0], "before")
 	lost := members[2]
 	old := lost.ID()
@@ -43,44 +43,44 @@
 	is.NoErr(os.RemoveAll(lost.folder))
 	lost.start()
 	is.True(lost.ID() != old)
-	await(t, "its vote", func() bool { return votes(members, lost.ID()) && !votes(members, old) })
-	sameCommands(t, members, []string{"before"})
+	waitFor(t, "its vote", func() bool { return allSeeVoter(members, lost.ID()) && !allSeeVoter(members, old) })
+	requireCommands(t, members, []string{"before"})
 }
 
-// linked tells whether a replica keeps a link to another one.
-func (m *member) linked(id raft.ID) bool {
+// hasLink reports whether a replica keeps a link to another one.
+func (m *member) hasLink(id raft.ID) bool {
 	m.links.mu.Lock()
 	defer m.links.mu.Unlock()
 	return m.links.byReplica[id] != nil
 }
 
-// Guards against replicas that go on dialling one that was removed, for as long as they
-// run, and are answered by the fresh one at its address.
+// Guards against links that dial a removed replica for as long as the process runs, and
+// reach the new replica at its address.
 func TestLinksToARemovedReplicaEnd(t *testing.T) {
 	is := is.New(t)
-	members := trio(t, testUpkeep)
+	members := startThree(t, testUpkeep)
 	lost := members[2]
 	old := lost.ID()
 	is.NoErr(lost.Close())
 	is.NoErr(os.RemoveAll(lost.folder))
 	lost.start()
-	await(t, "its vote", func() bool { return votes(members, lost.ID()) && !votes(members, old) })
+	waitFor(t, "its vote", func() bool { return allSeeVoter(members, lost.ID()) && !allSeeVoter(members, old) })
 	for _, m := range members[:2] {
-		await(t, "the link's end", func() bool { return !m.linked(old) })
+		waitFor(t, "the link to be removed", func() bool { return !m.hasLink(old) })
 	}
 }
 
-// A control VM is gone for good and an empty one comes under another name. If it
-// joined beside the lost one, four would vote with one gone, and the loss of one
-// more disk, with the others back from a power cut, would leave two of four: no
-// leader, nothing accepted any more.
-func TestNewVMTakesTheSilentVotersPlace(t *testing.T) {
+// Guards against a lost voter that still counts beside its successor. A control VM is
+// lost for good and an empty one joins under another name. With four voters, one of them
+// lost, the loss of one more disk would leave two of four: no leader, and no command
+// accepted.
+func TestNewVMReplacesSilentVoter(t *testing.T) {
 	is := is.New(t)
-	members := trio(t, testUpkeep)
+	members := startThree(t, testUpkeep)
 	mustPropose(t, members[0], "before")
 	is.NoErr(members[2].Close())
 	rest := members[:2]
-	await(t, "the loss to be noticed", func() bool {
+	waitFor(t, "the leader to notice the loss", func() bool {
 		for _, m := range leaderOf(t, rest).Status().Members {
 			if m.Silence > 400*time.Millisecond {
 				return true
@@ -92,21 +92,21 @@
 	testUpkeep(&next.cfg)
 	next.start()
 	now := []*member{members[0], members[1], next}
-	await(t, "the successor's vote", func() bool { return votes(now, next.ID()) && !votes(now, members[2].ID()) })
+	waitFor(t, "the successor to become a voter", func() bool { return allSeeVoter(now, next.ID()) && !allSeeVoter(now, members[2].ID()) })
 
-	// The second loss: one of the two old ones comes back with an empty disk.
+	// The second loss: one of the two old VMs comes back with an empty disk.
 	is.NoErr(members[1].Close())
 	is.NoErr(os.RemoveAll(members[1].folder))
 	members[1].start()
-	await(t, "its vote", func() bool { return votes(now, members[1].ID()) })
-	sameCommands(t, now, []string{"before"})
+	waitFor(t, "its vote", func() bool { return allSeeVoter(now, members[1].ID()) })
+	requireCommands(t, now, []string{"before"})
 }
 
-// The successor comes first, then the old VM goes for good. Four vote until the
-// leader removes the silent one.
-func TestVMThatWentAfterItsSuccessorCameIsEvicted(t *testing.T) {
+// Guards against a lost voter that counts forever. The successor joins first, then the
+// old VM is lost for good. There are four voters until the leader evicts the silent one.
+func TestLostVMIsEvictedAfterSuccessorJoined(t *testing.T) {
 	is := is.New(t)
-	members := trio(t, testUpkeep)
+	members := startThree(t, testUpkeep)
 	next := newMember(t, members[0].net, "d", members[0].address)
 	testUpkeep(&next.cfg)
 	next.start()
@@ -117,10 +117,11 @@
 	mustPropose(t, next, "after")
 }
 
-// A VM that was cut off for long comes back after it was evicted: it learns that
-// it was removed and stops, so that its user starts it as a fresh one.
-func TestEvictedReplicaLearnsOfIt(t *testing.T) {
-	members := trio(t, testUpkeep)
+// Guards against an evicted replica that keeps running. A VM that was cut off for long
+// comes back after its eviction. It learns that it was removed and stops, so that the
+// process can start it as a new replica.
+func TestEvictedReplicaStops(t *testing.T) {
+	members := startThree(t, testUpkeep)
 	next := newMember(t, members[0].net, "d", members[0].address)
 	testUpkeep(&next.cfg)
 	next.start()
@@ -136,24 +137,23 @@
 	}
 }
 
-// Three voters are never fewer for silence alone: with two, one more loss stops
-// everything.
+// Guards against evicting below three voters: with two, one more loss stops all commands.
 func TestEvictionKeepsThreeVoters(t *testing.T) {
 	is := is.New(t)
 	voter := func(id raft.ID, silent time.Duration) raft.MemberStatus {
 		return raft.MemberStatus{Member: raft.Member{ID: id, Role: raft.Voter}, Silence: silent}
 	}
 	u := Upkeep{EvictAfter: time.Second}
-	beat := 20 * time.Millisecond
-	_, ok := u.evictable([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour)}, beat)
+	heartbeat := 20 * time.Millisecond
+	_, ok := u.evictionCandidate([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour)}, heartbeat)
 	is.Equal(ok, false)
-	lost, ok := u.evictable([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour), voter(4, 0)}, beat)
+	lost, ok := u.evictionCandidate([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour), voter(4, 0)}, heartbeat)
 	is.True(ok)
 	is.Equal(lost.ID, raft.ID(3))
-	// Two of four are silent: the rest is no majority, and a removal would
-	// decide without those who may hold what was accepted.
-	_, ok = u.evictable([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour), voter(4, time.Hour)}, beat)
+	// Two of four voters are silent. The rest is no majority, and a removal could lose
+	// commands that only the silent ones hold.
+	_, ok = u.evictionCandidate([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour), voter(4, time.Hour)}, heartbeat)
 	is.Equal(ok, false)
-	_, ok = Upkeep{}.evictable([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour), voter(4, 0)}, beat)
-	is.Equal(ok, false) // left to an operator
+	_, ok = Upkeep{}.evictionCandidate([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour), voter(4, 0)}, heartbeat)
+	is.Equal(ok, false) // the zero value leaves evictions to an operator
 }
