--- a/internal/idempotency/messages.go
+++ b/internal/idempotency/messages.go
@@ -4,109 +4,109 @@
 
 //go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/idempotency/messages.go -o ../internal/idempotency/messages_gen.go -tests=false
 
-// Sum is a truncated SHA-256.
-type Sum [16]byte
+// Hash is a truncated SHA-256.
+type Hash [16]byte
 
-// Key names one idempotency key of one service.
-type Key Sum
+// Key identifies one idempotency key of one service.
+type Key Hash
 
-// ID names one claimant's one try for a key. IDs are never used twice: the agent
-// number is one incarnation's, the nonce counts its tries.
-type ID struct {
+// ClaimID identifies one claim. IDs are never reused: an agent number belongs to one
+// incarnation, and the nonce counts its claims.
+type ClaimID struct {
 	Agent table.AgentNumber `msg:"a"`
 	Nonce uint64            `msg:"n"`
 }
 
-// Request asks a keeper for a key.
+// Request asks a voter for its vote on a key.
 type Request struct {
-	Key Key `msg:"k"`
-	ID  ID  `msg:"i"`
-	// Caller is the hash of the caller's credential, Body that of the request's
-	// method, path and body.
-	Caller Sum `msg:"c"`
-	Body   Sum `msg:"b"`
+	Key Key     `msg:"k"`
+	ID  ClaimID `msg:"i"`
+	// Caller is the hash of the caller's credential, Body that of the request's method,
+	// URI and body.
+	Caller Hash `msg:"c"`
+	Body   Hash `msg:"b"`
 }
 
-// Standing is what a keeper says about a key.
-type Standing uint8
+// KeyState is a voter's reply to a claim: its vote, or the key's state that prevents it.
+type KeyState uint8
 
-// Standings.
+// States of a key.
 const (
-	// Granted: the keeper's vote is the claimant's.
-	Granted Standing = iota + 1
-	// Held: another try has the key; its request may be running.
+	// Granted: the claim has the voter's vote.
+	Granted KeyState = iota + 1
+	// Held: another claim holds the key; its request may be running.
 	Held
-	// Lost: another try handed its request over and got no answer.
-	Lost
-	// Done: the request has run; the answer is there unless it was too large.
+	// NoAnswer: another claim sent its request to the target and got no response.
+	NoAnswer
+	// Done: the request has run; the response is included unless it wasn't stored.
 	Done
-	// OtherBody and OtherCaller: the key was used for another request or by
-	// another caller.
+	// OtherBody and OtherCaller: the key was used for a different request or by a
+	// different caller.
 	OtherBody
 	OtherCaller
-	// Full: the keeper can't take one more key, in all or of this caller.
+	// Full: the voter has reached its limit of keys, in total or for this caller.
 	Full
-	// Closed: the keeper leaves, is retired or has an old table; it grants
-	// nothing.
+	// Closed: the voter is shutting down, is retired or has an old table, or the claim
+	// already released the key. It grants no vote.
 	Closed
 )
 
-// Reply is a keeper's answer.
+// Reply is a voter's reply to a Request.
 type Reply struct {
-	Standing Standing `msg:"s"`
-	// Merged lists the keepers that have closed and whose records this one has.
+	State KeyState `msg:"s"`
+	// Merged lists the closed voters whose records this voter has merged.
 	Merged []table.AgentNumber `msg:"m"`
-	// Answer is set with Done, where it was kept.
-	Answer *Answer `msg:"a"`
+	// Response is set with Done if it was stored.
+	Response *Response `msg:"a"`
 }
 
-// Answer is a target's answer, small enough to be kept.
-type Answer struct {
-	Status int     `msg:"s"`
-	Header []Field `msg:"h"`
-	Body   []byte  `msg:"b"`
+// Response is a target's response that is small enough to be stored.
+type Response struct {
+	Status int           `msg:"s"`
+	Header []HeaderField `msg:"h"`
+	Body   []byte        `msg:"b"`
 }
 
-// Field is one header field.
-type Field struct {
+// HeaderField is one header field of a response.
+type HeaderField struct {
 	Name  string `msg:"n"`
 	Value string `msg:"v"`
 }
 
-// Release gives a key back: its try has run nothing and never will.
+// Release gives back a key whose claim hasn't run its request and never will.
 type Release struct {
-	Key Key `msg:"k"`
-	ID  ID  `msg:"i"`
+	Key Key     `msg:"k"`
+	ID  ClaimID `msg:"i"`
 }
 
-// Finish tells how a try ended after the hand-over to its target.
+// Finish reports how a claim's request ended after it was sent to the target.
 type Finish struct {
 	Request Request `msg:"r"`
-	// Standing is Done or Lost.
-	Standing Standing `msg:"s"`
-	// Answer is nil where it was too large to be kept.
-	Answer *Answer `msg:"a"`
+	// State is Done or NoAnswer.
+	State KeyState `msg:"s"`
+	// Response is nil if it was too large to be stored.
+	Response *Response `msg:"a"`
 }
 
-// Handover carries all that a keeper knows when it closes, to every other
-// keeper of the service. From never grants anything afterwards.
+// Handover carries all records of a closing voter to the service's other voters. From
+// grants no vote afterwards.
 type Handover struct {
 	From    table.AgentNumber   `msg:"f"`
 	Merged  []table.AgentNumber `msg:"m"`
 	Records []Record            `msg:"r"`
 }
 
-// Record is what a keeper knows about one try for one key.
+// Record is what a voter knows about one claim of one key.
 type Record struct {
-	Request  Request  `msg:"r"`
-	Standing Standing `msg:"s"`
-	Answer   *Answer  `msg:"a"`
-	// LeftMS is how long the record stays, in milliseconds. It is relative, since
-	// two agents' clocks have no common origin.
-	LeftMS int64 `msg:"l"`
+	Request  Request   `msg:"r"`
+	State    KeyState  `msg:"s"`
+	Response *Response `msg:"a"`
+	// RemainingMS is the time until the record expires, in milliseconds. It is relative
+	// because the clocks of two agents have no common origin.
+	RemainingMS int64 `msg:"l"`
 }
 
-// Taken answers a Handover.
-type Taken struct {
+// HandoverReply answers a Handover. OK tells whether the records were merged.
+type HandoverReply struct {
 	OK bool `msg:"o"`
 }
--- a/internal/idempotency/messages_gen.go
+++ b/internal/idempotency/messages_gen.go
@@ -9,7 +9,7 @@
 )
 
 // DecodeMsg implements msgp.Decodable
-func (z *Answer) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *ClaimID) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -26,64 +26,16 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "s":
-			z.Status, err = dc.ReadInt()
-			if err != nil {
-				err = msgp.WrapError(err, "Status")
-				return
-			}
-		case "h":
-			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
+		case "a":
+			err = z.Agent.DecodeMsg(dc)
 			if err != nil {
-				err = msgp.WrapError(err, "Header")
+				err = msgp.WrapError(err, "Agent")
 				return
 			}
-			if cap(z.Header) >= int(zb0002) {
-				z.Header = (z.Header)[:zb0002]
-			} else {
-				z.Header = make([]Field, zb0002)
-			}
-			for za0001 := range z.Header {
-				var zb0003 uint32
-				zb0003, err = dc.ReadMapHeader()
-				if err != nil {
-					err = msgp.WrapError(err, "Header", za0001)
-					return
-				}
-				for zb0003 > 0 {
-					zb0003--
-					field, err = dc.ReadMapKeyPtr()
-					if err != nil {
-						err = msgp.WrapError(err, "Header", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "n":
-						z.Header[za0001].Name, err = dc.ReadString()
-						if err != nil {
-							err = msgp.WrapError(err, "Header", za0001, "Name")
-							return
-						}
-					case "v":
-						z.Header[za0001].Value, err = dc.ReadString()
-						if err != nil {
-							err = msgp.WrapError(err, "Header", za0001, "Value")
-							return
-						}
-					default:
-						err = dc.Skip()
-						if err != nil {
-							err = msgp.WrapError(err, "Header", za0001)
-							return
-						}
-					}
-				}
-			}
-		case "b":
-			z.Body, err = dc.ReadBytes(z.Body)
+		case "n":
+			z.Nonce, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Body")
+				err = msgp.WrapError(err, "Nonce")
 				return
 			}
 		default:
@@ -98,91 +50,50 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Answer) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 3
-	// write "s"
-	err = en.Append(0x83, 0xa1, 0x73)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt(z.Status)
-	if err != nil {
-		err = msgp.WrapError(err, "Status")
-		return
-	}
-	// write "h"
-	err = en.Append(0xa1, 0x68)
+func (z *ClaimID) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 2
+	// write "a"
+	err = en.Append(0x82, 0xa1, 0x61)
 	if err != nil {
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Header)))
+	err = z.Agent.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "Header")
+		err = msgp.WrapError(err, "Agent")
 		return
 	}
-	for za0001 := range z.Header {
-		// map header, size 2
-		// write "n"
-		err = en.Append(0x82, 0xa1, 0x6e)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Header[za0001].Name)
-		if err != nil {
-			err = msgp.WrapError(err, "Header", za0001, "Name")
-			return
-		}
-		// write "v"
-		err = en.Append(0xa1, 0x76)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Header[za0001].Value)
-		if err != nil {
-			err = msgp.WrapError(err, "Header", za0001, "Value")
-			return
-		}
-	}
-	// write "b"
-	err = en.Append(0xa1, 0x62)
+	// write "n"
+	err = en.Append(0xa1, 0x6e)
 	if err != nil {
 		return
 	}
-	err = en.WriteBytes(z.Body)
+	err = en.WriteUint64(z.Nonce)
 	if err != nil {
-		err = msgp.WrapError(err, "Body")
+		err = msgp.WrapError(err, "Nonce")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Answer) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *ClaimID) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "s"
-	o = append(o, 0x83, 0xa1, 0x73)
-	o = msgp.AppendInt(o, z.Status)
-	// string "h"
-	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Header)))
-	for za0001 := range z.Header {
-		// map header, size 2
-		// string "n"
-		o = append(o, 0x82, 0xa1, 0x6e)
-		o = msgp.AppendString(o, z.Header[za0001].Name)
-		// string "v"
-		o = append(o, 0xa1, 0x76)
-		o = msgp.AppendString(o, z.Header[za0001].Value)
+	// map header, size 2
+	// string "a"
+	o = append(o, 0x82, 0xa1, 0x61)
+	o, err = z.Agent.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Agent")
+		return
 	}
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendBytes(o, z.Body)
+	// string "n"
+	o = append(o, 0xa1, 0x6e)
+	o = msgp.AppendUint64(o, z.Nonce)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Answer) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ClaimID) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -199,64 +110,16 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "s":
-			z.Status, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Status")
-				return
-			}
-		case "h":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "a":
+			bts, err = z.Agent.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Header")
+				err = msgp.WrapError(err, "Agent")
 				return
 			}
-			if cap(z.Header) >= int(zb0002) {
-				z.Header = (z.Header)[:zb0002]
-			} else {
-				z.Header = make([]Field, zb0002)
-			}
-			for za0001 := range z.Header {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Header", za0001)
-					return
-				}
-				for zb0003 > 0 {
-					zb0003--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Header", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "n":
-						z.Header[za0001].Name, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Header", za0001, "Name")
-							return
-						}
-					case "v":
-						z.Header[za0001].Value, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Header", za0001, "Value")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Header", za0001)
-							return
-						}
-					}
-				}
-			}
-		case "b":
-			z.Body, bts, err = msgp.ReadBytesBytes(bts, z.Body)
+		case "n":
+			z.Nonce, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Body")
+				err = msgp.WrapError(err, "Nonce")
 				return
 			}
 		default:
@@ -272,17 +135,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Answer) Msgsize() (s int) {
-	s = 1 + 2 + msgp.IntSize + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Header {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Header[za0001].Name) + 2 + msgp.StringPrefixSize + len(z.Header[za0001].Value)
-	}
-	s += 2 + msgp.BytesPrefixSize + len(z.Body)
+func (z *ClaimID) Msgsize() (s int) {
+	s = 1 + 2 + z.Agent.Msgsize() + 2 + msgp.Uint64Size
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Field) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Finish) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -299,17 +158,39 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Name, err = dc.ReadString()
+		case "r":
+			err = z.Request.DecodeMsg(dc)
 			if err != nil {
-				err = msgp.WrapError(err, "Name")
+				err = msgp.WrapError(err, "Request")
 				return
 			}
-		case "v":
-			z.Value, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Value")
-				return
+		case "s":
+			{
+				var zb0002 uint8
+				zb0002, err = dc.ReadUint8()
+				if err != nil {
+					err = msgp.WrapError(err, "State")
+					return
+				}
+				z.State = KeyState(zb0002)
+			}
+		case "a":
+			if dc.IsNil() {
+				err = dc.ReadNil()
+				if err != nil {
+					err = msgp.WrapError(err, "Response")
+					return
+				}
+				z.Response = nil
+			} else {
+				if z.Response == nil {
+					z.Response = new(Response)
+				}
+				err = z.Response.DecodeMsg(dc)
+				if err != nil {
+					err = msgp.WrapError(err, "Response")
+					return
+				}
 			}
 		default:
 			err = dc.Skip()
@@ -323,176 +204,26 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Field) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 2
-	// write "n"
-	err = en.Append(0x82, 0xa1, 0x6e)
+func (z *Finish) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 3
+	// write "r"
+	err = en.Append(0x83, 0xa1, 0x72)
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Name)
+	err = z.Request.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "Name")
+		err = msgp.WrapError(err, "Request")
 		return
 	}
-	// write "v"
-	err = en.Append(0xa1, 0x76)
+	// write "s"
+	err = en.Append(0xa1, 0x73)
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Value)
+	err = en.WriteUint8(uint8(z.State))
 	if err != nil {
-		err = msgp.WrapError(err, "Value")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z Field) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "n"
-	o = append(o, 0x82, 0xa1, 0x6e)
-	o = msgp.AppendString(o, z.Name)
-	// string "v"
-	o = append(o, 0xa1, 0x76)
-	o = msgp.AppendString(o, z.Value)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Field) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Name, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Name")
-				return
-			}
-		case "v":
-			z.Value, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Value")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Field) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Value)
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Finish) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "r":
-			err = z.Request.DecodeMsg(dc)
-			if err != nil {
-				err = msgp.WrapError(err, "Request")
-				return
-			}
-		case "s":
-			{
-				var zb0002 uint8
-				zb0002, err = dc.ReadUint8()
-				if err != nil {
-					err = msgp.WrapError(err, "Standing")
-					return
-				}
-				z.Standing = Standing(zb0002)
-			}
-		case "a":
-			if dc.IsNil() {
-				err = dc.ReadNil()
-				if err != nil {
-					err = msgp.WrapError(err, "Answer")
-					return
-				}
-				z.Answer = nil
-			} else {
-				if z.Answer == nil {
-					z.Answer = new(Answer)
-				}
-				err = z.Answer.DecodeMsg(dc)
-				if err != nil {
-					err = msgp.WrapError(err, "Answer")
-					return
-				}
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Finish) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 3
-	// write "r"
-	err = en.Append(0x83, 0xa1, 0x72)
-	if err != nil {
-		return
-	}
-	err = z.Request.EncodeMsg(en)
-	if err != nil {
-		err = msgp.WrapError(err, "Request")
-		return
-	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint8(uint8(z.Standing))
-	if err != nil {
-		err = msgp.WrapError(err, "Standing")
+		err = msgp.WrapError(err, "State")
 		return
 	}
 	// write "a"
@@ -500,15 +231,15 @@
 	if err != nil {
 		return
 	}
-	if z.Answer == nil {
+	if z.Response == nil {
 		err = en.WriteNil()
 		if err != nil {
 			return
 		}
 	} else {
-		err = z.Answer.EncodeMsg(en)
+		err = z.Response.EncodeMsg(en)
 		if err != nil {
-			err = msgp.WrapError(err, "Answer")
+			err = msgp.WrapError(err, "Response")
 			return
 		}
 	}
@@ -528,15 +259,15 @@
 	}
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint8(o, uint8(z.Standing))
+	o = msgp.AppendUint8(o, uint8(z.State))
 	// string "a"
 	o = append(o, 0xa1, 0x61)
-	if z.Answer == nil {
+	if z.Response == nil {
 		o = msgp.AppendNil(o)
 	} else {
-		o, err = z.Answer.MarshalMsg(o)
+		o, err = z.Response.MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Answer")
+			err = msgp.WrapError(err, "Response")
 			return
 		}
 	}
@@ -572,10 +303,10 @@
 				var zb0002 uint8
 				zb0002, bts, err = msgp.ReadUint8Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Standing")
+					err = msgp.WrapError(err, "State")
 					return
 				}
-				z.Standing = Standing(zb0002)
+				z.State = KeyState(zb0002)
 			}
 		case "a":
 			if msgp.IsNil(bts) {
@@ -583,14 +314,14 @@
 				if err != nil {
 					return
 				}
-				z.Answer = nil
+				z.Response = nil
 			} else {
-				if z.Answer == nil {
-					z.Answer = new(Answer)
+				if z.Response == nil {
+					z.Response = new(Response)
 				}
-				bts, err = z.Answer.UnmarshalMsg(bts)
+				bts, err = z.Response.UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Answer")
+					err = msgp.WrapError(err, "Response")
 					return
 				}
 			}
@@ -609,10 +340,10 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Finish) Msgsize() (s int) {
 	s = 1 + 2 + z.Request.Msgsize() + 2 + msgp.Uint8Size + 2
-	if z.Answer == nil {
+	if z.Response == nil {
 		s += msgp.NilSize
 	} else {
-		s += z.Answer.Msgsize()
+		s += z.Response.Msgsize()
 	}
 	return
 }
@@ -862,7 +593,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *ID) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *HandoverReply) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -879,16 +610,10 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "a":
-			err = z.Agent.DecodeMsg(dc)
-			if err != nil {
-				err = msgp.WrapError(err, "Agent")
-				return
-			}
-		case "n":
-			z.Nonce, err = dc.ReadUint64()
+		case "o":
+			z.OK, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Nonce")
+				err = msgp.WrapError(err, "OK")
 				return
 			}
 		default:
@@ -903,50 +628,33 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *ID) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 2
-	// write "a"
-	err = en.Append(0x82, 0xa1, 0x61)
-	if err != nil {
-		return
-	}
-	err = z.Agent.EncodeMsg(en)
-	if err != nil {
-		err = msgp.WrapError(err, "Agent")
-		return
-	}
-	// write "n"
-	err = en.Append(0xa1, 0x6e)
+func (z HandoverReply) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 1
+	// write "o"
+	err = en.Append(0x81, 0xa1, 0x6f)
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Nonce)
+	err = en.WriteBool(z.OK)
 	if err != nil {
-		err = msgp.WrapError(err, "Nonce")
+		err = msgp.WrapError(err, "OK")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *ID) MarshalMsg(b []byte) (o []byte, err error) {
+func (z HandoverReply) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "a"
-	o = append(o, 0x82, 0xa1, 0x61)
-	o, err = z.Agent.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Agent")
-		return
-	}
-	// string "n"
-	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.Nonce)
+	// map header, size 1
+	// string "o"
+	o = append(o, 0x81, 0xa1, 0x6f)
+	o = msgp.AppendBool(o, z.OK)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *ID) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *HandoverReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -963,16 +671,10 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "a":
-			bts, err = z.Agent.UnmarshalMsg(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Agent")
-				return
-			}
-		case "n":
-			z.Nonce, bts, err = msgp.ReadUint64Bytes(bts)
+		case "o":
+			z.OK, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Nonce")
+				err = msgp.WrapError(err, "OK")
 				return
 			}
 		default:
@@ -988,13 +690,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *ID) Msgsize() (s int) {
-	s = 1 + 2 + z.Agent.Msgsize() + 2 + msgp.Uint64Size
+func (z HandoverReply) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BoolSize
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Key) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Hash) DecodeMsg(dc *msgp.Reader) (err error) {
 	err = dc.ReadExactBytes((z)[:])
 	if err != nil {
 		err = msgp.WrapError(err)
@@ -1004,7 +706,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Key) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *Hash) EncodeMsg(en *msgp.Writer) (err error) {
 	err = en.WriteBytes((z)[:])
 	if err != nil {
 		err = msgp.WrapError(err)
@@ -1014,14 +716,14 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Key) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Hash) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	o = msgp.AppendBytes(o, (z)[:])
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Key) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Hash) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	bts, err = msgp.ReadExactBytes(bts, (z)[:])
 	if err != nil {
 		err = msgp.WrapError(err)
@@ -1032,13 +734,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Key) Msgsize() (s int) {
+func (z *Hash) Msgsize() (s int) {
 	s = msgp.ArrayHeaderSize + (16 * (msgp.ByteSize))
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Record) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *HeaderField) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1055,44 +757,16 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "r":
-			err = z.Request.DecodeMsg(dc)
+		case "n":
+			z.Name, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Request")
+				err = msgp.WrapError(err, "Name")
 				return
 			}
-		case "s":
-			{
-				var zb0002 uint8
-				zb0002, err = dc.ReadUint8()
-				if err != nil {
-					err = msgp.WrapError(err, "Standing")
-					return
-				}
-				z.Standing = Standing(zb0002)
-			}
-		case "a":
-			if dc.IsNil() {
-				err = dc.ReadNil()
-				if err != nil {
-					err = msgp.WrapError(err, "Answer")
-					return
-				}
-				z.Answer = nil
-			} else {
-				if z.Answer == nil {
-					z.Answer = new(Answer)
-				}
-				err = z.Answer.DecodeMsg(dc)
-				if err != nil {
-					err = msgp.WrapError(err, "Answer")
-					return
-				}
-			}
-		case "l":
-			z.LeftMS, err = dc.ReadInt64()
+		case "v":
+			z.Value, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "LeftMS")
+				err = msgp.WrapError(err, "Value")
 				return
 			}
 		default:
@@ -1107,42 +781,294 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Record) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 4
-	// write "r"
-	err = en.Append(0x84, 0xa1, 0x72)
-	if err != nil {
-		return
-	}
-	err = z.Request.EncodeMsg(en)
+func (z HeaderField) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 2
+	// write "n"
+	err = en.Append(0x82, 0xa1, 0x6e)
 	if err != nil {
-		err = msgp.WrapError(err, "Request")
 		return
 	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
+	err = en.WriteString(z.Name)
 	if err != nil {
+		err = msgp.WrapError(err, "Name")
 		return
 	}
-	err = en.WriteUint8(uint8(z.Standing))
+	// write "v"
+	err = en.Append(0xa1, 0x76)
 	if err != nil {
-		err = msgp.WrapError(err, "Standing")
 		return
 	}
-	// write "a"
-	err = en.Append(0xa1, 0x61)
+	err = en.WriteString(z.Value)
 	if err != nil {
+		err = msgp.WrapError(err, "Value")
 		return
 	}
-	if z.Answer == nil {
-		err = en.WriteNil()
-		if err != nil {
-			return
-		}
-	} else {
-		err = z.Answer.EncodeMsg(en)
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z HeaderField) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "n"
+	o = append(o, 0x82, 0xa1, 0x6e)
+	o = msgp.AppendString(o, z.Name)
+	// string "v"
+	o = append(o, 0xa1, 0x76)
+	o = msgp.AppendString(o, z.Value)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *HeaderField) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "n":
+			z.Name, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Name")
+				return
+			}
+		case "v":
+			z.Value, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Value")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z HeaderField) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.StringPrefixSize + len(z.Value)
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *Key) DecodeMsg(dc *msgp.Reader) (err error) {
+	err = dc.ReadExactBytes((z)[:])
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *Key) EncodeMsg(en *msgp.Writer) (err error) {
+	err = en.WriteBytes((z)[:])
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *Key) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	o = msgp.AppendBytes(o, (z)[:])
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Key) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	bts, err = msgp.ReadExactBytes(bts, (z)[:])
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *Key) Msgsize() (s int) {
+	s = msgp.ArrayHeaderSize + (16 * (msgp.ByteSize))
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *KeyState) DecodeMsg(dc *msgp.Reader) (err error) {
+	{
+		var zb0001 uint8
+		zb0001, err = dc.ReadUint8()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		(*z) = KeyState(zb0001)
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z KeyState) EncodeMsg(en *msgp.Writer) (err error) {
+	err = en.WriteUint8(uint8(z))
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z KeyState) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	o = msgp.AppendUint8(o, uint8(z))
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *KeyState) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	{
+		var zb0001 uint8
+		zb0001, bts, err = msgp.ReadUint8Bytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		(*z) = KeyState(zb0001)
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z KeyState) Msgsize() (s int) {
+	s = msgp.Uint8Size
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *Record) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "r":
+			err = z.Request.DecodeMsg(dc)
+			if err != nil {
+				err = msgp.WrapError(err, "Request")
+				return
+			}
+		case "s":
+			{
+				var zb0002 uint8
+				zb0002, err = dc.ReadUint8()
+				if err != nil {
+					err = msgp.WrapError(err, "State")
+					return
+				}
+				z.State = KeyState(zb0002)
+			}
+		case "a":
+			if dc.IsNil() {
+				err = dc.ReadNil()
+				if err != nil {
+					err = msgp.WrapError(err, "Response")
+					return
+				}
+				z.Response = nil
+			} else {
+				if z.Response == nil {
+					z.Response = new(Response)
+				}
+				err = z.Response.DecodeMsg(dc)
+				if err != nil {
+					err = msgp.WrapError(err, "Response")
+					return
+				}
+			}
+		case "l":
+			z.RemainingMS, err = dc.ReadInt64()
+			if err != nil {
+				err = msgp.WrapError(err, "RemainingMS")
+				return
+			}
+		default:
+			err = dc.Skip()
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *Record) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 4
+	// write "r"
+	err = en.Append(0x84, 0xa1, 0x72)
+	if err != nil {
+		return
+	}
+	err = z.Request.EncodeMsg(en)
+	if err != nil {
+		err = msgp.WrapError(err, "Request")
+		return
+	}
+	// write "s"
+	err = en.Append(0xa1, 0x73)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint8(uint8(z.State))
+	if err != nil {
+		err = msgp.WrapError(err, "State")
+		return
+	}
+	// write "a"
+	err = en.Append(0xa1, 0x61)
+	if err != nil {
+		return
+	}
+	if z.Response == nil {
+		err = en.WriteNil()
+		if err != nil {
+			return
+		}
+	} else {
+		err = z.Response.EncodeMsg(en)
 		if err != nil {
-			err = msgp.WrapError(err, "Answer")
+			err = msgp.WrapError(err, "Response")
 			return
 		}
 	}
@@ -1151,9 +1077,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteInt64(z.LeftMS)
+	err = en.WriteInt64(z.RemainingMS)
 	if err != nil {
-		err = msgp.WrapError(err, "LeftMS")
+		err = msgp.WrapError(err, "RemainingMS")
 		return
 	}
 	return
@@ -1172,21 +1098,21 @@
 	}
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint8(o, uint8(z.Standing))
+	o = msgp.AppendUint8(o, uint8(z.State))
 	// string "a"
 	o = append(o, 0xa1, 0x61)
-	if z.Answer == nil {
+	if z.Response == nil {
 		o = msgp.AppendNil(o)
 	} else {
-		o, err = z.Answer.MarshalMsg(o)
+		o, err = z.Response.MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Answer")
+			err = msgp.WrapError(err, "Response")
 			return
 		}
 	}
 	// string "l"
 	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendInt64(o, z.LeftMS)
+	o = msgp.AppendInt64(o, z.RemainingMS)
 	return
 }
 
@@ -1219,10 +1145,10 @@
 				var zb0002 uint8
 				zb0002, bts, err = msgp.ReadUint8Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Standing")
+					err = msgp.WrapError(err, "State")
 					return
 				}
-				z.Standing = Standing(zb0002)
+				z.State = KeyState(zb0002)
 			}
 		case "a":
 			if msgp.IsNil(bts) {
@@ -1230,21 +1156,21 @@
 				if err != nil {
 					return
 				}
-				z.Answer = nil
+				z.Response = nil
 			} else {
-				if z.Answer == nil {
-					z.Answer = new(Answer)
+				if z.Response == nil {
+					z.Response = new(Response)
 				}
-				bts, err = z.Answer.UnmarshalMsg(bts)
+				bts, err = z.Response.UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Answer")
+					err = msgp.WrapError(err, "Response")
 					return
 				}
 			}
 		case "l":
-			z.LeftMS, bts, err = msgp.ReadInt64Bytes(bts)
+			z.RemainingMS, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "LeftMS")
+				err = msgp.WrapError(err, "RemainingMS")
 				return
 			}
 		default:
@@ -1262,10 +1188,10 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Record) Msgsize() (s int) {
 	s = 1 + 2 + z.Request.Msgsize() + 2 + msgp.Uint8Size + 2
-	if z.Answer == nil {
+	if z.Response == nil {
 		s += msgp.NilSize
 	} else {
-		s += z.Answer.Msgsize()
+		s += z.Response.Msgsize()
 	}
 	s += 2 + msgp.Int64Size
 	return
@@ -1506,10 +1432,10 @@
 				var zb0002 uint8
 				zb0002, err = dc.ReadUint8()
 				if err != nil {
-					err = msgp.WrapError(err, "Standing")
+					err = msgp.WrapError(err, "State")
 					return
 				}
-				z.Standing = Standing(zb0002)
+				z.State = KeyState(zb0002)
 			}
 		case "m":
 			var zb0003 uint32
@@ -1534,17 +1460,17 @@
 			if dc.IsNil() {
 				err = dc.ReadNil()
 				if err != nil {
-					err = msgp.WrapError(err, "Answer")
+					err = msgp.WrapError(err, "Response")
 					return
 				}
-				z.Answer = nil
+				z.Response = nil
 			} else {
-				if z.Answer == nil {
-					z.Answer = new(Answer)
+				if z.Response == nil {
+					z.Response = new(Response)
 				}
-				err = z.Answer.DecodeMsg(dc)
+				err = z.Response.DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "Answer")
+					err = msgp.WrapError(err, "Response")
 					return
 				}
 			}
@@ -1567,9 +1493,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint8(uint8(z.Standing))
+	err = en.WriteUint8(uint8(z.State))
 	if err != nil {
-		err = msgp.WrapError(err, "Standing")
+		err = msgp.WrapError(err, "State")
 		return
 	}
 	// write "m"
@@ -1594,15 +1520,15 @@
 	if err != nil {
 		return
 	}
-	if z.Answer == nil {
+	if z.Response == nil {
 		err = en.WriteNil()
 		if err != nil {
 			return
 		}
 	} else {
-		err = z.Answer.EncodeMsg(en)
+		err = z.Response.EncodeMsg(en)
 		if err != nil {
-			err = msgp.WrapError(err, "Answer")
+			err = msgp.WrapError(err, "Response")
 			return
 		}
 	}
@@ -1615,7 +1541,7 @@
 	// map header, size 3
 	// string "s"
 	o = append(o, 0x83, 0xa1, 0x73)
-	o = msgp.AppendUint8(o, uint8(z.Standing))
+	o = msgp.AppendUint8(o, uint8(z.State))
 	// string "m"
 	o = append(o, 0xa1, 0x6d)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Merged)))
@@ -1628,12 +1554,12 @@
 	}
 	// string "a"
 	o = append(o, 0xa1, 0x61)
-	if z.Answer == nil {
+	if z.Response == nil {
 		o = msgp.AppendNil(o)
 	} else {
-		o, err = z.Answer.MarshalMsg(o)
+		o, err = z.Response.MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Answer")
+			err = msgp.WrapError(err, "Response")
 			return
 		}
 	}
@@ -1663,10 +1589,10 @@
 				var zb0002 uint8
 				zb0002, bts, err = msgp.ReadUint8Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Standing")
+					err = msgp.WrapError(err, "State")
 					return
 				}
-				z.Standing = Standing(zb0002)
+				z.State = KeyState(zb0002)
 			}
 		case "m":
 			var zb0003 uint32
@@ -1693,14 +1619,14 @@
 				if err != nil {
 					return
 				}
-				z.Answer = nil
+				z.Response = nil
 			} else {
-				if z.Answer == nil {
-					z.Answer = new(Answer)
+				if z.Response == nil {
+					z.Response = new(Response)
 				}
-				bts, err = z.Answer.UnmarshalMsg(bts)
+				bts, err = z.Response.UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Answer")
+					err = msgp.WrapError(err, "Response")
 					return
 				}
 			}
@@ -1723,10 +1649,10 @@
 		s += z.Merged[za0001].Msgsize()
 	}
 	s += 2
-	if z.Answer == nil {
+	if z.Response == nil {
 		s += msgp.NilSize
 	} else {
-		s += z.Answer.Msgsize()
+		s += z.Response.Msgsize()
 	}
 	return
 }
@@ -1994,164 +1920,180 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Standing) DecodeMsg(dc *msgp.Reader) (err error) {
-	{
-		var zb0001 uint8
-		zb0001, err = dc.ReadUint8()
+func (z *Response) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
 		if err != nil {
 			err = msgp.WrapError(err)
 			return
 		}
-		(*z) = Standing(zb0001)
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z Standing) EncodeMsg(en *msgp.Writer) (err error) {
-	err = en.WriteUint8(uint8(z))
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z Standing) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	o = msgp.AppendUint8(o, uint8(z))
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Standing) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	{
-		var zb0001 uint8
-		zb0001, bts, err = msgp.ReadUint8Bytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
+		switch msgp.UnsafeString(field) {
+		case "s":
+			z.Status, err = dc.ReadInt()
+			if err != nil {
+				err = msgp.WrapError(err, "Status")
+				return
+			}
+		case "h":
+			var zb0002 uint32
+			zb0002, err = dc.ReadArrayHeader()
+			if err != nil {
+				err = msgp.WrapError(err, "Header")
+				return
+			}
+			if cap(z.Header) >= int(zb0002) {
+				z.Header = (z.Header)[:zb0002]
+			} else {
+				z.Header = make([]HeaderField, zb0002)
+			}
+			for za0001 := range z.Header {
+				var zb0003 uint32
+				zb0003, err = dc.ReadMapHeader()
+				if err != nil {
+					err = msgp.WrapError(err, "Header", za0001)
+					return
+				}
+				for zb0003 > 0 {
+					zb0003--
+					field, err = dc.ReadMapKeyPtr()
+					if err != nil {
+						err = msgp.WrapError(err, "Header", za0001)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "n":
+						z.Header[za0001].Name, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "Header", za0001, "Name")
+							return
+						}
+					case "v":
+						z.Header[za0001].Value, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "Header", za0001, "Value")
+							return
+						}
+					default:
+						err = dc.Skip()
+						if err != nil {
+							err = msgp.WrapError(err, "Header", za0001)
+							return
+						}
+					}
+				}
+			}
+		case "b":
+			z.Body, err = dc.ReadBytes(z.Body)
+			if err != nil {
+				err = msgp.WrapError(err, "Body")
+				return
+			}
+		default:
+			err = dc.Skip()
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
 		}
-		(*z) = Standing(zb0001)
 	}
-	o = bts
 	return
 }
 
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Standing) Msgsize() (s int) {
-	s = msgp.Uint8Size
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Sum) DecodeMsg(dc *msgp.Reader) (err error) {
-	err = dc.ReadExactBytes((z)[:])
+// EncodeMsg implements msgp.Encodable
+func (z *Response) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 3
+	// write "s"
+	err = en.Append(0x83, 0xa1, 0x73)
 	if err != nil {
-		err = msgp.WrapError(err)
 		return
 	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Sum) EncodeMsg(en *msgp.Writer) (err error) {
-	err = en.WriteBytes((z)[:])
+	err = en.WriteInt(z.Status)
 	if err != nil {
-		err = msgp.WrapError(err)
+		err = msgp.WrapError(err, "Status")
 		return
 	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Sum) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	o = msgp.AppendBytes(o, (z)[:])
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Sum) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	bts, err = msgp.ReadExactBytes(bts, (z)[:])
+	// write "h"
+	err = en.Append(0xa1, 0x68)
 	if err != nil {
-		err = msgp.WrapError(err)
 		return
 	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Sum) Msgsize() (s int) {
-	s = msgp.ArrayHeaderSize + (16 * (msgp.ByteSize))
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Taken) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
+	err = en.WriteArrayHeader(uint32(len(z.Header)))
 	if err != nil {
-		err = msgp.WrapError(err)
+		err = msgp.WrapError(err, "Header")
 		return
 	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
+	for za0001 := range z.Header {
+		// map header, size 2
+		// write "n"
+		err = en.Append(0x82, 0xa1, 0x6e)
 		if err != nil {
-			err = msgp.WrapError(err)
 			return
 		}
-		switch msgp.UnsafeString(field) {
-		case "o":
-			z.OK, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "OK")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
+		err = en.WriteString(z.Header[za0001].Name)
+		if err != nil {
+			err = msgp.WrapError(err, "Header", za0001, "Name")
+			return
+		}
+		// write "v"
+		err = en.Append(0xa1, 0x76)
+		if err != nil {
+			return
+		}
+		err = en.WriteString(z.Header[za0001].Value)
+		if err != nil {
+			err = msgp.WrapError(err, "Header", za0001, "Value")
+			return
 		}
 	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z Taken) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 1
-	// write "o"
-	err = en.Append(0x81, 0xa1, 0x6f)
+	// write "b"
+	err = en.Append(0xa1, 0x62)
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.OK)
+	err = en.WriteBytes(z.Body)
 	if err != nil {
-		err = msgp.WrapError(err, "OK")
+		err = msgp.WrapError(err, "Body")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Taken) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Response) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 1
-	// string "o"
-	o = append(o, 0x81, 0xa1, 0x6f)
-	o = msgp.AppendBool(o, z.OK)
+	// map header, size 3
+	// string "s"
+	o = append(o, 0x83, 0xa1, 0x73)
+	o = msgp.AppendInt(o, z.Status)
+	// string "h"
+	o = append(o, 0xa1, 0x68)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Header)))
+	for za0001 := range z.Header {
+		// map header, size 2
+		// string "n"
+		o = append(o, 0x82, 0xa1, 0x6e)
+		o = msgp.AppendString(o, z.Header[za0001].Name)
+		// string "v"
+		o = append(o, 0xa1, 0x76)
+		o = msgp.AppendString(o, z.Header[za0001].Value)
+	}
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendBytes(o, z.Body)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Taken) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Response) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -2168,10 +2110,64 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "o":
-			z.OK, bts, err = msgp.ReadBoolBytes(bts)
+		case "s":
+			z.Status, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "OK")
+				err = msgp.WrapError(err, "Status")
+				return
+			}
+		case "h":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Header")
+				return
+			}
+			if cap(z.Header) >= int(zb0002) {
+				z.Header = (z.Header)[:zb0002]
+			} else {
+				z.Header = make([]HeaderField, zb0002)
+			}
+			for za0001 := range z.Header {
+				var zb0003 uint32
+				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Header", za0001)
+					return
+				}
+				for zb0003 > 0 {
+					zb0003--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Header", za0001)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "n":
+						z.Header[za0001].Name, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Header", za0001, "Name")
+							return
+						}
+					case "v":
+						z.Header[za0001].Value, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Header", za0001, "Value")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Header", za0001)
+							return
+						}
+					}
+				}
+			}
+		case "b":
+			z.Body, bts, err = msgp.ReadBytesBytes(bts, z.Body)
+			if err != nil {
+				err = msgp.WrapError(err, "Body")
 				return
 			}
 		default:
@@ -2187,7 +2183,11 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Taken) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize
+func (z *Response) Msgsize() (s int) {
+	s = 1 + 2 + msgp.IntSize + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Header {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Header[za0001].Name) + 2 + msgp.StringPrefixSize + len(z.Header[za0001].Value)
+	}
+	s += 2 + msgp.BytesPrefixSize + len(z.Body)
 	return
 }
--- a/internal/idempotency/model_test.go
+++ b/internal/idempotency/model_test.go
@@ -8,12 +8,11 @@
 	"bergamotstall/internal/table"
 )
 
-// The explorer plays a service whose agents join, crash, leave and are retired
-// by mistake, with tables of different age, messages lost, doubled and out of
-// order, and callers that resend one key to any agent. The invariant: a key runs
-// at most once within its window. Each planted fault takes one safeguard away
-// and must break the invariant.
-
+// The model simulates a service whose agents join, crash, leave and are retired by
+// mistake, whose tables have different ages, whose messages are lost, duplicated and
+// reordered, and whose callers resend one key to any agent. Invariant: a key runs at most
+// once within its window. Each injected fault disables one safeguard and must break the
+// invariant.
 const (
 	modelWindowMS = int64(600_000)
 	modelSteps    = 800
@@ -26,34 +25,34 @@
 type fault int
 
 const (
-	noFault          fault = iota
-	presentRowsOnly        // recent joins are ignored
-	votesAfterClose        // a keeper that left goes on voting
-	restartForgets         // a crashed agent comes back under its number, empty
-	oldTablesTrusted       // no bound on the age of tables
-	rowsDroppedEarly       // control forgets retired rows at once
-	everyVoteValid         // keepers that joined after a closing count like others
-	keepersForget          // records are dropped at half of the window
+	noFault             fault = iota
+	currentMembersOnly        // claims ignore recent joins
+	votesAfterClose           // a voter that left continues to vote
+	restartForgets            // a crashed agent restarts with the same number and no records
+	oldTablesTrusted          // tables of any age are accepted
+	membersDroppedEarly       // control removes retired members at once
+	everyVoteValid            // votes count without the records of closed voters
+	recordsExpireEarly        // records expire after half of the window
 )
 
 type modelAgent struct {
-	number table.AgentNumber
-	alive  bool
-	keeper *Keeper
-	rows   []Row
-	// seenMS is when its rows were the truth.
-	seenMS  int64
-	retired bool // as its table says
-	deaf    bool // cut off from control
+	number  table.AgentNumber
+	alive   bool
+	voter   *Voter
+	members []Member
+	// tableMS is when the agent received its table.
+	tableMS     int64
+	retired     bool // according to its table
+	partitioned bool // cut off from control
 }
 
-type modelRow struct {
-	Row
+type modelMember struct {
+	Member
 	retiredMS int64 // 0: not retired
 }
 
-type modelTry struct {
-	*Claimant
+type modelClaim struct {
+	*Claim
 	by      *modelAgent
 	startMS int64
 	over    bool
@@ -64,120 +63,120 @@
 	do func(to *modelAgent)
 }
 
-type world struct {
-	rng      *rand.Rand
-	fault    fault
-	nowMS    int64
-	rows     []modelRow
-	agents   []*modelAgent
-	last     table.AgentNumber
-	nonce    uint64
-	tries    []*modelTry
-	messages []message
-	key      Key
-	keyMS    int64
-	runs     int
-	allRuns  int
-	doubled  bool
+type model struct {
+	rng        *rand.Rand
+	fault      fault
+	nowMS      int64
+	members    []modelMember
+	agents     []*modelAgent
+	lastAgent  table.AgentNumber
+	nonce      uint64
+	claims     []*modelClaim
+	messages   []message
+	key        Key
+	keyStartMS int64
+	runs       int
+	totalRuns  int
+	ranTwice   bool
 }
 
-func newWorld(seed uint64, f fault) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), fault: f, nowMS: 10_000_000}
-	w.newKey()
-	return w
+func newModel(seed uint64, f fault) *model {
+	m := &model{rng: rand.New(rand.NewPCG(seed, 7)), fault: f, nowMS: 10_000_000}
+	m.newKey()
+	return m
 }
 
-func (w *world) newKey() {
-	w.key = Key{byte(w.rng.Uint32()), byte(w.rng.Uint32()), byte(w.rng.Uint32())}
-	w.keyMS = w.nowMS
-	w.runs = 0
-	for _, t := range w.tries {
+func (m *model) newKey() {
+	m.key = Key{byte(m.rng.Uint32()), byte(m.rng.Uint32()), byte(m.rng.Uint32())}
+	m.keyStartMS = m.nowMS
+	m.runs = 0
+	for _, t := range m.claims {
 		t.over = true
 	}
-	w.tries = nil
+	m.claims = nil
 }
 
-func (w *world) step() {
-	switch p := w.rng.IntN(100); {
+func (m *model) step() {
+	switch p := m.rng.IntN(100); {
 	case p < 5:
-		w.advance()
+		m.advance()
 	case p < 15:
-		w.update()
+		m.updateRandomTable()
 	case p < 21:
-		w.join()
+		m.join()
 	case p < 22:
-		w.crash()
+		m.crash()
 	case p < 24:
-		w.leave()
+		m.leave()
 	case p < 27:
-		w.control()
+		m.control()
 	case p < 28:
-		w.deafen()
+		m.togglePartition()
 	case p < 34:
-		w.try()
+		m.startClaim()
 	case p < 54:
-		w.progress()
+		m.progress()
 	default:
-		w.deliver()
-		w.deliver()
+		m.deliver()
+		m.deliver()
 	}
 }
 
-func (w *world) advance() {
-	w.nowMS += w.rng.Int64N(10_000)
-	if w.rng.IntN(4) == 0 {
-		w.nowMS += w.rng.Int64N(300_000)
+func (m *model) advance() {
+	m.nowMS += m.rng.Int64N(10_000)
+	if m.rng.IntN(4) == 0 {
+		m.nowMS += m.rng.Int64N(300_000)
 	}
-	if w.nowMS-w.keyMS > modelWindowMS {
-		w.newKey() // callers don't resend later
+	if m.nowMS-m.keyStartMS > modelWindowMS {
+		m.newKey() // callers resend within the window only
 	}
-	for _, a := range w.agents {
-		a.keeper.Sweep(w.nowMS)
+	for _, a := range m.agents {
+		a.voter.Sweep(m.nowMS)
 	}
 }
 
-func (w *world) some(ok func(*modelAgent) bool) *modelAgent {
-	var fit []*modelAgent
-	for _, a := range w.agents {
+func (m *model) pick(ok func(*modelAgent) bool) *modelAgent {
+	var candidates []*modelAgent
+	for _, a := range m.agents {
 		if ok(a) {
-			fit = append(fit, a)
+			candidates = append(candidates, a)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return fit[w.rng.IntN(len(fit))]
+	return candidates[m.rng.IntN(len(candidates))]
 }
 
 func alive(a *modelAgent) bool { return a.alive }
 
-func (w *world) update() {
-	if a := w.some(func(a *modelAgent) bool { return a.alive && !a.deaf }); a != nil {
-		w.updateOne(a)
+func (m *model) updateRandomTable() {
+	if a := m.pick(func(a *modelAgent) bool { return a.alive && !a.partitioned }); a != nil {
+		m.updateTable(a)
 	}
 }
 
-// deafen cuts an agent off from control, or ends that.
-func (w *world) deafen() {
-	if a := w.some(alive); a != nil {
-		a.deaf = !a.deaf
+// togglePartition disconnects an agent from control or reconnects it.
+func (m *model) togglePartition() {
+	if a := m.pick(alive); a != nil {
+		a.partitioned = !a.partitioned
 	}
 }
 
-func (w *world) updateOne(a *modelAgent) {
-	a.rows, a.retired = nil, true
-	for _, r := range w.rows {
-		a.rows = append(a.rows, r.Row)
+func (m *model) updateTable(a *modelAgent) {
+	a.members, a.retired = nil, true
+	for _, r := range m.members {
+		a.members = append(a.members, r.Member)
 		if r.Agent == a.number {
 			a.retired = r.retiredMS != 0
 		}
 	}
-	a.seenMS = w.nowMS
+	a.tableMS = m.nowMS
 }
 
-func (w *world) join() {
+func (m *model) join() {
 	living := 0
-	for _, a := range w.agents {
+	for _, a := range m.agents {
 		if a.alive {
 			living++
 		}
@@ -185,245 +184,246 @@
 	if living >= modelAgents {
 		return
 	}
-	w.last++
-	w.rows = append(w.rows, modelRow{Row: Row{Agent: w.last, JoinedMS: w.nowMS}})
+	m.lastAgent++
+	m.members = append(m.members, modelMember{Member: Member{Agent: m.lastAgent, JoinedMS: m.nowMS}})
 	lookback := Lookback(DefaultWindow)
-	if w.fault == keepersForget {
+	if m.fault == recordsExpireEarly {
 		lookback = DefaultWindow / 2
 	}
-	a := &modelAgent{number: w.last, alive: true, keeper: NewKeeper(w.last, Limits{}, lookback)}
-	w.agents = append(w.agents, a)
-	w.updateOne(a)
+	a := &modelAgent{number: m.lastAgent, alive: true, voter: NewVoter(m.lastAgent, Limits{}, lookback)}
+	m.agents = append(m.agents, a)
+	m.updateTable(a)
 }
 
-func (w *world) crash() {
-	a := w.some(alive)
+func (m *model) crash() {
+	a := m.pick(alive)
 	if a == nil {
 		return
 	}
-	if w.fault == restartForgets {
-		a.keeper = NewKeeper(a.number, Limits{}, Lookback(DefaultWindow))
+	if m.fault == restartForgets {
+		a.voter = NewVoter(a.number, Limits{}, Lookback(DefaultWindow))
 		return
 	}
-	w.stop(a)
+	m.stop(a)
 }
 
-func (w *world) stop(a *modelAgent) {
+func (m *model) stop(a *modelAgent) {
 	a.alive = false
-	for _, t := range w.tries {
+	for _, t := range m.claims {
 		if t.by == a {
 			t.over = true
 		}
 	}
 }
 
-func (w *world) leave() {
-	a := w.some(alive)
+func (m *model) leave() {
+	a := m.pick(alive)
 	if a == nil {
 		return
 	}
-	h := a.keeper.Close(w.nowMS)
-	if w.fault == votesAfterClose {
-		a.keeper.closed = false
+	h := a.voter.Close(m.nowMS)
+	if m.fault == votesAfterClose {
+		a.voter.closed = false
 	}
-	for _, to := range w.agents {
+	for _, to := range m.agents {
 		if to != a && to.alive {
-			w.send(to, func(to *modelAgent) { to.keeper.Merge(w.nowMS, h) })
+			m.send(to, func(to *modelAgent) { to.voter.Merge(m.nowMS, h) })
 		}
 	}
-	if w.fault != votesAfterClose || w.rng.IntN(2) == 0 {
-		w.stop(a)
+	if m.fault != votesAfterClose || m.rng.IntN(2) == 0 {
+		m.stop(a)
 	}
 }
 
-// control retires the dead, sometimes a living one, takes some back, and drops
-// rows whose time is over.
-func (w *world) control() {
-	for i := range w.rows {
-		r := &w.rows[i]
-		a := w.agents[slices.IndexFunc(w.agents, func(a *modelAgent) bool { return a.number == r.Agent })]
+// control retires dead and partitioned agents and occasionally a live one, restores some
+// retired agents, and removes members that have been retired long enough.
+func (m *model) control() {
+	for i := range m.members {
+		r := &m.members[i]
+		a := m.agents[slices.IndexFunc(m.agents, func(a *modelAgent) bool { return a.number == r.Agent })]
 		switch {
-		case r.retiredMS == 0 && (!a.alive || a.deaf || w.rng.IntN(20) == 0):
-			r.retiredMS = w.nowMS
-		case r.retiredMS != 0 && a.alive && !a.deaf && w.rng.IntN(2) == 0:
+		case r.retiredMS == 0 && (!a.alive || a.partitioned || m.rng.IntN(20) == 0):
+			r.retiredMS = m.nowMS
+		case r.retiredMS != 0 && a.alive && !a.partitioned && m.rng.IntN(2) == 0:
 			r.retiredMS = 0
 		}
 	}
 	kept := modelWindowMS + RowsKept.Milliseconds()
-	if w.fault == rowsDroppedEarly {
+	if m.fault == membersDroppedEarly {
 		kept = 0
 	}
-	w.rows = slices.DeleteFunc(w.rows, func(r modelRow) bool {
-		return r.retiredMS != 0 && w.nowMS-r.retiredMS >= kept
+	m.members = slices.DeleteFunc(m.members, func(r modelMember) bool {
+		return r.retiredMS != 0 && m.nowMS-r.retiredMS >= kept
 	})
 }
 
-func (w *world) mayVote(a *modelAgent) bool {
-	if w.fault == oldTablesTrusted {
+func (m *model) mayVote(a *modelAgent) bool {
+	if m.fault == oldTablesTrusted {
 		return !a.retired
 	}
-	return !a.retired && w.nowMS-a.seenMS <= MaxTableAge.Milliseconds()
+	return !a.retired && m.nowMS-a.tableMS <= MaxTableAge.Milliseconds()
 }
 
-func (w *world) try() {
-	a := w.some(alive)
-	if a == nil || !w.mayVote(a) {
+func (m *model) startClaim() {
+	a := m.pick(alive)
+	if a == nil || !m.mayVote(a) {
 		return
 	}
-	w.nonce++
-	rows := slices.Clone(a.rows)
-	if w.fault == presentRowsOnly {
-		for i := range rows {
-			rows[i].JoinedMS = 0
+	m.nonce++
+	members := slices.Clone(a.members)
+	if m.fault == currentMembersOnly {
+		for i := range members {
+			members[i].JoinedMS = 0
 		}
 	}
-	r := Request{Key: w.key, ID: ID{Agent: a.number, Nonce: w.nonce}}
-	t := &modelTry{Claimant: NewClaimant(r, rows, w.nowMS, modelLookbackMS), by: a, startMS: w.nowMS}
-	w.tries = append(w.tries, t)
-	w.ask(t)
+	r := Request{Key: m.key, ID: ClaimID{Agent: a.number, Nonce: m.nonce}}
+	t := &modelClaim{Claim: NewClaim(r, members, m.nowMS, modelLookbackMS), by: a, startMS: m.nowMS}
+	m.claims = append(m.claims, t)
+	m.askVoters(t)
 }
 
-func (w *world) ask(t *modelTry) {
-	for _, n := range t.Ask() {
-		i := slices.IndexFunc(w.agents, func(a *modelAgent) bool { return a.number == n })
-		w.send(w.agents[i], func(to *modelAgent) {
-			reply := Reply{Standing: Closed}
-			if w.mayVote(to) {
-				reply = to.keeper.Claim(w.nowMS, t.Request())
+func (m *model) askVoters(t *modelClaim) {
+	for _, n := range t.NextVoters() {
+		i := slices.IndexFunc(m.agents, func(a *modelAgent) bool { return a.number == n })
+		m.send(m.agents[i], func(to *modelAgent) {
+			reply := Reply{State: Closed}
+			if m.mayVote(to) {
+				reply = to.voter.Vote(m.nowMS, t.Request())
 			}
-			if w.fault == everyVoteValid {
-				reply.Merged = w.allClosed()
+			if m.fault == everyVoteValid {
+				reply.Merged = m.allClosed()
 			}
-			w.send(t.by, func(*modelAgent) {
+			m.send(t.by, func(*modelAgent) {
 				if !t.over && t.replies[to.number] == nil {
-					t.Hear(to.number, &reply)
+					t.RecordReply(to.number, &reply)
 				}
 			})
 		})
 	}
 }
 
-func (w *world) allClosed() []table.AgentNumber {
+func (m *model) allClosed() []table.AgentNumber {
 	var out []table.AgentNumber
-	for _, a := range w.agents {
-		if a.keeper.closed {
+	for _, a := range m.agents {
+		if a.voter.closed {
 			out = append(out, a.number)
 		}
 	}
 	return out
 }
 
-func (w *world) send(to *modelAgent, do func(*modelAgent)) {
-	w.messages = append(w.messages, message{to, do})
+func (m *model) send(to *modelAgent, do func(*modelAgent)) {
+	m.messages = append(m.messages, message{to, do})
 }
 
-// deliver takes any message: lost, doubled or once.
-func (w *world) deliver() {
-	if len(w.messages) == 0 {
+// deliver takes a random message and loses, duplicates or delivers it.
+func (m *model) deliver() {
+	if len(m.messages) == 0 {
 		return
 	}
-	i := w.rng.IntN(len(w.messages))
-	m := w.messages[i]
-	luck := w.rng.IntN(20)
-	if luck != 0 {
-		w.messages = slices.Delete(w.messages, i, i+1)
+	i := m.rng.IntN(len(m.messages))
+	msg := m.messages[i]
+	roll := m.rng.IntN(20)
+	if roll != 0 {
+		m.messages = slices.Delete(m.messages, i, i+1)
 	}
-	if luck != 1 && m.to.alive {
-		m.do(m.to)
+	if roll != 1 && msg.to.alive {
+		msg.do(msg.to)
 	}
 }
 
-// progress moves one try on: a missing reply is given up, a winner runs or gives
-// the key back.
-func (w *world) progress() {
-	if len(w.tries) == 0 {
+// progress advances one claim: it records a missing reply, runs the request of a winning
+// claim, or releases the key.
+func (m *model) progress() {
+	if len(m.claims) == 0 {
 		return
 	}
-	t := w.tries[w.rng.IntN(len(w.tries))]
+	t := m.claims[m.rng.IntN(len(m.claims))]
 	if t.over {
 		return
 	}
-	late := w.nowMS-t.startMS > MaxHold.Milliseconds()
+	late := m.nowMS-t.startMS > MaxClaimAge.Milliseconds()
 	switch verdict := t.Verdict(); {
-	case verdict == Won && !late && w.rng.IntN(5) > 0:
-		w.run(t)
+	case verdict == Won && !late && m.rng.IntN(5) > 0:
+		m.run(t)
 	case verdict == Won, late:
-		w.release(t)
+		m.release(t)
 	case verdict == Pending:
-		w.ask(t)
-		if n := t.asked[w.rng.IntN(len(t.asked))]; t.replies[n] == nil {
-			t.Hear(n, nil)
+		m.askVoters(t)
+		if n := t.asked[m.rng.IntN(len(t.asked))]; t.replies[n] == nil {
+			t.RecordReply(n, nil)
 		}
 	default:
-		w.release(t)
+		m.release(t)
 	}
 }
 
-func (w *world) run(t *modelTry) {
+func (m *model) run(t *modelClaim) {
 	t.over = true
-	w.runs++
-	w.allRuns++
-	w.doubled = w.doubled || w.runs > 1
-	f := Finish{Request: t.Request(), Standing: Standing(Lost + Standing(w.rng.IntN(2)))}
+	m.runs++
+	m.totalRuns++
+	m.ranTwice = m.ranTwice || m.runs > 1
+	f := Finish{Request: t.Request(), State: KeyState(NoAnswer + KeyState(m.rng.IntN(2)))}
 	for _, n := range t.Asked() {
-		i := slices.IndexFunc(w.agents, func(a *modelAgent) bool { return a.number == n })
-		w.send(w.agents[i], func(to *modelAgent) { to.keeper.Finish(w.nowMS, f) })
+		i := slices.IndexFunc(m.agents, func(a *modelAgent) bool { return a.number == n })
+		m.send(m.agents[i], func(to *modelAgent) { to.voter.Finish(m.nowMS, f) })
 	}
 }
 
-func (w *world) release(t *modelTry) {
+func (m *model) release(t *modelClaim) {
 	t.over = true
 	for _, n := range t.Asked() {
-		i := slices.IndexFunc(w.agents, func(a *modelAgent) bool { return a.number == n })
-		w.send(w.agents[i], func(to *modelAgent) {
-			to.keeper.Release(w.nowMS, Release{Key: t.Request().Key, ID: t.Request().ID})
+		i := slices.IndexFunc(m.agents, func(a *modelAgent) bool { return a.number == n })
+		m.send(m.agents[i], func(to *modelAgent) {
+			to.voter.Release(m.nowMS, Release{Key: t.Request().Key, ID: t.Request().ID})
 		})
 	}
 }
 
-// explore returns the first seed that runs a key twice, and all runs.
-func explore(f fault, from, seeds int) (doubledAt int, runs int) {
+// explore returns the first seed with which a key runs twice (-1 if none) and the number
+// of runs.
+func explore(f fault, from, seeds int) (failingSeed int, runs int) {
 	for seed := from; seed < from+seeds; seed++ {
-		w := newWorld(uint64(seed), f)
+		m := newModel(uint64(seed), f)
 		for range modelSteps {
-			w.step()
-			if w.doubled {
+			m.step()
+			if m.ranTwice {
 				return seed, runs
 			}
 		}
-		runs += w.allRuns
+		runs += m.totalRuns
 	}
 	return -1, runs
 }
 
-// A caller resends its submission through everything that the explorer does: it
-// runs at most once.
+// Guards against running a request twice when a caller resends it during any of the
+// simulated failures.
 func TestNoKeyRunsTwice(t *testing.T) {
 	at, runs := explore(noFault, 0, modelSeeds)
 	if at >= 0 {
 		t.Fatalf("seed %d runs a key twice", at)
 	}
 	if runs < modelSeeds/5 {
-		t.Fatalf("only %d runs in %d seeds: the explorer proves little", runs, modelSeeds)
+		t.Fatalf("only %d runs in %d seeds: too few for a meaningful result", runs, modelSeeds)
 	}
 	t.Logf("%d seeds of %d steps, %d keys run, none twice", modelSeeds, modelSteps, runs)
 }
 
-// Each safeguard taken away lets a key run twice: the explorer would notice. The
-// search for rare ones begins near a seed that is known to find them.
-func TestPlantedFaultsAreCaught(t *testing.T) {
+// Guards against a model that can't detect violations: each injected fault must make a
+// key run twice. For rare ones the search starts near a seed that is known to find them.
+func TestInjectedFaultsAreDetected(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault fault
 		from  int
 	}{
-		{"present rows only", presentRowsOnly, 0},
+		{"current members only", currentMembersOnly, 0},
 		{"votes after close", votesAfterClose, 1300},
 		{"restart forgets", restartForgets, 0},
 		{"old tables trusted", oldTablesTrusted, 17700},
-		{"rows dropped early", rowsDroppedEarly, 0},
+		{"members dropped early", membersDroppedEarly, 0},
 		{"every vote valid", everyVoteValid, 400},
-		{"keepers forget", keepersForget, 400},
+		{"records expire early", recordsExpireEarly, 400},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			at, _ := explore(c.fault, c.from, 2*modelSeeds)
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -32,7 +32,7 @@
 	// caller is the identity to which fairness applies; credential is the hash
 	// to which idempotency keys belong.
 	caller     string
-	credential idempotency.Sum
+	credential idempotency.Hash
 	// deadline is when the answer is of no more use, zero if never.
 	deadline time.Time
 	clock    func() time.Time
@@ -97,7 +97,7 @@
 // identify returns the hash of a caller's credential, and the name under which
 // it gets its fair share: the credential, or its address where it shows none.
 // Many officers behind one address then share a turn.
-func identify(r *http.Request) (idempotency.Sum, string) {
+func identify(r *http.Request) (idempotency.Hash, string) {
 	credential := r.Header.Get("Authorization")
 	if credential == "" && r.TLS != nil && len(r.TLS.PeerCertificates) > 0 {
 		credential = string(r.TLS.PeerCertificates[0].Raw)
@@ -110,18 +110,18 @@
 	if err != nil {
 		host = r.RemoteAddr
 	}
-	return idempotency.Sum{}, host
+	return idempotency.Hash{}, host
 }
 
 func encodeHex(b []byte) string { return hex.EncodeToString(b) }
 
 // parseSum reads a peer's formatSum; anything else is the zero sum.
-func parseSum(text string) idempotency.Sum {
+func parseSum(text string) idempotency.Hash {
 	b, err := hex.DecodeString(text)
-	if err != nil || len(b) != len(idempotency.Sum{}) {
-		return idempotency.Sum{}
+	if err != nil || len(b) != len(idempotency.Hash{}) {
+		return idempotency.Hash{}
 	}
-	return idempotency.Sum(b)
+	return idempotency.Hash(b)
 }
 
 func (c *call) timeLeft() (time.Duration, bool) {
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -48,7 +48,7 @@
 
 // keyed is a submission with an idempotency key under way.
 type keyed struct {
-	try   *idempotency.Claimant
+	try   *idempotency.Claim
 	begun time.Time
 }
 
@@ -67,7 +67,7 @@
 	case res.refusal != nil:
 		res.released = x.releaseKey(k.try)
 	case res.unknown != nil:
-		x.finishKey(k.try, idempotency.Lost, nil)
+		x.finishKey(k.try, idempotency.NoAnswer, nil)
 	case res.resp.StatusCode == http.StatusServiceUnavailable && x.cfg.ShedUnrun:
 		res.released = x.releaseKey(k.try)
 	default:
@@ -83,7 +83,7 @@
 	if refusal != nil {
 		return result{refusal: refusal, outcome: retry.NotRun}
 	}
-	if x.cfg.Clock().Sub(k.begun) > idempotency.MaxHold {
+	if x.cfg.Clock().Sub(k.begun) > idempotency.MaxClaimAge {
 		p.leave()
 		return refused(ReasonKeyLate)
 	}
@@ -131,12 +131,12 @@
 	own, _ := t.Target(x.self())
 	r := idempotency.Request{
 		Key:    idempotency.Key(sum(x.cfg.Service, c.request.Header.Get(HeaderKey))),
-		ID:     idempotency.ID{Agent: x.self(), Nonce: x.nonce.Add(1)},
+		ID:     idempotency.ClaimID{Agent: x.self(), Nonce: x.nonce.Add(1)},
 		Caller: c.credential,
 		Body:   sum(c.request.Method, c.request.URL.RequestURI(), string(c.held)),
 	}
 	k := &keyed{begun: x.cfg.Clock()}
-	try, verdict := x.claim(c.ctx, r, t, idempotency.RowsOf(t, own.Service))
+	try, verdict := x.claim(c.ctx, r, t, idempotency.MembersOf(t, own.Service))
 	k.try = try
 	if verdict == idempotency.Won {
 		return k, result{}
@@ -148,10 +148,10 @@
 
 // keyAnswer is what a caller is told whose key another try has, or that found
 // no quorum.
-func (x *Relay) keyAnswer(v idempotency.Verdict, try *idempotency.Claimant) result {
+func (x *Relay) keyAnswer(v idempotency.Verdict, try *idempotency.Claim) result {
 	switch v {
-	case idempotency.Known:
-		if answer := try.Answer(); answer != nil {
+	case idempotency.Completed:
+		if answer := try.Response(); answer != nil {
 			x.count.add("claims.replayed")
 			return result{resp: replay(answer)}
 		}
@@ -160,9 +160,9 @@
 		return unknown(ReasonKeyRunning, http.StatusConflict)
 	case idempotency.Unknown:
 		return unknown(ReasonKeyUnknown, http.StatusConflict)
-	case idempotency.Misused:
+	case idempotency.KeyMismatch:
 		return result{misuse: ReasonKeyMisused}
-	case idempotency.TooMany:
+	case idempotency.LimitReached:
 		return refused(ReasonKeyFull)
 	default:
 		return refused(ReasonKeyQuorum)
@@ -178,13 +178,13 @@
 }
 
 // sum hashes texts that may contain anything; their lengths keep them apart.
-func sum(texts ...string) idempotency.Sum {
+func sum(texts ...string) idempotency.Hash {
 	h := sha256.New()
 	for _, s := range texts {
 		one := sha256.Sum256([]byte(s))
 		h.Write(one[:])
 	}
-	return idempotency.Sum(h.Sum(nil)[:len(idempotency.Sum{})])
+	return idempotency.Hash(h.Sum(nil)[:len(idempotency.Hash{})])
 }
 
 // holdBody reads a keyed submission's body into memory: its fingerprint is
@@ -218,7 +218,7 @@
 }
 
 // replay makes an answer of one that was kept.
-func replay(a *idempotency.Answer) *http.Response {
+func replay(a *idempotency.Response) *http.Response {
 	h := http.Header{}
 	for _, f := range a.Header {
 		h.Add(f.Name, f.Value)
@@ -239,20 +239,20 @@
 	kept   bytes.Buffer
 	large  bool
 	ended  bool
-	finish func(standing idempotency.Standing, body []byte, whole bool)
+	finish func(standing idempotency.KeyState, body []byte, whole bool)
 }
 
 // keepAnswer returns the answer's body; reading or closing it tells keepers.
-func (x *Relay) keepAnswer(try *idempotency.Claimant, resp *http.Response) io.ReadCloser {
-	head := idempotency.Answer{Status: resp.StatusCode}
+func (x *Relay) keepAnswer(try *idempotency.Claim, resp *http.Response) io.ReadCloser {
+	head := idempotency.Response{Status: resp.StatusCode}
 	plain := http.Header{}
 	copyHeader(plain, resp.Header)
 	for name, values := range plain {
 		for _, v := range values {
-			head.Header = append(head.Header, idempotency.Field{Name: name, Value: v})
+			head.Header = append(head.Header, idempotency.HeaderField{Name: name, Value: v})
 		}
 	}
-	return &answerKeeper{ReadCloser: resp.Body, finish: func(standing idempotency.Standing, body []byte, whole bool) {
+	return &answerKeeper{ReadCloser: resp.Body, finish: func(standing idempotency.KeyState, body []byte, whole bool) {
 		if !whole {
 			x.finishKey(try, standing, nil)
 			return
@@ -264,7 +264,7 @@
 
 func (a *answerKeeper) Read(p []byte) (int, error) {
 	n, err := a.ReadCloser.Read(p)
-	if a.kept.Len()+n > idempotency.MaxAnswer {
+	if a.kept.Len()+n > idempotency.MaxResponseBytes {
 		a.large = true
 	} else {
 		a.kept.Write(p[:n])
@@ -281,7 +281,7 @@
 	}
 	a.ended = true
 	if !errors.Is(err, io.EOF) {
-		a.finish(idempotency.Lost, nil, false)
+		a.finish(idempotency.NoAnswer, nil, false)
 		return
 	}
 	a.finish(idempotency.Done, a.kept.Bytes(), !a.large)
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -17,8 +17,8 @@
 // holds tells whether this agent's keeper has a record of the key.
 func (x *Relay) holds(key string) bool {
 	held := false
-	x.keep(func(k *idempotency.Keeper, nowMS int64) {
-		held = k.Knows(idempotency.Key(sum(x.cfg.Service, key)))
+	x.keep(func(k *idempotency.Voter, nowMS int64) {
+		held = k.HasRecord(idempotency.Key(sum(x.cfg.Service, key)))
 	})
 	return held
 }
--- a/internal/proxy/listen.go
+++ b/internal/proxy/listen.go
@@ -202,22 +202,22 @@
 		if err := f.Decode(&r); err != nil {
 			return 0, nil, err
 		}
-		x.keep(func(k *idempotency.Keeper, nowMS int64) { k.Release(nowMS, r) })
+		x.keep(func(k *idempotency.Voter, nowMS int64) { k.Release(nowMS, r) })
 		return kindDone, &Done{}, nil
 	case kindFinish:
 		var r idempotency.Finish
 		if err := f.Decode(&r); err != nil {
 			return 0, nil, err
 		}
-		x.keep(func(k *idempotency.Keeper, nowMS int64) { k.Finish(nowMS, r) })
+		x.keep(func(k *idempotency.Voter, nowMS int64) { k.Finish(nowMS, r) })
 		return kindDone, &Done{}, nil
 	case kindHandover:
 		var h idempotency.Handover
 		if err := f.Decode(&h); err != nil {
 			return 0, nil, err
 		}
-		taken := idempotency.Taken{}
-		x.keep(func(k *idempotency.Keeper, nowMS int64) { taken.OK = k.Merge(nowMS, h) })
+		taken := idempotency.HandoverReply{}
+		x.keep(func(k *idempotency.Voter, nowMS int64) { taken.OK = k.Merge(nowMS, h) })
 		return kindTaken, &taken, nil
 	}
 	return 0, nil, errors.Errorf("proxy: unknown frame kind %d", f.Kind)
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -25,7 +25,7 @@
 	set.Gauge("requests.waiting", func() int64 { return int64(x.gate.load().Waiting) })
 	set.Gauge("requests.keys_held", func() int64 {
 		held := 0
-		x.keep(func(k *idempotency.Keeper, _ int64) { held = k.Keys() })
+		x.keep(func(k *idempotency.Voter, _ int64) { held = k.RecordCount() })
 		return int64(held)
 	})
 	set.Gauge("requests.slots", func() int64 { return int64(x.gate.load().Slots) })
--- a/internal/proxy/route.go
+++ b/internal/proxy/route.go
@@ -269,4 +269,4 @@
 // isKeyed tells whether the claim rules apply.
 func (c *call) isKeyed() bool { return !c.safe && c.request.Header.Get(HeaderKey) != "" }
 
-func formatSum(s idempotency.Sum) string { return encodeHex(s[:]) }
+func formatSum(s idempotency.Hash) string { return encodeHex(s[:]) }
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -46,7 +46,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			x.keep(func(k *idempotency.Keeper, nowMS int64) { k.Sweep(nowMS) })
+			x.keep(func(k *idempotency.Voter, nowMS int64) { k.Sweep(nowMS) })
 		}
 	}
 }
--- a/internal/proxy/votes.go
+++ b/internal/proxy/votes.go
@@ -25,12 +25,12 @@
 type keeper struct {
 	mu    sync.Mutex
 	agent table.AgentNumber
-	votes *idempotency.Keeper
+	votes *idempotency.Voter
 }
 
 // keep runs one step of the keeper; it does nothing before the agent has its
 // number.
-func (x *Relay) keep(step func(k *idempotency.Keeper, nowMS int64)) {
+func (x *Relay) keep(step func(k *idempotency.Voter, nowMS int64)) {
 	x.keeper.mu.Lock()
 	defer x.keeper.mu.Unlock()
 	if x.keeper.votes != nil {
@@ -49,7 +49,7 @@
 	}
 	if x.keeper.agent != agent {
 		x.keeper.agent = agent
-		x.keeper.votes = idempotency.NewKeeper(agent, idempotency.Limits{}, lookback)
+		x.keeper.votes = idempotency.NewVoter(agent, idempotency.Limits{}, lookback)
 	}
 	x.keeper.votes.SetLookback(lookback)
 }
@@ -66,13 +66,13 @@
 
 // vote answers a claimant.
 func (x *Relay) vote(r idempotency.Request) idempotency.Reply {
-	reply := idempotency.Reply{Standing: idempotency.Closed}
+	reply := idempotency.Reply{State: idempotency.Closed}
 	if !idempotency.MayVote(x.table.Load(), x.self(), x.tableAge(), x.cfg.Clock().UnixMilli()) {
 		x.count.add("claims.vote-stale")
 		return reply
 	}
-	x.keep(func(k *idempotency.Keeper, nowMS int64) { reply = k.Claim(nowMS, r) })
-	if reply.Standing == idempotency.Full {
+	x.keep(func(k *idempotency.Voter, nowMS int64) { reply = k.Vote(nowMS, r) })
+	if reply.State == idempotency.Full {
 		x.count.add("claims.vote-full")
 		x.complain(events.ClaimsFull)
 	}
@@ -93,21 +93,21 @@
 }
 
 // claim asks keepers until the try is decided.
-func (x *Relay) claim(ctx context.Context, r idempotency.Request, t *table.Table, rows []idempotency.Row) (*idempotency.Claimant, idempotency.Verdict) {
+func (x *Relay) claim(ctx context.Context, r idempotency.Request, t *table.Table, rows []idempotency.Member) (*idempotency.Claim, idempotency.Verdict) {
 	lookback := idempotency.Lookback(x.window())
-	try := idempotency.NewClaimant(r, rows, x.cfg.Clock().UnixMilli(), lookback.Milliseconds())
+	try := idempotency.NewClaim(r, rows, x.cfg.Clock().UnixMilli(), lookback.Milliseconds())
 	replies := make(chan heard, len(rows))
 	begun := time.Now()
 	defer func() { x.count.addN("claims.micros", time.Since(begun).Microseconds()) }()
 	for {
-		for _, n := range try.Ask() {
+		for _, n := range try.NextVoters() {
 			go func() { replies <- heard{n, x.askKeeper(ctx, t, n, r)} }()
 		}
 		if v := try.Verdict(); v != idempotency.Pending {
 			return try, v
 		}
 		h := <-replies
-		try.Hear(h.from, h.reply)
+		try.RecordReply(h.from, h.reply)
 	}
 }
 
@@ -139,7 +139,7 @@
 // tellAll tells everyone who may hold a vote how a try ended, in the
 // background: callers don't wait for it. The returned channel is closed when all
 // have heard or couldn't be reached.
-func (x *Relay) tellAll(try *idempotency.Claimant, kind framing.Kind, m msgp.Marshaler, own func(*idempotency.Keeper, int64)) <-chan struct{} {
+func (x *Relay) tellAll(try *idempotency.Claim, kind framing.Kind, m msgp.Marshaler, own func(*idempotency.Voter, int64)) <-chan struct{} {
 	t := x.table.Load()
 	var told sync.WaitGroup
 	for _, n := range try.Asked() {
@@ -161,15 +161,15 @@
 	return done
 }
 
-func (x *Relay) releaseKey(try *idempotency.Claimant) <-chan struct{} {
+func (x *Relay) releaseKey(try *idempotency.Claim) <-chan struct{} {
 	r := idempotency.Release{Key: try.Request().Key, ID: try.Request().ID}
-	return x.tellAll(try, kindRelease, &r, func(k *idempotency.Keeper, nowMS int64) { k.Release(nowMS, r) })
+	return x.tellAll(try, kindRelease, &r, func(k *idempotency.Voter, nowMS int64) { k.Release(nowMS, r) })
 }
 
 // finishKey tells in the background: the caller has its answer already.
-func (x *Relay) finishKey(try *idempotency.Claimant, standing idempotency.Standing, answer *idempotency.Answer) {
-	f := idempotency.Finish{Request: try.Request(), Standing: standing, Answer: answer}
-	x.tellAll(try, kindFinish, &f, func(k *idempotency.Keeper, nowMS int64) { k.Finish(nowMS, f) })
+func (x *Relay) finishKey(try *idempotency.Claim, standing idempotency.KeyState, answer *idempotency.Response) {
+	f := idempotency.Finish{Request: try.Request(), State: standing, Response: answer}
+	x.tellAll(try, kindFinish, &f, func(k *idempotency.Voter, nowMS int64) { k.Finish(nowMS, f) })
 }
 
 // handOverKeys closes the keeper and gives what it knows to the service's other
@@ -181,7 +181,7 @@
 		return
 	}
 	var h idempotency.Handover
-	x.keep(func(k *idempotency.Keeper, nowMS int64) { h = k.Close(nowMS) })
+	x.keep(func(k *idempotency.Voter, nowMS int64) { h = k.Close(nowMS) })
 	own, _ := t.Target(x.self())
 	var wait sync.WaitGroup
 	for _, peer := range t.TargetsOf(own.Service) {
@@ -196,7 +196,7 @@
 func (x *Relay) handOverTo(peer table.Target, h *idempotency.Handover) {
 	ctx, cancel := context.WithTimeout(context.Background(), handoverTime)
 	defer cancel()
-	var taken idempotency.Taken
+	var taken idempotency.HandoverReply
 	err := x.frames.call(ctx, peer, kindHandover, h, &taken)
 	if err == nil && taken.OK {
 		x.count.add("claims.handovers")
