--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -10,8 +10,8 @@
 	"bergamotstall/internal/standin/target"
 )
 
-// What a key costs a submission: the same one with and without, five agents on
-// loopback.
+// BenchmarkSubmission compares a submission with and without an idempotency key, with
+// five agents on loopback.
 //
 //	go test ./internal/proxy -run '^$' -bench Submission -benchtime 3000x
 func BenchmarkSubmission(b *testing.B) {
@@ -30,11 +30,11 @@
 				if keyed {
 					headers = []string{HeaderKey, id, "Authorization", fmt.Sprint("caller ", i%50)}
 				}
-				begun := time.Now()
+				start := time.Now()
 				if got := h.submit(id, "note", headers...); got.status != http.StatusOK {
 					b.Fatal(got)
 				}
-				took = append(took, float64(time.Since(begun).Microseconds()))
+				took = append(took, float64(time.Since(start).Microseconds()))
 			}
 			slices.Sort(took)
 			b.ReportMetric(took[len(took)/2], "p50-µs")
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// maxDeadline bounds the time that a caller may ask for; a larger figure
-	// would overflow, and means no deadline in practice.
+	// maxDeadline bounds the deadline that a caller may set. A larger value could
+	// overflow a time.Duration and counts as no deadline.
 	maxDeadline = 24 * time.Hour
 )
 
-// call is one request on its way.
+// call is one request in progress.
 type call struct {
 	request *http.Request
-	// body is the present attempt's; held is the whole body of a keyed
-	// submission.
-	body *attemptBody
-	held []byte
-	// ctx ends when the caller leaves or its deadline passes.
-	ctx    context.Context
-	cancel context.CancelFunc
-	ends   []func()
-	// caller is the identity to which fairness applies; credential is the hash
-	// to which idempotency keys belong.
+	// body is the body of the current attempt; bufferedBody is the complete body of a
+	// request with an idempotency key.
+	body         *attemptBody
+	bufferedBody []byte
+	// ctx ends when the caller disconnects or its deadline passes.
+	ctx      context.Context
+	cancel   context.CancelFunc
+	cleanups []func()
+	// caller identifies the caller for fair queueing; credential is the hash that owns
+	// its idempotency keys.
 	caller     string
 	credential idempotency.Hash
-	// deadline is when the answer is of no more use, zero if never.
+	// deadline is when the caller stops waiting, zero for never.
 	deadline time.Time
 	clock    func() time.Time
-	// safe is set for methods that may be repeated.
+	// safe is set if the method is safe, so that the request may run more than once.
 	safe bool
 }
 
@@ -46,7 +46,7 @@
 	if r.Body == nil {
 		r.Body = http.NoBody
 	}
-	c.newAttempt()
+	c.newAttemptBody()
 	ms, err := strconv.ParseInt(r.Header.Get(HeaderDeadline), 10, 64)
 	if err != nil || ms > maxDeadline.Milliseconds() {
 		c.ctx, c.cancel = context.WithCancel(r.Context())
@@ -58,21 +58,21 @@
 	return c
 }
 
-func (c *call) onEnd(f func()) { c.ends = append(c.ends, f) }
+func (c *call) onEnd(f func()) { c.cleanups = append(c.cleanups, f) }
 
-// end gives back what the call holds.
-func (c *call) end() {
+// close releases the call's resources.
+func (c *call) close() {
 	c.cancel()
-	for _, f := range c.ends {
+	for _, f := range c.cleanups {
 		f()
 	}
 }
 
-// newAttempt gives the next attempt a body of its own. The one before can't
-// read any more from then on.
-func (c *call) newAttempt() {
-	if c.held != nil {
-		c.body = &attemptBody{source: bytes.NewReader(c.held)}
+// newAttemptBody gives the next attempt its own body and stops the previous attempt from
+// reading.
+func (c *call) newAttemptBody() {
+	if c.bufferedBody != nil {
+		c.body = &attemptBody{source: bytes.NewReader(c.bufferedBody)}
 		return
 	}
 	if c.body == nil || c.body.detach() {
@@ -80,30 +80,30 @@
 	}
 }
 
-// resendable tells whether the request is still whole: held in memory, or
-// nothing of its body was asked for.
-func (c *call) resendable() bool { return c.held != nil || c.body.detach() }
+// resendable tells whether the whole body is still available: it is buffered, or nothing
+// of it has been read.
+func (c *call) resendable() bool { return c.bufferedBody != nil || c.body.detach() }
 
-// safeMethod tells whether a request with this method may run twice. Only
-// methods that change nothing count (RFC 9110, 9.2.1): PUT and DELETE may be
-// repeated by the letter, but a second run after another's change undoes it.
+// safeMethod tells whether a request with this method may run twice. Only methods that
+// change nothing count (RFC 9110, 9.2.1). PUT and DELETE are idempotent by the RFC, but a
+// second run after another client's change would undo that change.
 func safeMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-// repeatable tells whether running the request twice does no harm.
+// repeatable tells whether the request may safely run twice.
 func (c *call) repeatable() bool { return c.safe }
 
-// identify returns the hash of a caller's credential, and the name under which
-// it gets its fair share: the credential, or its address where it shows none.
-// Many officers behind one address then share a turn.
+// identify returns the hash of the caller's credential and the name used for fair
+// queueing: the credential, or the IP address if there is none. All callers behind one
+// address then share one turn.
 func identify(r *http.Request) (idempotency.Hash, string) {
 	credential := r.Header.Get("Authorization")
 	if credential == "" && r.TLS != nil && len(r.TLS.PeerCertificates) > 0 {
 		credential = string(r.TLS.PeerCertificates[0].Raw)
 	}
 	if credential != "" {
-		s := sum(credential)
+		s := hash(credential)
 		return s, "credential " + encodeHex(s[:])
 	}
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
@@ -115,8 +115,8 @@
 
 func encodeHex(b []byte) string { return hex.EncodeToString(b) }
 
-// parseSum reads a peer's formatSum; anything else is the zero sum.
-func parseSum(text string) idempotency.Hash {
+// parseHash parses the output of formatHash; anything else yields the zero hash.
+func parseHash(text string) idempotency.Hash {
 	b, err := hex.DecodeString(text)
 	if err != nil || len(b) != len(idempotency.Hash{}) {
 		return idempotency.Hash{}
--- a/internal/proxy/cluster_test.go
+++ b/internal/proxy/cluster_test.go
@@ -12,22 +12,22 @@
 	"bergamotstall/internal/table"
 )
 
-// cluster is one service on several hosts, each with target, agent and a server
-// for callers.
+// cluster is one service on several hosts, each with a target, an agent and a server for
+// callers.
 type cluster struct {
 	t     testing.TB
-	hosts []*host
+	hosts []*clusterHost
 	table *table.Table
-	// configure changes a host's configuration before it starts; it may be nil.
+	// configure changes a host's configuration before the host starts; it may be nil.
 	configure func(*Config)
 }
 
-type host struct {
-	*rig
-	number table.AgentNumber
-	stop   context.CancelFunc
-	ended  chan struct{}
-	gone   bool
+type clusterHost struct {
+	*testHost
+	number  table.AgentNumber
+	stop    context.CancelFunc
+	done    chan struct{}
+	stopped bool
 }
 
 func newCluster(t testing.TB, hosts int, f target.Faults, limits Limits) *cluster {
@@ -45,8 +45,8 @@
 	return c
 }
 
-// add starts a host, which the table names from the next publish on.
-func (c *cluster) add(f target.Faults, limits Limits) *host {
+// add starts a host. The table lists it from the next publish on.
+func (c *cluster) add(f target.Faults, limits Limits) *clusterHost {
 	c.t.Helper()
 	number := table.AgentNumber(len(c.table.Targets) + 1)
 	name := fmt.Sprintf("h%d", number)
@@ -58,11 +58,11 @@
 	if c.configure != nil {
 		c.configure(&cfg)
 	}
-	x := newRelay(c.t, cfg)
+	x := newTestProxy(c.t, cfg)
 	ctx, cancel := context.WithCancel(context.Background())
-	h := &host{rig: &rig{t: c.t, target: tg, relay: x}, number: number, stop: cancel, ended: make(chan struct{})}
+	h := &clusterHost{testHost: &testHost{t: c.t, target: tg, proxy: x}, number: number, stop: cancel, done: make(chan struct{})}
 	go func() {
-		defer close(h.ended)
+		defer close(h.done)
 		if err := x.Run(ctx); err != nil {
 			c.t.Error(err)
 		}
@@ -73,7 +73,7 @@
 	c.t.Cleanup(func() {
 		h.server.CloseClientConnections()
 		cancel()
-		<-h.ended
+		<-h.done
 		tg.Kill()
 	})
 	c.table.Targets = append(c.table.Targets, table.Target{
@@ -85,37 +85,37 @@
 	return h
 }
 
-// publish gives every agent the table as it is now.
+// publish gives every running agent the current table.
 func (c *cluster) publish() {
 	c.table.Revision++
 	copied := *c.table
 	copied.Targets = append([]table.Target(nil), c.table.Targets...)
 	for _, h := range c.hosts {
-		if h.gone {
+		if h.stopped {
 			continue
 		}
-		h.relay.SetAgent(h.number)
-		h.relay.Apply(&copied)
+		h.proxy.SetAgent(h.number)
+		h.proxy.Apply(&copied)
 	}
 }
 
-// crash ends an agent without a word to the others.
-func (c *cluster) crash(h *host) {
-	h.relay.keeper.mu.Lock()
-	h.relay.keeper.votes = nil // nothing is handed over
-	h.relay.keeper.mu.Unlock()
-	h.leave()
+// crash stops an agent without a handover of its records.
+func (c *cluster) crash(h *clusterHost) {
+	h.proxy.voter.mu.Lock()
+	h.proxy.voter.voter = nil // prevents the handover
+	h.proxy.voter.mu.Unlock()
+	h.stopGracefully()
 }
 
-// leave is a planned stop of an agent.
-func (h *host) leave() {
-	h.gone = true
-	h.relay.Drain()
+// stopGracefully shuts an agent down as planned.
+func (h *clusterHost) stopGracefully() {
+	h.stopped = true
+	h.proxy.Drain()
 	h.stop()
-	<-h.ended
+	<-h.done
 }
 
-// runs sums the runs of one request over all targets.
+// runs returns how often a request ran at all targets together.
 func (c *cluster) runs(id string) int {
 	n := 0
 	for _, h := range c.hosts {
@@ -124,6 +124,7 @@
 	return n
 }
 
+// seen returns how often all targets together received a request.
 func (c *cluster) seen(id string) int {
 	n := 0
 	for _, h := range c.hosts {
@@ -132,30 +133,30 @@
 	return n
 }
 
-// keyed submits with an idempotency key.
-func (h *host) keyed(key, body string, headers ...string) reply {
+// submitKeyed submits with an idempotency key.
+func (h *clusterHost) submitKeyed(key, body string, headers ...string) reply {
 	h.t.Helper()
 	return h.submit(key, body, append([]string{HeaderKey, key}, headers...)...)
 }
 
-// keepersOf returns the hosts that vote for a key first.
-func (c *cluster) keepersOf(key string) []*host {
-	var out []*host
+// votersOf returns the hosts whose voters have a record of the key.
+func (c *cluster) votersOf(key string) []*clusterHost {
+	var out []*clusterHost
 	for _, h := range c.hosts {
-		if h.relay.holds(key) {
+		if h.proxy.hasRecord(key) {
 			out = append(out, h)
 		}
 	}
 	return out
 }
 
-// loseAnswer submits with a key and drops the caller's connection while the
+// submitAndDisconnect submits with a key and closes the caller's connection while the
 // request runs.
-func (h *host) loseAnswer(key, body string) {
+func (h *clusterHost) submitAndDisconnect(key, body string) {
 	h.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan reply, 1)
-	go func() { done <- h.ask(ctx, http.MethodPost, "/submit", key, body, HeaderKey, key) }()
+	go func() { done <- h.send(ctx, http.MethodPost, "/submit", key, body, HeaderKey, key) }()
 	eventually(h.t, "run", func() bool { return h.target.Run(key).Runs == 1 })
 	cancel()
 	<-done
--- a/internal/proxy/frames.go
+++ b/internal/proxy/frames.go
@@ -15,38 +15,38 @@
 	"bergamotstall/internal/table"
 )
 
-// Kinds of frames between agents.
+// Frame kinds between agents.
 const (
 	kindHello framing.Kind = iota + 1
-	kindWelcome
+	kindHelloReply
 	kindProbe
-	kindLoad
+	kindLoadReport
 	kindClaim
-	kindReply
+	kindVote
 	kindRelease
 	kindFinish
 	kindHandover
-	kindTaken
-	kindDone
+	kindHandoverReply
+	kindAck
 )
 
 const (
-	// peerDialTime bounds connection set-up and TLS handshake with a peer.
-	peerDialTime = time.Second
-	// callTime bounds one question to a peer, 100 round trips between data
-	// centres; a peer that is slower is as good as gone.
-	callTime = 500 * time.Millisecond
-	// frameLimit bounds a frame between agents. A handover of a full keeper with
-	// all its answers is the largest.
-	frameLimit = 32 << 20
-	// idleConns is how many framed connections to one peer are kept unused.
-	idleConns = 4
+	// peerDialTimeout bounds connecting to a peer, TLS handshake included.
+	peerDialTimeout = time.Second
+	// peerCallTimeout bounds one call to a peer. It is 100 round trips between data
+	// centres; a slower peer counts as unreachable.
+	peerCallTimeout = 500 * time.Millisecond
+	// maxFrameBytes is the maximum size of a frame between agents. The largest is the
+	// handover of a full voter with all stored responses.
+	maxFrameBytes = 32 << 20
+	// maxIdleConns is how many idle connections to one peer are kept.
+	maxIdleConns = 4
 )
 
-// errWrongPeer is returned where the address belongs to another agent now.
-var errWrongPeer = errors.New("proxy: the address is another agent's")
+// errWrongPeer is returned if the address now belongs to another agent.
+var errWrongPeer = errors.New("proxy: address belongs to another agent")
 
-// frameClient asks peers questions, one at a time on each connection.
+// frameClient calls peers, with one call at a time on each connection.
 type frameClient struct {
 	service string
 	tls     *tls.Config
@@ -63,11 +63,11 @@
 	return c
 }
 
-// call sends one message and waits for its answer. Every message is idempotent,
-// so one that fails on a connection used before is sent again on a new one.
-func (c *frameClient) call(ctx context.Context, to table.Target, kind framing.Kind, m msgp.Marshaler, answer msgp.Unmarshaler) error {
-	if conn := c.take(to.Agent); conn != nil {
-		if err := c.exchange(ctx, to.Agent, conn, kind, m, answer); err == nil {
+// call sends one message and waits for the reply. Every message is idempotent, so one
+// that fails on a reused connection is sent again on a new one.
+func (c *frameClient) call(ctx context.Context, to table.Target, kind framing.Kind, m msgp.Marshaler, reply msgp.Unmarshaler) error {
+	if conn := c.takeIdle(to.Agent); conn != nil {
+		if err := c.exchange(ctx, to.Agent, conn, kind, m, reply); err == nil {
 			return nil
 		}
 	}
@@ -75,32 +75,32 @@
 	if err != nil {
 		return err
 	}
-	return c.exchange(ctx, to.Agent, conn, kind, m, answer)
+	return c.exchange(ctx, to.Agent, conn, kind, m, reply)
 }
 
-func (c *frameClient) exchange(ctx context.Context, to table.AgentNumber, conn *framing.Conn, kind framing.Kind, m msgp.Marshaler, answer msgp.Unmarshaler) error {
+func (c *frameClient) exchange(ctx context.Context, to table.AgentNumber, conn *framing.Conn, kind framing.Kind, m msgp.Marshaler, reply msgp.Unmarshaler) error {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
-	err := ask(conn, kind, m, answer)
+	err := roundTrip(conn, kind, m, reply)
 	if !stop() || err != nil {
 		_ = conn.Close()
 		if err == nil {
-			err = errors.Wrap(ctx.Err(), "proxy: peer")
+			err = errors.Wrap(ctx.Err(), "proxy: call to peer")
 		}
 		return err
 	}
-	c.keep(to, conn)
+	c.putIdle(to, conn)
 	return nil
 }
 
-func ask(conn *framing.Conn, kind framing.Kind, m msgp.Marshaler, answer msgp.Unmarshaler) error {
+func roundTrip(conn *framing.Conn, kind framing.Kind, m msgp.Marshaler, reply msgp.Unmarshaler) error {
 	if _, err := conn.Write(kind, m); err != nil {
-		return errors.Wrap(err, "proxy: ask peer")
+		return errors.Wrap(err, "proxy: send to peer")
 	}
 	f, err := conn.Read()
 	if err != nil {
-		return errors.Wrap(err, "proxy: hear peer")
+		return errors.Wrap(err, "proxy: read reply from peer")
 	}
-	return f.Decode(answer)
+	return f.Decode(reply)
 }
 
 func (c *frameClient) dial(ctx context.Context, to table.Target) (*framing.Conn, error) {
@@ -108,24 +108,24 @@
 	if err != nil {
 		return nil, err
 	}
-	conn := framing.NewConn(raw, frameLimit, callTime)
+	conn := framing.NewConn(raw, maxFrameBytes, peerCallTimeout)
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	var welcome Welcome
-	if err := ask(conn, kindHello, &Hello{Service: c.service, Agent: to.Agent}, &welcome); err != nil {
+	var reply HelloReply
+	if err := roundTrip(conn, kindHello, &Hello{Service: c.service, Agent: to.Agent}, &reply); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
-	if !welcome.OK {
+	if !reply.OK {
 		_ = conn.Close()
 		return nil, errWrongPeer
 	}
 	return conn, nil
 }
 
-// dialPeer opens a connection to another agent, with TLS where it is set.
+// dialPeer connects to another agent, with TLS if cfg isn't nil.
 func dialPeer(ctx context.Context, cfg *tls.Config, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, peerDialTime)
+	ctx, cancel := context.WithTimeout(ctx, peerDialTimeout)
 	defer cancel()
 	var d net.Dialer
 	raw, err := d.DialContext(ctx, "tcp", address)
@@ -138,17 +138,17 @@
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		_ = raw.Close()
-		return nil, errors.Wrap(err, "proxy: peer address")
+		return nil, errors.Wrap(err, "proxy: invalid peer address")
 	}
 	conn, err := keys.Client(ctx, raw, cfg, host)
 	if err != nil {
 		_ = raw.Close()
-		return nil, errors.Wrap(err, "proxy: TLS with peer")
+		return nil, errors.Wrap(err, "proxy: TLS handshake with peer")
 	}
 	return conn, nil
 }
 
-func (c *frameClient) take(to table.AgentNumber) *framing.Conn {
+func (c *frameClient) takeIdle(to table.AgentNumber) *framing.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	idle := c.idle[to]
@@ -160,18 +160,18 @@
 	return conn
 }
 
-func (c *frameClient) keep(to table.AgentNumber, conn *framing.Conn) {
+func (c *frameClient) putIdle(to table.AgentNumber, conn *framing.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[to]) >= idleConns {
+	if len(c.idle[to]) >= maxIdleConns {
 		_ = conn.Close()
 		return
 	}
 	c.idle[to] = append(c.idle[to], conn)
 }
 
-// forget closes the idle connections to agents that keep says no to.
-func (c *frameClient) forget(keep func(table.AgentNumber) bool) {
+// closeIdle closes the idle connections to all agents for which keep returns false.
+func (c *frameClient) closeIdle(keep func(table.AgentNumber) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for n, conns := range c.idle {
--- a/internal/proxy/health.go
+++ b/internal/proxy/health.go
@@ -13,149 +13,152 @@
 )
 
 const (
-	healthPath  = "/health"
-	healthEvery = time.Second
-	// healthTime bounds one look at the health endpoint.
-	healthTime = time.Second
-	// complainEvery bounds the log lines about one standing trouble.
-	complainEvery = 30 * time.Second
+	healthPath     = "/health"
+	healthInterval = time.Second
+	// healthTimeout bounds one request to the health endpoint.
+	healthTimeout = time.Second
+	// repeatLogInterval is the minimum time between log lines about the same ongoing
+	// problem.
+	repeatLogInterval = 30 * time.Second
 )
 
-// condition guards the judgement of the target.
-type condition struct {
-	mu    sync.Mutex
-	state admission.Condition
-	ill   bool // as logged
-	// contradicted is set while the endpoint and requests disagree.
+// targetHealth guards the target's health state.
+type targetHealth struct {
+	mu        sync.Mutex
+	state     admission.Condition
+	unhealthy bool // as last logged
+	// contradicted is set while the health endpoint and the outcome of requests disagree.
 	contradicted bool
 }
 
-// note takes the outcome of one request at the target.
-func (x *Relay) note(answered bool) {
-	x.condition.mu.Lock()
-	defer x.condition.mu.Unlock()
-	if answered {
-		x.condition.state.Answered(x.now())
+// recordOutcome records whether the target responded to a request.
+func (x *Relay) recordOutcome(responded bool) {
+	x.health.mu.Lock()
+	defer x.health.mu.Unlock()
+	if responded {
+		x.health.state.Answered(x.now())
 	} else {
-		x.condition.state.Failed(x.now())
+		x.health.state.Failed(x.now())
 	}
-	x.logCondition()
+	x.logHealthChange()
 }
 
-// logCondition logs a change. The caller holds the lock.
-func (x *Relay) logCondition() {
-	ill := x.condition.state.Ill(x.now())
-	if ill == x.condition.ill {
+// logHealthChange logs a change of the target's health. The caller must hold the lock.
+func (x *Relay) logHealthChange() {
+	unhealthy := x.health.state.Ill(x.now())
+	if unhealthy == x.health.unhealthy {
 		return
 	}
-	x.condition.ill = ill
-	if ill {
+	x.health.unhealthy = unhealthy
+	if unhealthy {
 		events.Log(x.log, events.TargetIll, logrus.Fields{"target": x.cfg.Target})
 	} else {
 		events.Log(x.log, events.TargetWell, logrus.Fields{"target": x.cfg.Target})
 	}
 }
 
-func (x *Relay) ill() bool {
-	x.condition.mu.Lock()
-	defer x.condition.mu.Unlock()
-	return x.condition.state.Ill(x.now())
+func (x *Relay) unhealthy() bool {
+	x.health.mu.Lock()
+	defer x.health.mu.Unlock()
+	return x.health.state.Ill(x.now())
 }
 
-// fit tells whether the target may get this request: it is well, or this is one
-// of its trials. A trial takes a repeatable request, or any where the health
-// endpoint says well again.
-func (x *Relay) fit(c *call) bool {
-	x.condition.mu.Lock()
-	defer x.condition.mu.Unlock()
+// mayUseTarget tells whether the target may get this request: it is healthy, or the
+// request is one of its trials. Trials use repeatable requests, or any request if the
+// health endpoint reports the target as healthy.
+func (x *Relay) mayUseTarget(c *call) bool {
+	x.health.mu.Lock()
+	defer x.health.mu.Unlock()
 	now := x.now()
-	if !x.condition.state.Ill(now) {
+	if !x.health.state.Ill(now) {
 		return true
 	}
-	if !c.repeatable() && !x.healthWell.Load() {
+	if !c.repeatable() && !x.endpointHealthy.Load() {
 		return false
 	}
-	return x.condition.state.Trial(now)
+	return x.health.state.Trial(now)
 }
 
-// watchHealth asks the health endpoint until ctx is done.
+// watchHealth polls the health endpoint until ctx is done.
 func (x *Relay) watchHealth(ctx context.Context) {
-	tick := time.NewTicker(healthEvery)
+	tick := time.NewTicker(healthInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			x.lookAtHealth(ctx)
+			x.checkHealth(ctx)
 		}
 	}
 }
 
-// lookAtHealth takes the endpoint's word as a hint. A target without such an
-// endpoint gives none.
-func (x *Relay) lookAtHealth(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, healthTime)
+// checkHealth queries the health endpoint and uses the result as a hint. A target without
+// such an endpoint gives no hint.
+func (x *Relay) checkHealth(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, healthTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+x.cfg.Target+healthPath, nil)
 	if err != nil {
 		return
 	}
-	resp, err := x.target.fresh.RoundTrip(req)
+	resp, err := x.target.unpooled.RoundTrip(req)
 	if err == nil {
 		_ = resp.Body.Close()
 		if resp.StatusCode == http.StatusNotFound {
 			return
 		}
 	}
-	x.hint(err == nil && resp.StatusCode < http.StatusInternalServerError)
+	x.recordHealthCheck(err == nil && resp.StatusCode < http.StatusInternalServerError)
 }
 
-func (x *Relay) hint(well bool) {
-	x.healthWell.Store(well)
-	x.condition.mu.Lock()
-	defer x.condition.mu.Unlock()
-	x.condition.state.Hint(well)
-	x.logCondition()
-	contradicted := well == x.condition.state.Ill(x.now())
-	if contradicted && !x.condition.contradicted {
-		events.Log(x.log, events.HealthContradicts, logrus.Fields{"endpoint_well": well})
+// recordHealthCheck records a result of the health endpoint, and logs when it contradicts
+// the outcome of requests.
+func (x *Relay) recordHealthCheck(healthy bool) {
+	x.endpointHealthy.Store(healthy)
+	x.health.mu.Lock()
+	defer x.health.mu.Unlock()
+	x.health.state.Hint(healthy)
+	x.logHealthChange()
+	contradicted := healthy == x.health.state.Ill(x.now())
+	if contradicted && !x.health.contradicted {
+		events.Log(x.log, events.HealthContradicts, logrus.Fields{"endpoint_well": healthy})
 	}
 	if contradicted {
-		x.count.add("health.contradicted")
+		x.counters.add("health.contradicted")
 	}
-	x.condition.contradicted = contradicted
+	x.health.contradicted = contradicted
 }
 
-// complaints remembers when a standing trouble was last logged.
-type complaints struct {
+// repeatLog holds when each ongoing problem was last logged.
+type repeatLog struct {
 	mu   sync.Mutex
-	last []complaint
+	last []loggedEvent
 }
 
-type complaint struct {
+type loggedEvent struct {
 	number int
 	at     time.Duration
 }
 
-// complain logs a standing trouble now and then: once a request would fill the
-// log with one line's worth of news.
-func (x *Relay) complain(e events.Event) {
-	x.complaints.mu.Lock()
-	defer x.complaints.mu.Unlock()
+// logRepeated logs an ongoing problem at most once every repeatLogInterval: a line for
+// each affected request would flood the log.
+func (x *Relay) logRepeated(e events.Event) {
+	x.repeatLog.mu.Lock()
+	defer x.repeatLog.mu.Unlock()
 	now := x.now()
-	for i := range x.complaints.last {
-		c := &x.complaints.last[i]
-		if c.number != e.Number {
+	for i := range x.repeatLog.last {
+		logged := &x.repeatLog.last[i]
+		if logged.number != e.Number {
 			continue
 		}
-		if now-c.at < complainEvery {
+		if now-logged.at < repeatLogInterval {
 			return
 		}
-		c.at = now
+		logged.at = now
 		events.Log(x.log, e, nil)
 		return
 	}
-	x.complaints.last = append(x.complaints.last, complaint{e.Number, now})
+	x.repeatLog.last = append(x.repeatLog.last, loggedEvent{e.Number, now})
 	events.Log(x.log, e, nil)
 }
--- a/internal/proxy/rig_test.go
+++ b/internal/proxy/host_test.go
@@ -13,34 +13,34 @@
 	"bergamotstall/internal/standin/target"
 )
 
-// patience bounds every poll; no verdict depends on time being short.
-const patience = 20 * time.Second
+// pollTimeout bounds every poll. Tests don't depend on it being short.
+const pollTimeout = 20 * time.Second
 
-// rig is one host: a target, its agent's relay, and a server for callers.
-type rig struct {
+// testHost is one host: a target, its agent's proxy, and a server for callers.
+type testHost struct {
 	t      testing.TB
 	target *target.Target
-	relay  *Relay
+	proxy  *Relay
 	server *httptest.Server
 	client *http.Client
 }
 
-func newRig(t *testing.T, f target.Faults, limits Limits) *rig {
+func newTestHost(t *testing.T, f target.Faults, limits Limits) *testHost {
 	t.Helper()
 	tg, err := target.New(target.Config{Service: "desk", Host: "h1", Address: "127.0.0.1:0", FeedInterval: 5 * time.Millisecond, Faults: f})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(tg.Kill)
-	r := &rig{t: t, target: tg}
-	r.relay = newRelay(t, Config{Service: "desk", Host: "h1", Target: tg.Address(), Limits: limits})
-	r.server = httptest.NewServer(r.relay)
+	r := &testHost{t: t, target: tg}
+	r.proxy = newTestProxy(t, Config{Service: "desk", Host: "h1", Target: tg.Address(), Limits: limits})
+	r.server = httptest.NewServer(r.proxy)
 	r.client = r.server.Client()
 	t.Cleanup(r.server.CloseClientConnections)
 	return r
 }
 
-func newRelay(t testing.TB, cfg Config) *Relay {
+func newTestProxy(t testing.TB, cfg Config) *Relay {
 	t.Helper()
 	cfg.Metrics = metrics.New()
 	x, err := New(cfg)
@@ -50,7 +50,7 @@
 	return x
 }
 
-// reply is what a caller got.
+// reply is what a caller received.
 type reply struct {
 	status  int
 	header  http.Header
@@ -62,14 +62,14 @@
 func (r reply) notRun() string  { return r.header.Get(HeaderNotRun) }
 func (r reply) unknown() string { return r.header.Get(HeaderUnknown) }
 
-// ask sends one request and reads the whole answer.
-func (r *rig) ask(ctx context.Context, method, path, id, body string, headers ...string) reply {
+// send sends one request and reads the whole response.
+func (r *testHost) send(ctx context.Context, method, path, id, body string, headers ...string) reply {
 	r.t.Helper()
 	req, err := http.NewRequestWithContext(ctx, method, r.server.URL+path, strings.NewReader(body))
 	if err != nil {
 		return reply{err: err}
 	}
-	req.GetBody = nil // the caller's own client mustn't send it twice
+	req.GetBody = nil // prevents the caller's client from resending
 	req.Header.Set(target.RequestIDHeader, id)
 	for i := 0; i+1 < len(headers); i += 2 {
 		req.Header.Set(headers[i], headers[i+1])
@@ -83,20 +83,20 @@
 	return reply{status: resp.StatusCode, header: resp.Header, trailer: resp.Trailer, body: string(data), err: err}
 }
 
-func (r *rig) submit(id, body string, headers ...string) reply {
+func (r *testHost) submit(id, body string, headers ...string) reply {
 	r.t.Helper()
-	return r.ask(context.Background(), "POST", "/submit", id, body, headers...)
+	return r.send(context.Background(), "POST", "/submit", id, body, headers...)
 }
 
-func (r *rig) count(name string) int64 { return r.relay.cfg.Metrics.Value("requests." + name) }
+func (r *testHost) count(name string) int64 { return r.proxy.cfg.Metrics.Value("requests." + name) }
 
-// eventually polls until ok, and fails the test where that never comes.
+// eventually polls until ok returns true, and fails the test after pollTimeout.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(pollTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	t.Fatal("never came: " + what)
+	t.Fatal("timed out waiting for: " + what)
 }
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -16,79 +16,82 @@
 )
 
 const (
-	// HeaderKey is the caller's idempotency key (draft-ietf-httpapi-idempotency-
-	// key-header). It counts for methods that aren't safe.
+	// HeaderKey is the caller's idempotency key
+	// (draft-ietf-httpapi-idempotency-key-header). It is ignored for safe methods.
 	HeaderKey = "Idempotency-Key"
-	// HeaderReplayed marks an answer that an earlier request with the key got.
+	// HeaderReplayed marks the stored response of an earlier request with the same key.
 	HeaderReplayed = "Idempotency-Replayed"
 
-	// keyedMemory bounds the bodies of keyed submissions held at once, in bytes.
-	keyedMemory = 64 << 20
+	// maxBufferedBytes bounds the request bodies with an idempotency key that are in
+	// memory at the same time.
+	maxBufferedBytes = 64 << 20
 )
 
-// Reasons of keyed submissions.
+// Reasons for requests with an idempotency key.
 const (
-	ReasonKeyQuorum  Reason = "key-no-quorum"
-	ReasonKeyStale   Reason = "key-table-stale"
-	ReasonKeyFull    Reason = "key-limit"
-	ReasonKeyLate    Reason = "key-held-too-long"
-	ReasonKeyMemory  Reason = "key-memory"
-	ReasonKeyBody    Reason = "key-body-too-large"
-	ReasonKeyMisused Reason = "key-misused"
-	ReasonBodyBroken Reason = "body-not-whole"
+	ReasonKeyQuorum       Reason = "key-no-quorum"
+	ReasonKeyTableStale   Reason = "key-table-stale"
+	ReasonKeyLimit        Reason = "key-limit"
+	ReasonKeyHeldTooLong  Reason = "key-held-too-long"
+	ReasonKeyMemory       Reason = "key-memory"
+	ReasonKeyBodyTooLarge Reason = "key-body-too-large"
+	ReasonKeyMisused      Reason = "key-misused"
+	ReasonBodyNotWhole    Reason = "body-not-whole"
 
 	// ReasonKeyRunning: an earlier request with the key may be running.
 	ReasonKeyRunning Reason = "key-running"
-	// ReasonKeyUnknown: an earlier request with the key got no answer.
-	ReasonKeyUnknown Reason = "key-outcome-unknown"
-	// ReasonKeyNoText: an earlier request with the key ran; its answer was too
-	// large to be kept.
-	ReasonKeyNoText Reason = "key-answer-not-kept"
+	// ReasonKeyOutcomeUnknown: an earlier request with the key got no response.
+	ReasonKeyOutcomeUnknown Reason = "key-outcome-unknown"
+	// ReasonKeyAnswerNotKept: an earlier request with the key ran; its response was too
+	// large to store.
+	ReasonKeyAnswerNotKept Reason = "key-answer-not-kept"
 )
 
-// keyed is a submission with an idempotency key under way.
-type keyed struct {
-	try   *idempotency.Claim
-	begun time.Time
+// keyedClaim is the claim of a request with an idempotency key.
+type keyedClaim struct {
+	claim     *idempotency.Claim
+	startedAt time.Time
 }
 
-// runKeyed runs a keyed submission here once its claim has won.
+// runKeyed runs a request with an idempotency key at this agent's target once its claim
+// has won.
 func (x *Relay) runKeyed(c *call) result {
-	if r, ok := x.holdBody(c); !ok {
+	if r, ok := x.bufferBody(c); !ok {
 		return r
 	}
-	k, r := x.claimFor(c)
+	k, r := x.claimKey(c)
 	if k == nil {
 		return r
 	}
-	x.count.add("claims.won")
+	x.counters.add("claims.won")
 	res := x.runClaimed(c, k)
 	switch {
 	case res.refusal != nil:
-		res.released = x.releaseKey(k.try)
+		res.released = x.releaseKey(k.claim)
 	case res.unknown != nil:
-		x.finishKey(k.try, idempotency.NoAnswer, nil)
+		x.finishKey(k.claim, idempotency.NoAnswer, nil)
 	case res.resp.StatusCode == http.StatusServiceUnavailable && x.cfg.ShedUnrun:
-		res.released = x.releaseKey(k.try)
+		res.released = x.releaseKey(k.claim)
 	default:
-		res.resp.Body = x.keepAnswer(k.try, res.resp)
+		res.resp.Body = x.recordResponse(k.claim, res.resp)
 	}
 	return res
 }
 
-// runClaimed waits for a slot and hands over. The request no longer ends with
-// the caller's connection: a caller that lost it resends, and wants the answer.
-func (x *Relay) runClaimed(c *call, k *keyed) result {
-	p, refusal := x.enter(c)
+// runClaimed waits for a slot and forwards the request. From here on it doesn't end when
+// the caller disconnects: a caller that lost its connection resends the request and needs
+// the response.
+func (x *Relay) runClaimed(c *call, k *keyedClaim) result {
+	p, refusal := x.acquireSlot(c)
 	if refusal != nil {
 		return result{refusal: refusal, outcome: retry.NotRun}
 	}
-	if x.cfg.Clock().Sub(k.begun) > idempotency.MaxClaimAge {
-		p.leave()
-		return refused(ReasonKeyLate)
+	if x.cfg.Clock().Sub(k.startedAt) > idempotency.MaxClaimAge {
+		p.release()
+		return refused(ReasonKeyHeldTooLong)
 	}
 	ctx, cancel := c.detached()
-	res := x.handOver(ctx, c, p)
+	res := x.forward(ctx, c, p)
 	if res.resp == nil {
 		cancel()
 		return res
@@ -97,73 +100,72 @@
 	return res
 }
 
-// A try that finds no quorum is made again: while an agent stops as planned, its
-// keeper no longer votes, and may not be passed over before the others have its
-// records, which takes up to some hundred milliseconds with thousands of keys.
-// Without another try each planned stop turns a handful of submissions away.
-// Where two keepers of a key are dead, the tries cost half a second and end in
-// the same refusal.
+// A claim that finds no quorum is retried. While an agent shuts down as planned, its
+// voter no longer votes, but it may not be skipped before the others have merged its
+// records, which takes up to several hundred milliseconds with thousands of keys.
+// Without retries, each planned shutdown would refuse a few submissions. If two voters
+// of a key are dead, the retries take half a second and the request is refused all the
+// same.
 const (
-	claimTries = 5
-	claimPause = 100 * time.Millisecond
+	maxClaimAttempts = 5
+	claimRetryDelay  = 100 * time.Millisecond
 )
 
-// claimFor tries for the request's key. Without a claim the result is final.
-func (x *Relay) claimFor(c *call) (*keyed, result) {
-	for made := 1; ; made++ {
-		k, r := x.claimOnce(c)
-		lacking := k == nil && r.refusal != nil && r.refusal.Reason == ReasonKeyQuorum
-		if !lacking || made == claimTries || !wait.For(c.ctx, claimPause) {
+// claimKey claims the request's key. Without a claim the result is final.
+func (x *Relay) claimKey(c *call) (*keyedClaim, result) {
+	for attempts := 1; ; attempts++ {
+		k, r := x.tryClaim(c)
+		noQuorum := k == nil && r.refusal != nil && r.refusal.Reason == ReasonKeyQuorum
+		if !noQuorum || attempts == maxClaimAttempts || !wait.For(c.ctx, claimRetryDelay) {
 			return k, r
 		}
-		x.count.add("claims.tried-again")
-		r.settle()
+		x.counters.add("claims.tried-again")
+		r.waitReleased()
 	}
 }
 
-// claimOnce makes one try for the request's key.
-func (x *Relay) claimOnce(c *call) (*keyed, result) {
+// tryClaim makes one attempt to claim the request's key.
+func (x *Relay) tryClaim(c *call) (*keyedClaim, result) {
 	t := x.table.Load()
 	if !idempotency.MayVote(t, x.self(), x.tableAge(), x.cfg.Clock().UnixMilli()) {
-		x.complain(events.ClaimsStale)
-		return nil, refused(ReasonKeyStale)
+		x.logRepeated(events.ClaimsStale)
+		return nil, refused(ReasonKeyTableStale)
 	}
 	own, _ := t.Target(x.self())
 	r := idempotency.Request{
-		Key:    idempotency.Key(sum(x.cfg.Service, c.request.Header.Get(HeaderKey))),
+		Key:    idempotency.Key(hash(x.cfg.Service, c.request.Header.Get(HeaderKey))),
 		ID:     idempotency.ClaimID{Agent: x.self(), Nonce: x.nonce.Add(1)},
 		Caller: c.credential,
-		Body:   sum(c.request.Method, c.request.URL.RequestURI(), string(c.held)),
+		Body:   hash(c.request.Method, c.request.URL.RequestURI(), string(c.bufferedBody)),
 	}
-	k := &keyed{begun: x.cfg.Clock()}
-	try, verdict := x.claim(c.ctx, r, t, idempotency.MembersOf(t, own.Service))
-	k.try = try
+	k := &keyedClaim{startedAt: x.cfg.Clock()}
+	claim, verdict := x.runClaim(c.ctx, r, t, idempotency.MembersOf(t, own.Service))
+	k.claim = claim
 	if verdict == idempotency.Won {
 		return k, result{}
 	}
-	res := x.keyAnswer(verdict, try)
-	res.released = x.releaseKey(try)
+	res := x.verdictResult(verdict, claim)
+	res.released = x.releaseKey(claim)
 	return nil, res
 }
 
-// keyAnswer is what a caller is told whose key another try has, or that found
-// no quorum.
-func (x *Relay) keyAnswer(v idempotency.Verdict, try *idempotency.Claim) result {
+// verdictResult returns the result for a claim that didn't win.
+func (x *Relay) verdictResult(v idempotency.Verdict, claim *idempotency.Claim) result {
 	switch v {
 	case idempotency.Completed:
-		if answer := try.Response(); answer != nil {
-			x.count.add("claims.replayed")
-			return result{resp: replay(answer)}
+		if response := claim.Response(); response != nil {
+			x.counters.add("claims.replayed")
+			return result{resp: replayedResponse(response)}
 		}
-		return unknown(ReasonKeyNoText, http.StatusConflict)
+		return unknown(ReasonKeyAnswerNotKept, http.StatusConflict)
 	case idempotency.Running:
 		return unknown(ReasonKeyRunning, http.StatusConflict)
 	case idempotency.Unknown:
-		return unknown(ReasonKeyUnknown, http.StatusConflict)
+		return unknown(ReasonKeyOutcomeUnknown, http.StatusConflict)
 	case idempotency.KeyMismatch:
-		return result{misuse: ReasonKeyMisused}
+		return result{invalid: ReasonKeyMisused}
 	case idempotency.LimitReached:
-		return refused(ReasonKeyFull)
+		return refused(ReasonKeyLimit)
 	default:
 		return refused(ReasonKeyQuorum)
 	}
@@ -177,8 +179,9 @@
 	return result{unknown: &Unknown{Reason: reason, Status: status}, outcome: retry.Lost}
 }
 
-// sum hashes texts that may contain anything; their lengths keep them apart.
-func sum(texts ...string) idempotency.Hash {
+// hash hashes a list of strings. Each is hashed by itself first, so that different lists
+// with the same concatenation differ.
+func hash(texts ...string) idempotency.Hash {
 	h := sha256.New()
 	for _, s := range texts {
 		one := sha256.Sum256([]byte(s))
@@ -187,121 +190,122 @@
 	return idempotency.Hash(h.Sum(nil)[:len(idempotency.Hash{})])
 }
 
-// holdBody reads a keyed submission's body into memory: its fingerprint is
-// needed before the claim.
-func (x *Relay) holdBody(c *call) (result, bool) {
-	if c.held != nil {
+// bufferBody reads the body of a request with an idempotency key into memory: the claim
+// needs its hash.
+func (x *Relay) bufferBody(c *call) (result, bool) {
+	if c.bufferedBody != nil {
 		return result{}, true
 	}
-	limit := x.cfg.Limits.KeyedBody
+	limit := x.cfg.Limits.MaxKeyedBody
 	if c.request.ContentLength > limit {
-		return result{misuse: ReasonKeyBody}, false
+		return result{invalid: ReasonKeyBodyTooLarge}, false
 	}
 	size := limit
 	if c.request.ContentLength >= 0 {
 		size = c.request.ContentLength
 	}
-	if x.keyedBytes.Add(size) > keyedMemory {
-		x.keyedBytes.Add(-size)
+	if x.bufferedBytes.Add(size) > maxBufferedBytes {
+		x.bufferedBytes.Add(-size)
 		return refused(ReasonKeyMemory), false
 	}
-	c.onEnd(func() { x.keyedBytes.Add(-size) })
+	c.onEnd(func() { x.bufferedBytes.Add(-size) })
 	data, err := io.ReadAll(io.LimitReader(c.request.Body, limit+1))
 	if int64(len(data)) > limit {
-		return result{misuse: ReasonKeyBody}, false
+		return result{invalid: ReasonKeyBodyTooLarge}, false
 	}
 	if err != nil {
-		return refused(ReasonBodyBroken), false
+		return refused(ReasonBodyNotWhole), false
 	}
-	c.held = data
+	c.bufferedBody = data
 	return result{}, true
 }
 
-// replay makes an answer of one that was kept.
-func replay(a *idempotency.Response) *http.Response {
+// replayedResponse builds the HTTP response from a stored one.
+func replayedResponse(stored *idempotency.Response) *http.Response {
 	h := http.Header{}
-	for _, f := range a.Header {
+	for _, f := range stored.Header {
 		h.Add(f.Name, f.Value)
 	}
 	h.Set(HeaderReplayed, "true")
 	return &http.Response{
-		StatusCode:    a.Status,
+		StatusCode:    stored.Status,
 		Header:        h,
-		Body:          io.NopCloser(bytes.NewReader(a.Body)),
-		ContentLength: int64(len(a.Body)),
+		Body:          io.NopCloser(bytes.NewReader(stored.Body)),
+		ContentLength: int64(len(stored.Body)),
 	}
 }
 
-// answerKeeper reads a keyed submission's answer along with the caller, and to
-// its end also where the caller has left.
-type answerKeeper struct {
+// responseRecorder records the response to a request with an idempotency key while the
+// caller reads it. It reads to the end even if the caller disconnects.
+type responseRecorder struct {
 	io.ReadCloser
-	kept   bytes.Buffer
-	large  bool
-	ended  bool
-	finish func(standing idempotency.KeyState, body []byte, whole bool)
+	recorded bytes.Buffer
+	tooLarge bool
+	finished bool
+	onFinish func(state idempotency.KeyState, body []byte, complete bool)
 }
 
-// keepAnswer returns the answer's body; reading or closing it tells keepers.
-func (x *Relay) keepAnswer(try *idempotency.Claim, resp *http.Response) io.ReadCloser {
+// recordResponse returns the response's body; reading it to the end or closing it reports
+// the response to the voters.
+func (x *Relay) recordResponse(claim *idempotency.Claim, resp *http.Response) io.ReadCloser {
 	head := idempotency.Response{Status: resp.StatusCode}
-	plain := http.Header{}
-	copyHeader(plain, resp.Header)
-	for name, values := range plain {
+	header := http.Header{}
+	copyHeader(header, resp.Header)
+	for name, values := range header {
 		for _, v := range values {
 			head.Header = append(head.Header, idempotency.HeaderField{Name: name, Value: v})
 		}
 	}
-	return &answerKeeper{ReadCloser: resp.Body, finish: func(standing idempotency.KeyState, body []byte, whole bool) {
-		if !whole {
-			x.finishKey(try, standing, nil)
+	return &responseRecorder{ReadCloser: resp.Body, onFinish: func(state idempotency.KeyState, body []byte, complete bool) {
+		if !complete {
+			x.finishKey(claim, state, nil)
 			return
 		}
 		head.Body = body
-		x.finishKey(try, standing, &head)
+		x.finishKey(claim, state, &head)
 	}}
 }
 
-func (a *answerKeeper) Read(p []byte) (int, error) {
-	n, err := a.ReadCloser.Read(p)
-	if a.kept.Len()+n > idempotency.MaxResponseBytes {
-		a.large = true
+func (r *responseRecorder) Read(p []byte) (int, error) {
+	n, err := r.ReadCloser.Read(p)
+	if r.recorded.Len()+n > idempotency.MaxResponseBytes {
+		r.tooLarge = true
 	} else {
-		a.kept.Write(p[:n])
+		r.recorded.Write(p[:n])
 	}
 	if err != nil {
-		a.end(err)
+		r.finish(err)
 	}
 	return n, err
 }
 
-func (a *answerKeeper) end(err error) {
-	if a.ended {
+func (r *responseRecorder) finish(err error) {
+	if r.finished {
 		return
 	}
-	a.ended = true
+	r.finished = true
 	if !errors.Is(err, io.EOF) {
-		a.finish(idempotency.NoAnswer, nil, false)
+		r.onFinish(idempotency.NoAnswer, nil, false)
 		return
 	}
-	a.finish(idempotency.Done, a.kept.Bytes(), !a.large)
+	r.onFinish(idempotency.Done, r.recorded.Bytes(), !r.tooLarge)
 }
 
-// Close reads the rest, so that a resender gets the answer that its first
-// connection lost.
-func (a *answerKeeper) Close() error {
-	if !a.ended {
-		_, err := io.Copy(io.Discard, a)
+// Close reads the rest of the body, so that a resend gets the response that was lost with
+// the first connection.
+func (r *responseRecorder) Close() error {
+	if !r.finished {
+		_, err := io.Copy(io.Discard, r)
 		if err == nil {
 			err = io.EOF
 		}
-		a.end(err)
+		r.finish(err)
 	}
-	return a.ReadCloser.Close()
+	return r.ReadCloser.Close()
 }
 
-// detached returns a context that outlives the caller's connection, with the
-// caller's deadline.
+// detached returns a context that isn't cancelled when the caller disconnects, but keeps
+// the caller's deadline.
 func (c *call) detached() (context.Context, context.CancelFunc) {
 	ctx := context.WithoutCancel(c.ctx)
 	if left, ok := c.timeLeft(); ok {
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -14,69 +14,69 @@
 	"bergamotstall/internal/table"
 )
 
-// holds tells whether this agent's keeper has a record of the key.
-func (x *Relay) holds(key string) bool {
+// hasRecord tells whether this agent's voter has a record of the key.
+func (x *Relay) hasRecord(key string) bool {
 	held := false
-	x.keep(func(k *idempotency.Voter, nowMS int64) {
-		held = k.HasRecord(idempotency.Key(sum(x.cfg.Service, key)))
+	x.withVoter(func(v *idempotency.Voter, nowMS int64) {
+		held = v.HasRecord(idempotency.Key(hash(x.cfg.Service, key)))
 	})
 	return held
 }
 
-// The caller's connection dies while its submission runs. It resends with the
-// same key, and meets another agent each time: while the first still runs it is
-// told so, afterwards it gets the first one's answer. One run in all.
-func TestAnswerLostAndResentToOtherAgents(t *testing.T) {
+// Guards against a second run when a caller loses its connection during a submission and
+// resends it with the same key to other agents. While the first run is in progress a
+// resend is told so; afterwards it gets the first run's response.
+func TestResponseLostAndResentToOtherAgents(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 5, target.Faults{Work: 200 * time.Millisecond}, Limits{Slots: 4})
-	c.hosts[0].loseAnswer("k1", "note")
+	c.hosts[0].submitAndDisconnect("k1", "note")
 
-	during := c.hosts[1].keyed("k1", "note")
-	if during.header.Get(HeaderReplayed) == "" { // it may have ended meanwhile
+	during := c.hosts[1].submitKeyed("k1", "note")
+	if during.header.Get(HeaderReplayed) == "" { // otherwise the run has already ended
 		is.Equal(during.status, http.StatusConflict)
 		is.Equal(during.unknown(), string(ReasonKeyRunning))
 	}
 	for _, h := range c.hosts {
 		var got reply
-		eventually(t, "the answer", func() bool {
-			got = h.keyed("k1", "note")
+		eventually(t, "stored response", func() bool {
+			got = h.submitKeyed("k1", "note")
 			return got.status == http.StatusOK
 		})
 		is.Equal(got.header.Get(HeaderReplayed), "true")
-		is.Equal(got.header.Get(target.HostHeader), "h1") // whole, headers too
+		is.Equal(got.header.Get(target.HostHeader), "h1") // the stored headers are replayed too
 		is.Equal(got.notRun(), "")
 	}
 	is.Equal(c.runs("k1"), 1)
 }
 
-// The target cuts the connection after the submission ran: the caller is told
-// "unknown", and so is each resender. Nobody runs it again.
+// Guards against a second run after the target closed the connection at the end of a run:
+// the caller and every resend get "unknown".
 func TestOutcomeUnknownStaysUnknown(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 4, target.Faults{Cut: target.CutAfter}, Limits{Slots: 4})
-	first := c.hosts[0].keyed("k1", "note")
-	is.Equal(first.unknown(), string(ReasonCut))
+	first := c.hosts[0].submitKeyed("k1", "note")
+	is.Equal(first.unknown(), string(ReasonConnectionCut))
 	for _, h := range c.hosts {
-		eventually(t, "unknown", func() bool { return h.keyed("k1", "note").unknown() == string(ReasonKeyUnknown) })
+		eventually(t, "unknown", func() bool { return h.submitKeyed("k1", "note").unknown() == string(ReasonKeyOutcomeUnknown) })
 	}
 	is.Equal(c.runs("k1"), 1)
 }
 
-// The caller resends after some of the key's three keepers have restarted and
-// forgotten. One restart: the resender learns the outcome. All three: it is
-// refused as not run, and so are new keys of the same three until the lookback
-// is over. In no case is there a second run.
-func TestKeeperRestartsBetweenClaimAndResend(t *testing.T) {
+// Guards against a second run when some of the key's three voters restart, and so lose
+// their records, before a resend. After one or two restarts the resend gets the response.
+// After three it is refused as not run, and so are new keys of the same three voters
+// until the lookback is over.
+func TestVoterRestartsBetweenClaimAndResend(t *testing.T) {
 	for _, restarts := range []int{1, 2, 3} {
 		t.Run(fmt.Sprint(restarts), func(t *testing.T) {
 			is := is.New(t)
 			c := newCluster(t, 6, target.Faults{}, Limits{Slots: 4})
 			now := time.Now().UnixMilli()
-			got := c.hosts[0].keyed("k1", "note")
+			got := c.hosts[0].submitKeyed("k1", "note")
 			is.Equal(got.status, http.StatusOK)
-			eventually(t, "records", func() bool { return len(c.keepersOf("k1")) == 3 })
-			keepers := c.keepersOf("k1")
-			for _, h := range keepers[:restarts] {
+			eventually(t, "records", func() bool { return len(c.votersOf("k1")) == 3 })
+			voters := c.votersOf("k1")
+			for _, h := range voters[:restarts] {
 				c.crash(h)
 				c.table.Targets[h.number-1].State = table.Retired
 				c.add(target.Faults{}, Limits{Slots: 4})
@@ -84,90 +84,92 @@
 			}
 			c.publish()
 			for _, h := range c.hosts {
-				if slices.Contains(keepers[:restarts], h) {
+				if slices.Contains(voters[:restarts], h) {
 					continue
 				}
 				if restarts == 3 {
-					// Right after another's try the key may still be held by it.
-					eventually(t, "refusal", func() bool { return h.keyed("k1", "note").notRun() == string(ReasonKeyQuorum) })
+					// Right after another agent's attempt, that attempt may still hold
+					// the key.
+					eventually(t, "refusal", func() bool { return h.submitKeyed("k1", "note").notRun() == string(ReasonKeyQuorum) })
 					continue
 				}
-				is.Equal(h.keyed("k1", "note").header.Get(HeaderReplayed), "true")
+				is.Equal(h.submitKeyed("k1", "note").header.Get(HeaderReplayed), "true")
 			}
 			is.Equal(c.runs("k1"), 1)
 		})
 	}
 }
 
-// All agents are restarted as planned, one after the other. The resender of an
-// old key still gets its answer, and new keys run at every step.
-func TestRollingRestartKeepsAnswers(t *testing.T) {
+// Guards against losing keys when all agents restart one after another as planned. A
+// resend of an old key still gets its response, and new keys run at every step.
+func TestRollingRestartKeepsResponses(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3, target.Faults{}, Limits{Slots: 4})
 	now := time.Now().UnixMilli()
-	is.Equal(c.hosts[0].keyed("old", "note").status, http.StatusOK)
-	eventually(t, "records", func() bool { return len(c.keepersOf("old")) == 3 })
+	is.Equal(c.hosts[0].submitKeyed("old", "note").status, http.StatusOK)
+	eventually(t, "records", func() bool { return len(c.votersOf("old")) == 3 })
 	for i := range 3 {
-		c.hosts[i].leave()
+		c.hosts[i].stopGracefully()
 		c.table.Targets[i].State = table.Retired
 		fresh := c.add(target.Faults{}, Limits{Slots: 4})
 		c.table.Targets[fresh.number-1].JoinedAtMS = now + int64(i)
 		c.publish()
 		key := fmt.Sprint("new", i)
-		is.Equal(fresh.keyed(key, "note").status, http.StatusOK)
+		is.Equal(fresh.submitKeyed(key, "note").status, http.StatusOK)
 		is.Equal(c.runs(key), 1)
-		is.Equal(fresh.keyed("old", "note").header.Get(HeaderReplayed), "true")
+		is.Equal(fresh.submitKeyed("old", "note").header.Get(HeaderReplayed), "true")
 	}
 	is.Equal(c.runs("old"), 1)
 }
 
-// A key that comes again with another body, or from another caller: an error,
-// and never the first one's answer.
+// Guards against replaying a response to another body or another caller with the same
+// key: both get an error.
 func TestKeyReusedForOtherBodyOrByOtherCaller(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 4, target.Faults{}, Limits{Slots: 4})
 	alice := []string{"Authorization", "Bearer alice"}
-	is.Equal(c.hosts[0].keyed("k1", "note", alice...).status, http.StatusOK)
-	eventually(t, "records", func() bool { return len(c.keepersOf("k1")) == 3 })
+	is.Equal(c.hosts[0].submitKeyed("k1", "note", alice...).status, http.StatusOK)
+	eventually(t, "records", func() bool { return len(c.votersOf("k1")) == 3 })
 	for _, h := range c.hosts {
-		body := h.keyed("k1", "other note", alice...)
+		body := h.submitKeyed("k1", "other note", alice...)
 		is.Equal(body.status, http.StatusUnprocessableEntity)
-		caller := h.keyed("k1", "note", "Authorization", "Bearer bob")
+		caller := h.submitKeyed("k1", "note", "Authorization", "Bearer bob")
 		is.Equal(caller.status, http.StatusUnprocessableEntity)
-		is.Equal(caller.header.Get(target.HostHeader), "") // nothing of the answer
+		is.Equal(caller.header.Get(target.HostHeader), "") // no part of the response
 		is.Equal(h.count("refused.key-misused"), int64(2))
 	}
 	is.Equal(c.runs("k1"), 1)
 }
 
-// A keyed submission that is refused gives its key back: "not run" is true, and
-// the caller may send it again with the same key.
-func TestRefusedSubmissionGivesItsKeyBack(t *testing.T) {
+// Guards against a refused submission that keeps its key: the caller may resend it with
+// the same key, and it then runs.
+func TestRefusedSubmissionReleasesItsKey(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3, target.Faults{}, Limits{Slots: 4})
 	for _, h := range c.hosts {
 		h.target.Kill()
 	}
-	got := c.hosts[0].keyed("k1", "note")
+	got := c.hosts[0].submitKeyed("k1", "note")
 	is.Equal(got.notRun(), string(ReasonUnreachable))
-	back := c.add(target.Faults{}, Limits{Slots: 4})
+	restarted := c.add(target.Faults{}, Limits{Slots: 4})
 	c.publish()
-	eventually(t, "run", func() bool { return back.keyed("k1", "note").status == http.StatusOK })
+	eventually(t, "run", func() bool { return restarted.submitKeyed("k1", "note").status == http.StatusOK })
 	is.Equal(c.runs("k1"), 1)
 }
 
-// Control has been silent for too long for one agent: its submissions with a key
-// run elsewhere. For all of them: refused as not run, while others go on.
+// Guards against voting with an old table when control is unreachable. If one agent's
+// table is too old, its submissions with a key run elsewhere. If all are too old, they
+// are refused as not run, while submissions without a key still run.
 func TestOldTableStopsKeyedSubmissionsOnly(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3, target.Faults{}, Limits{Slots: 4})
 	old := func() time.Duration { return idempotency.MaxTableAge + 1 }
-	c.hosts[0].relay.cfg.TableAge = old
-	is.Equal(c.hosts[0].keyed("k1", "note").status, http.StatusOK)
+	c.hosts[0].proxy.cfg.TableAge = old
+	is.Equal(c.hosts[0].submitKeyed("k1", "note").status, http.StatusOK)
 	is.Equal(c.hosts[0].target.Run("k1").Seen, 0)
-	c.hosts[1].relay.cfg.TableAge = old
-	c.hosts[2].relay.cfg.TableAge = old
-	is.Equal(c.hosts[0].keyed("k2", "note").notRun(), string(ReasonKeyStale))
+	c.hosts[1].proxy.cfg.TableAge = old
+	c.hosts[2].proxy.cfg.TableAge = old
+	is.Equal(c.hosts[0].submitKeyed("k2", "note").notRun(), string(ReasonKeyTableStale))
 	is.Equal(c.hosts[0].submit("plain", "note").status, http.StatusOK)
 	is.Equal(c.seen("k2"), 0)
 }
--- a/internal/proxy/listen.go
+++ b/internal/proxy/listen.go
@@ -20,21 +20,23 @@
 )
 
 const (
-	// helloTime bounds the TLS handshake and the first byte of a connection.
-	helloTime = 5 * time.Second
-	// peerIdleTime is how long the listener keeps an idle connection: longer
-	// than the other end does, so that none is closed under a request.
-	peerIdleTime = 4 * idleTime
-	// stopTime bounds the end of requests in progress at a stop.
-	stopTime = 30 * time.Second
-	// frameFirst is above the first byte of any frame up to frameLimit; HTTP
-	// starts with a letter.
-	frameFirst = frameLimit>>24 + 1
+	// handshakeTimeout bounds the TLS handshake and the wait for the first message on a
+	// connection.
+	handshakeTimeout = 5 * time.Second
+	// peerIdleTimeout is how long the listener keeps an idle connection. It is longer
+	// than the client's timeout, so that no connection is closed just as a request is
+	// sent on it.
+	peerIdleTimeout = 4 * idleTimeout
+	// shutdownTimeout bounds the wait for requests in progress at shutdown.
+	shutdownTimeout = 30 * time.Second
+	// firstHTTPByte is greater than the first byte of any frame of up to maxFrameBytes
+	// (the top byte of its length); HTTP starts with a letter.
+	firstHTTPByte = maxFrameBytes>>24 + 1
 )
 
-// peerServer takes frames and HTTP requests from other agents on one port.
+// peerServer accepts frames and HTTP requests from other agents on one port.
 type peerServer struct {
-	relay *Relay
+	proxy *Relay
 	ln    net.Listener
 	http  *http.Server
 	conns chan net.Conn // HTTP connections, for http.Server
@@ -45,14 +47,14 @@
 	wait   sync.WaitGroup
 }
 
-// listenPeers opens the peer listener.
+// listenPeers opens the listener for peers.
 func (x *Relay) listenPeers() (*peerServer, error) {
 	ln, err := net.Listen("tcp", x.cfg.Peer)
 	if err != nil {
 		return nil, errors.Wrap(err, "proxy: listen for peers")
 	}
 	s := &peerServer{
-		relay:  x,
+		proxy:  x,
 		ln:     ln,
 		conns:  make(chan net.Conn),
 		framed: map[net.Conn]struct{}{},
@@ -60,13 +62,13 @@
 	}
 	s.http = &http.Server{
 		Handler:           http.HandlerFunc(x.servePeer),
-		ReadHeaderTimeout: helloTime,
-		IdleTimeout:       peerIdleTime,
+		ReadHeaderTimeout: handshakeTimeout,
+		IdleTimeout:       peerIdleTimeout,
 	}
 	return s, nil
 }
 
-// serve accepts connections until stop.
+// serve accepts connections until stop is called.
 func (s *peerServer) serve() {
 	s.wait.Go(func() { _ = s.http.Serve(&connListener{s}) })
 	for {
@@ -74,30 +76,30 @@
 		if err != nil {
 			return
 		}
-		s.wait.Go(func() { s.sort(conn) })
+		s.wait.Go(func() { s.dispatch(conn) })
 	}
 }
 
-// sort finds out which protocol a connection speaks.
-func (s *peerServer) sort(conn net.Conn) {
-	_ = conn.SetDeadline(time.Now().Add(helloTime))
-	if cfg := s.relay.cfg.TLS; cfg != nil {
+// dispatch detects a connection's protocol by its first byte and serves it.
+func (s *peerServer) dispatch(conn net.Conn) {
+	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
+	if cfg := s.proxy.cfg.TLS; cfg != nil {
 		secured := tls.Server(conn, cfg.Server)
 		if err := secured.Handshake(); err != nil {
-			events.Log(s.relay.log, events.AgentRefused, logrus.Fields{"peer": conn.RemoteAddr().String(), "error": err})
+			events.Log(s.proxy.log, events.AgentRefused, logrus.Fields{"peer": conn.RemoteAddr().String(), "error": err})
 			_ = conn.Close()
 			return
 		}
 		conn = secured
 	}
-	buffered := &peekedConn{Conn: conn, in: bufio.NewReader(conn)}
-	first, err := buffered.in.Peek(1)
+	buffered := &peekedConn{Conn: conn, reader: bufio.NewReader(conn)}
+	first, err := buffered.reader.Peek(1)
 	if err != nil {
 		_ = conn.Close()
 		return
 	}
 	_ = conn.SetDeadline(time.Time{})
-	if first[0] < frameFirst {
+	if first[0] < firstHTTPByte {
 		s.serveFrames(buffered)
 		return
 	}
@@ -108,11 +110,12 @@
 	}
 }
 
-// stop ends the listener: requests in progress go on to their end.
+// stop closes the listener and waits up to shutdownTimeout for HTTP requests in progress,
+// then closes the framed connections.
 func (s *peerServer) stop() {
 	close(s.done)
 	_ = s.ln.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), stopTime)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if s.http.Shutdown(ctx) != nil {
 		_ = s.http.Close()
@@ -137,7 +140,7 @@
 	return true
 }
 
-// serveFrames answers one agent's questions.
+// serveFrames serves the calls of one peer.
 func (s *peerServer) serveFrames(raw net.Conn) {
 	defer func() { _ = raw.Close() }()
 	if !s.track(raw) {
@@ -148,27 +151,28 @@
 		delete(s.framed, raw)
 		s.mu.Unlock()
 	}()
-	conn := framing.NewConn(raw, frameLimit, callTime)
-	self, ok := s.greet(conn)
-	for ok && self == s.relay.self() {
-		_ = raw.SetReadDeadline(time.Now().Add(peerIdleTime))
+	conn := framing.NewConn(raw, maxFrameBytes, peerCallTimeout)
+	self, ok := s.handleHello(conn)
+	for ok && self == s.proxy.self() {
+		_ = raw.SetReadDeadline(time.Now().Add(peerIdleTimeout))
 		f, err := conn.Read()
 		if err != nil {
 			return
 		}
-		kind, answer, err := s.relay.answerFrame(f)
+		kind, reply, err := s.proxy.handleFrame(f)
 		if err != nil {
 			return
 		}
-		if _, err := conn.Write(kind, answer); err != nil {
+		if _, err := conn.Write(kind, reply); err != nil {
 			return
 		}
 	}
 }
 
-// greet answers a Hello and tells whom it was for.
-func (s *peerServer) greet(conn *framing.Conn) (table.AgentNumber, bool) {
-	_ = conn.Raw().SetReadDeadline(time.Now().Add(helloTime))
+// handleHello answers a Hello. It returns the agent that the Hello is addressed to, and
+// whether that is this agent.
+func (s *peerServer) handleHello(conn *framing.Conn) (table.AgentNumber, bool) {
+	_ = conn.Raw().SetReadDeadline(time.Now().Add(handshakeTimeout))
 	f, err := conn.Read()
 	if err != nil || f.Kind != kindHello {
 		return 0, false
@@ -177,53 +181,53 @@
 	if err := f.Decode(&hello); err != nil {
 		return 0, false
 	}
-	ok := hello.Service == s.relay.cfg.Service && hello.Agent == s.relay.self()
+	ok := hello.Service == s.proxy.cfg.Service && hello.Agent == s.proxy.self()
 	if !ok {
-		s.relay.count.add("peers.wrong-address")
+		s.proxy.counters.add("peers.wrong-address")
 	}
-	_, err = conn.Write(kindWelcome, &Welcome{OK: ok})
+	_, err = conn.Write(kindHelloReply, &HelloReply{OK: ok})
 	return hello.Agent, ok && err == nil
 }
 
-// answerFrame answers one question of a peer.
-func (x *Relay) answerFrame(f framing.Frame) (framing.Kind, msgp.Marshaler, error) {
+// handleFrame handles one call of a peer and returns the reply.
+func (x *Relay) handleFrame(f framing.Frame) (framing.Kind, msgp.Marshaler, error) {
 	switch f.Kind {
 	case kindProbe:
-		return kindLoad, x.loadReport(), nil
+		return kindLoadReport, x.loadReport(), nil
 	case kindClaim:
 		var r idempotency.Request
 		if err := f.Decode(&r); err != nil {
 			return 0, nil, err
 		}
 		reply := x.vote(r)
-		return kindReply, &reply, nil
+		return kindVote, &reply, nil
 	case kindRelease:
 		var r idempotency.Release
 		if err := f.Decode(&r); err != nil {
 			return 0, nil, err
 		}
-		x.keep(func(k *idempotency.Voter, nowMS int64) { k.Release(nowMS, r) })
-		return kindDone, &Done{}, nil
+		x.withVoter(func(v *idempotency.Voter, nowMS int64) { v.Release(nowMS, r) })
+		return kindAck, &Ack{}, nil
 	case kindFinish:
 		var r idempotency.Finish
 		if err := f.Decode(&r); err != nil {
 			return 0, nil, err
 		}
-		x.keep(func(k *idempotency.Voter, nowMS int64) { k.Finish(nowMS, r) })
-		return kindDone, &Done{}, nil
+		x.withVoter(func(v *idempotency.Voter, nowMS int64) { v.Finish(nowMS, r) })
+		return kindAck, &Ack{}, nil
 	case kindHandover:
 		var h idempotency.Handover
 		if err := f.Decode(&h); err != nil {
 			return 0, nil, err
 		}
-		taken := idempotency.HandoverReply{}
-		x.keep(func(k *idempotency.Voter, nowMS int64) { taken.OK = k.Merge(nowMS, h) })
-		return kindTaken, &taken, nil
+		reply := idempotency.HandoverReply{}
+		x.withVoter(func(v *idempotency.Voter, nowMS int64) { reply.OK = v.Merge(nowMS, h) })
+		return kindHandoverReply, &reply, nil
 	}
 	return 0, nil, errors.Errorf("proxy: unknown frame kind %d", f.Kind)
 }
 
-// connListener hands the sorted HTTP connections to http.Server.
+// connListener passes HTTP connections from dispatch to http.Server.
 type connListener struct{ s *peerServer }
 
 func (l *connListener) Accept() (net.Conn, error) {
@@ -238,10 +242,10 @@
 func (l *connListener) Close() error   { return nil }
 func (l *connListener) Addr() net.Addr { return l.s.ln.Addr() }
 
-// peekedConn gives back the bytes that sorting has read.
+// peekedConn also returns the bytes that dispatch has peeked at.
 type peekedConn struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (c *peekedConn) Read(p []byte) (int, error) { return c.in.Read(p) }
+func (c *peekedConn) Read(p []byte) (int, error) { return c.reader.Read(p) }
--- a/internal/proxy/messages_gen.go
+++ b/internal/proxy/messages_gen.go
@@ -7,7 +7,7 @@
 )
 
 // DecodeMsg implements msgp.Decodable
-func (z *Done) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Ack) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -36,7 +36,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Done) EncodeMsg(en *msgp.Writer) (err error) {
+func (z Ack) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 0
 	_ = z
 	err = en.Append(0x80)
@@ -47,7 +47,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Done) MarshalMsg(b []byte) (o []byte, err error) {
+func (z Ack) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 0
 	_ = z
@@ -56,7 +56,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Done) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Ack) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -86,7 +86,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Done) Msgsize() (s int) {
+func (z Ack) Msgsize() (s int) {
 	s = 1
 	return
 }
@@ -223,6 +223,109 @@
 	return
 }
 
+// DecodeMsg implements msgp.Decodable
+func (z *HelloReply) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "o":
+			z.OK, err = dc.ReadBool()
+			if err != nil {
+				err = msgp.WrapError(err, "OK")
+				return
+			}
+		default:
+			err = dc.Skip()
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z HelloReply) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 1
+	// write "o"
+	err = en.Append(0x81, 0xa1, 0x6f)
+	if err != nil {
+		return
+	}
+	err = en.WriteBool(z.OK)
+	if err != nil {
+		err = msgp.WrapError(err, "OK")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z HelloReply) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 1
+	// string "o"
+	o = append(o, 0x81, 0xa1, 0x6f)
+	o = msgp.AppendBool(o, z.OK)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *HelloReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "o":
+			z.OK, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "OK")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z HelloReply) Msgsize() (s int) {
+	s = 1 + 2 + msgp.BoolSize
+	return
+}
+
 // DecodeMsg implements msgp.Decodable
 func (z *LoadReport) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
@@ -260,9 +363,9 @@
 				return
 			}
 		case "h":
-			z.HoldMicros, err = dc.ReadInt64()
+			z.SlotTimeMicros, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "HoldMicros")
+				err = msgp.WrapError(err, "SlotTimeMicros")
 				return
 			}
 		case "c":
@@ -320,9 +423,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteInt64(z.HoldMicros)
+	err = en.WriteInt64(z.SlotTimeMicros)
 	if err != nil {
-		err = msgp.WrapError(err, "HoldMicros")
+		err = msgp.WrapError(err, "SlotTimeMicros")
 		return
 	}
 	// write "c"
@@ -353,7 +456,7 @@
 	o = msgp.AppendInt(o, z.Waiting)
 	// string "h"
 	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendInt64(o, z.HoldMicros)
+	o = msgp.AppendInt64(o, z.SlotTimeMicros)
 	// string "c"
 	o = append(o, 0xa1, 0x63)
 	o = msgp.AppendBool(o, z.Closed)
@@ -397,9 +500,9 @@
 				return
 			}
 		case "h":
-			z.HoldMicros, bts, err = msgp.ReadInt64Bytes(bts)
+			z.SlotTimeMicros, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "HoldMicros")
+				err = msgp.WrapError(err, "SlotTimeMicros")
 				return
 			}
 		case "c":
@@ -510,106 +613,3 @@
 	s = 1
 	return
 }
-
-// DecodeMsg implements msgp.Decodable
-func (z *Welcome) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "o":
-			z.OK, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "OK")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z Welcome) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 1
-	// write "o"
-	err = en.Append(0x81, 0xa1, 0x6f)
-	if err != nil {
-		return
-	}
-	err = en.WriteBool(z.OK)
-	if err != nil {
-		err = msgp.WrapError(err, "OK")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z Welcome) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 1
-	// string "o"
-	o = append(o, 0x81, 0xa1, 0x6f)
-	o = msgp.AppendBool(o, z.OK)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Welcome) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "o":
-			z.OK, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "OK")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Welcome) Msgsize() (s int) {
-	s = 1 + 2 + msgp.BoolSize
-	return
-}
--- a/internal/proxy/peer_test.go
+++ b/internal/proxy/peer_test.go
@@ -20,8 +20,8 @@
 	"bergamotstall/internal/table"
 )
 
-// many sends n submissions to a host at once and returns what callers got.
-func (h *host) many(n int, prefix, body string, headers ...string) []reply {
+// submitMany sends n concurrent submissions to a host and returns the replies.
+func (h *clusterHost) submitMany(n int, prefix, body string, headers ...string) []reply {
 	out := make([]reply, n)
 	var wait sync.WaitGroup
 	for i := range n {
@@ -31,13 +31,13 @@
 	return out
 }
 
-// A burst at one host while the others are idle: callers don't wait for it, the
-// others take what has no slot here, whole and once.
+// Guards against callers waiting at a busy host while others are idle: peers take the
+// requests that have no slot here, each complete and once.
 func TestBurstAtOneHostSpreadsOverPeers(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 4, target.Faults{Work: 300 * time.Millisecond}, Limits{Slots: 2})
 	body := strings.Repeat("note ", 20_000)
-	for i, got := range c.hosts[0].many(8, "r", body) {
+	for i, got := range c.hosts[0].submitMany(8, "r", body) {
 		is.NoErr(got.err)
 		is.Equal(got.status, http.StatusOK)
 		is.Equal(c.runs(fmt.Sprint("r", i)), 1)
@@ -50,13 +50,13 @@
 	is.True(elsewhere >= 2)
 }
 
-// A peer that has no slot left when the request arrives refuses it before it has
-// read the body; the caller's submission goes on to the next agent, whole.
+// Guards against losing a submission's body to a peer that refuses it: the peer refuses
+// before it has read the body, and the submission goes to the next agent complete.
 func TestPeerRefusesBeforeTheBody(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3, target.Faults{}, Limits{Slots: 1})
-	c.hosts[0].relay.Drain()
-	c.hosts[1].target.Kill() // reachable agent, unreachable target
+	c.hosts[0].proxy.Drain()
+	c.hosts[1].target.Kill() // the agent is reachable, its target isn't
 	body := strings.Repeat("note ", 50_000)
 	for i := range 5 {
 		id := fmt.Sprint("r", i)
@@ -67,55 +67,55 @@
 	}
 }
 
-// The target drains with a feed, a download and a submission open. All three go
-// on to their end; new requests on the same connection run elsewhere.
-func TestDrainCutsNothing(t *testing.T) {
+// Guards against requests being cut when a host drains: an open feed, a download and a
+// submission end normally. New requests on the same connection run elsewhere.
+func TestDrainFinishesOpenRequests(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 2, target.Faults{Work: 300 * time.Millisecond}, Limits{Slots: 8})
 	h := c.hosts[0]
 	var download, submission reply
 	var wait sync.WaitGroup
 	ctx, leave := context.WithCancel(context.Background())
-	wait.Go(func() { download = h.ask(context.Background(), "GET", "/download?bytes=3000000&seed=4", "d", "") })
+	wait.Go(func() { download = h.send(context.Background(), "GET", "/download?bytes=3000000&seed=4", "d", "") })
 	wait.Go(func() { submission = h.submit("s", "note") })
-	wait.Go(func() { h.ask(ctx, "GET", "/feed", "f", "", "Accept", eventStream) })
+	wait.Go(func() { h.send(ctx, "GET", "/feed", "f", "", "Accept", eventStream) })
 	for _, id := range []string{"d", "s", "f"} {
 		eventually(t, id, func() bool { return h.target.Run(id).Runs == 1 })
 	}
-	h.relay.Drain()
+	h.proxy.Drain()
 	got := h.submit("new", "note")
 	is.Equal(got.header.Get(target.HostHeader), "h2")
-	eventually(t, "feed alone", func() bool { return h.relay.InFlight() == 1 })
+	eventually(t, "feed alone", func() bool { return h.proxy.InFlight() == 1 })
 	leave()
 	wait.Wait()
 	is.Equal(download.trailer.Get(target.SumTrailer), target.ContentSum("desk", 4, 3000000))
 	is.Equal(len(download.body), 3000000)
 	is.Equal(submission.status, http.StatusOK)
-	eventually(t, "end", func() bool { return h.relay.InFlight() == 0 })
+	eventually(t, "end", func() bool { return h.proxy.InFlight() == 0 })
 }
 
-// An address has passed to another agent, of this service or another. What was
-// meant for the old one is refused before it reaches a target.
-func TestReusedAddressRefusesOthersRequests(t *testing.T) {
+// Guards against requests reaching the wrong target after an agent's address was
+// reassigned to another agent, of the same service or another one. They are refused.
+func TestReassignedAddressRefusesRequests(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 2, target.Faults{}, Limits{Slots: 4})
-	c.hosts[0].relay.Drain()
-	c.hosts[1].relay.agent.Store(77) // what the table calls agent 2 is 77 now
+	c.hosts[0].proxy.Drain()
+	c.hosts[1].proxy.agent.Store(77) // agent 2's address now belongs to agent 77
 	got := c.hosts[0].submit("a", "note")
 	is.Equal(got.notRun(), string(ReasonWrongPeer))
 	is.Equal(c.seen("a"), 0)
 
-	c.hosts[1].relay.agent.Store(2)
-	c.hosts[1].relay.cfg.Service = "archive"
+	c.hosts[1].proxy.agent.Store(2)
+	c.hosts[1].proxy.cfg.Service = "archive"
 	got = c.hosts[0].submit("b", "note")
 	is.Equal(got.notRun(), string(ReasonWrongPeer))
 	is.Equal(c.seen("b"), 0)
 }
 
-// Requests fail while the health endpoint says well: after a few, callers are
-// sent elsewhere and see no more errors. Then the target is mended, and gets
-// requests again without anybody's doing.
-func TestHealthSaysWellWhileRequestsFail(t *testing.T) {
+// Guards against trusting a health endpoint that reports a target as healthy while its
+// requests fail. After a few failures callers are sent elsewhere. Once the target is
+// repaired it gets requests again without intervention.
+func TestHealthyEndpointWhileRequestsFail(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3, target.Faults{}, Limits{Slots: 4})
 	h := c.hosts[0]
@@ -123,84 +123,85 @@
 	failed := 0
 	for i := range 50 {
 		if got := h.submit(fmt.Sprint("s", i), "note"); got.status != http.StatusOK {
-			is.Equal(got.unknown(), string(ReasonCut))
+			is.Equal(got.unknown(), string(ReasonConnectionCut))
 			failed++
 		}
 	}
 	is.True(failed >= 3)
-	is.True(failed <= 10) // three to learn it, then a trial a second
-	is.True(h.relay.ill())
+	is.True(failed <= 10) // three until it counts as unhealthy, then one trial per second
+	is.True(h.proxy.unhealthy())
 
 	h.target.SetFaults(target.Faults{})
-	eventually(t, "own answers", func() bool {
-		return h.ask(context.Background(), "GET", "/download?bytes=1", "g", "").header.Get(target.HostHeader) == "h1"
+	eventually(t, "responses of the own target", func() bool {
+		return h.send(context.Background(), "GET", "/download?bytes=1", "g", "").header.Get(target.HostHeader) == "h1"
 	})
-	is.True(!h.relay.ill())
+	is.True(!h.proxy.unhealthy())
 }
 
-// The health endpoint says ill while requests pass: requests decide, nothing
-// moves.
-func TestHealthSaysIllWhileRequestsPass(t *testing.T) {
+// Guards against trusting a health endpoint that reports a target as unhealthy while its
+// requests succeed: requests stay at the target.
+func TestUnhealthyEndpointWhileRequestsPass(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 2, target.Faults{Health: target.HealthSaysIll}, Limits{Slots: 4})
 	h := c.hosts[0]
 	h.submit("first", "note")
-	h.relay.lookAtHealth(context.Background())
+	h.proxy.checkHealth(context.Background())
 	for i := range 20 {
 		is.Equal(h.submit(fmt.Sprint("s", i), "note").header.Get(target.HostHeader), "h1")
 	}
 	is.True(h.count("health.contradicted") > 0)
 }
 
-// The load endpoints tell of ten seconds ago: an idle past. Overflow isn't sent
-// by them, so the full hosts get none and callers see no refusal.
-func TestLoadReportsTenSecondsOld(t *testing.T) {
+// Guards against routing by the targets' load endpoints when these are ten seconds old
+// and report idle targets. Overflow goes by the agents' own load, so full hosts get none
+// and no caller is refused.
+func TestOldTargetLoadReportsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 4, target.Faults{LoadAge: 10 * time.Second, Work: 200 * time.Millisecond, Shed: target.ShedFull}, Limits{Slots: 2})
-	for _, h := range c.hosts { // the endpoints' last look: idle
-		h.ask(context.Background(), "GET", "/load", "l", "")
+	for _, h := range c.hosts { // the endpoints last report an idle target
+		h.send(context.Background(), "GET", "/load", "l", "")
 	}
-	for _, i := range []int{1, 2, 1, 2} { // these two have no slot left
-		p, refusal := c.hosts[i].relay.gate.enter(context.Background(), "other", 0)
+	for _, i := range []int{1, 2, 1, 2} { // hosts 2 and 3 have no slot left
+		p, refusal := c.hosts[i].proxy.admitter.admit(context.Background(), "other", 0)
 		is.True(refusal == nil)
-		defer p.leave()
+		defer p.release()
 	}
-	for _, got := range c.hosts[0].many(4, "r", "note") {
+	for _, got := range c.hosts[0].submitMany(4, "r", "note") {
 		is.Equal(got.status, http.StatusOK)
 	}
 	is.Equal(len(c.hosts[1].target.Runs())+len(c.hosts[2].target.Runs()), 0)
 	for _, h := range c.hosts {
 		for _, r := range h.target.Runs() {
-			is.Equal(r.Seen, max(r.Runs, 1)) // no target had to shed
+			is.Equal(r.Seen, max(r.Runs, 1)) // no target shed a request
 		}
 	}
 }
 
-// A download meets a target that sheds, a submission too. The download is tried
-// elsewhere; the submission isn't, since a 503 doesn't say what ran before it,
-// unless the operator has vouched for that.
+// Guards against a second run after a target responds 503. A download is retried
+// elsewhere. A submission isn't, since a 503 doesn't say how much of it ran, unless the
+// operator has set ShedUnrun.
 func TestShedAnswers(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 2, target.Faults{}, Limits{Slots: 4})
 	h := c.hosts[0]
 	h.target.SetFaults(target.Faults{Shed: target.ShedAlways, Health: target.HealthSaysWell})
-	got := h.ask(context.Background(), "GET", "/download?bytes=10", "d", "")
+	got := h.send(context.Background(), "GET", "/download?bytes=10", "d", "")
 	is.Equal(got.header.Get(target.HostHeader), "h2")
 	got = h.submit("s", "note")
 	is.Equal(got.status, http.StatusServiceUnavailable)
-	is.Equal(got.notRun(), "") // a target has seen it
+	is.Equal(got.notRun(), "") // a target received it
 	is.Equal(c.seen("s"), 1)
 
-	h.relay.cfg.ShedUnrun = true
-	got = h.keyed("k", "note")
+	h.proxy.cfg.ShedUnrun = true
+	got = h.submitKeyed("k", "note")
 	is.Equal(got.header.Get(target.HostHeader), "h2")
 	is.Equal(c.runs("k"), 1)
 }
 
-// Everything at once: full queues, short deadlines, cut and shedding targets, a
-// drained host, resends of refused submissions. Whatever a caller was told was
-// not run, no target has seen; nothing ran twice.
-func TestNotRunMeansNoTargetSawIt(t *testing.T) {
+// Guards against "not run" responses to requests that a target received, and against
+// second runs, under combined faults: full queues, short deadlines, targets that cut
+// connections, a draining host.
+func TestNotRunMeansNoTargetReceivedIt(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3, target.Faults{Work: 20 * time.Millisecond}, Limits{Slots: 2, Queue: 3})
 	c.hosts[1].target.SetFaults(target.Faults{Work: 20 * time.Millisecond, Cut: target.CutAfter})
@@ -223,7 +224,7 @@
 			got[id] = r
 		})
 		if i == 120 {
-			c.hosts[2].relay.Drain()
+			c.hosts[2].proxy.Drain()
 		}
 	}
 	wait.Wait()
@@ -236,61 +237,61 @@
 			is.Equal(c.seen(id), 0)
 		}
 	}
-	is.True(refused > 10) // there was something to check
+	is.True(refused > 10) // otherwise the test checks too little
 }
 
-// Two hosts drain, one by its own word, one by the table's. A caller of the first
-// gets its answers from the third; the second takes nothing new.
-func TestDrainingPeerGetsNothingNew(t *testing.T) {
+// Guards against new requests going to draining hosts, one by its own Drain and one by
+// its state in the table. The third host gets them all.
+func TestDrainingPeerGetsNoNewRequests(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3, target.Faults{}, Limits{Slots: 4})
 	c.table.Targets[1].State = table.Draining
 	c.publish()
-	c.hosts[0].relay.Drain()
+	c.hosts[0].proxy.Drain()
 	for i := range 10 {
 		is.Equal(c.hosts[0].submit(fmt.Sprint("r", i), "x").header.Get(target.HostHeader), "h3")
 	}
 }
 
-// Agents with certificates help each other and vote for each other's keys as
-// without. A process of another role, or without a certificate, gets no answer
-// on the peer port.
-func TestPeersProveThatTheyAreAgents(t *testing.T) {
+// Guards against processes that aren't agents on the peer port. Agents with certificates
+// forward requests and vote; a client with another role's certificate, or without one,
+// gets no reply.
+func TestPeersMustBeAgents(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	is.NoErr(keys.Init(folder))
 	loopback := net.IPv4(127, 0, 0, 1)
 	files, err := keys.Issue(folder, keys.Agent, "agents", loopback)
 	is.NoErr(err)
-	agents, err := keys.Load(files, discard(), metrics.New())
+	agents, err := keys.Load(files, discardLogger(), metrics.New())
 	is.NoErr(err)
 	secured := &PeerTLS{Server: agents.Server(keys.Agent), Client: agents.Client(keys.Agent)}
 	c := newClusterWith(t, 3, target.Faults{}, Limits{Slots: 4}, func(cfg *Config) { cfg.TLS = secured })
-	is.Equal(c.hosts[0].keyed("k1", "note").status, http.StatusOK)
-	c.hosts[0].relay.Drain()
+	is.Equal(c.hosts[0].submitKeyed("k1", "note").status, http.StatusOK)
+	c.hosts[0].proxy.Drain()
 	is.Equal(c.hosts[0].submit("r1", "note").status, http.StatusOK)
 	is.Equal(c.hosts[0].target.Run("r1").Seen, 0)
 
 	files, err = keys.Issue(folder, keys.Balancer, "balancer", loopback)
 	is.NoErr(err)
-	balancer, err := keys.Load(files, discard(), metrics.New())
+	balancer, err := keys.Load(files, discardLogger(), metrics.New())
 	is.NoErr(err)
 	for _, client := range []*PeerTLS{{Client: balancer.Client(keys.Agent)}, nil} {
 		frames := newFrameClient("desk", client)
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 		err = frames.call(ctx, c.table.Targets[1], kindProbe, &Probe{}, &LoadReport{})
 		cancel()
 		is.True(err != nil)
 	}
 }
 
-// A peer's VM has died without a word: its address takes connections and never
-// answers. Callers of a busy host still get their answers; the dead peer is
-// asked once and then left alone for a while.
-func TestSilentPeerDoesntHoldRequests(t *testing.T) {
+// Guards against requests waiting for a dead VM whose address accepts connections but
+// never answers. Callers of a busy host still get their responses; the dead peer is
+// probed once and then paused.
+func TestUnresponsivePeerDoesntDelayRequests(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	still := func() time.Time { return now } // the pause doesn't end
+	still := func() time.Time { return now } // the pause never ends
 	c := newClusterWith(t, 2, target.Faults{}, Limits{Slots: 1}, func(cfg *Config) { cfg.Clock = still })
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -301,40 +302,40 @@
 	for i := range 10 {
 		is.Equal(h.submit(fmt.Sprint("r", i), "note").status, http.StatusOK)
 	}
-	p, refusal := h.relay.gate.enter(context.Background(), "other", 0)
+	p, refusal := h.proxy.admitter.admit(context.Background(), "other", 0)
 	is.True(refusal == nil)
 	waiting := make(chan reply, 1)
 	go func() { waiting <- h.submit("w", "note") }()
-	eventually(t, "wait", func() bool { return h.relay.gate.load().Waiting == 1 })
+	eventually(t, "wait", func() bool { return h.proxy.admitter.load().Waiting == 1 })
 	more := make(chan reply, 1)
 	go func() { more <- h.submit("x", "note") }()
-	eventually(t, "wait", func() bool { return h.relay.gate.load().Waiting == 2 })
-	p.leave()
+	eventually(t, "wait", func() bool { return h.proxy.admitter.load().Waiting == 2 })
+	p.release()
 	is.Equal((<-waiting).status, http.StatusOK)
 	is.Equal((<-more).status, http.StatusOK)
 	is.Equal(h.count("peers.probes"), int64(1))
 	is.Equal(h.count("peers.probes-late"), int64(1))
 }
 
-// Downloads that are handed over reuse a connection between the agents; a TLS
-// handshake for each would cost more than the request.
-func TestHandedOverDownloadsReuseConnections(t *testing.T) {
+// Guards against a new connection between agents for each forwarded download: its TLS
+// handshake would cost more than the request.
+func TestForwardedDownloadsReuseConnections(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 2, target.Faults{}, Limits{Slots: 4})
 	h := c.hosts[0]
-	h.relay.Drain()
+	h.proxy.Drain()
 	var opened atomic.Int32
-	dial := h.relay.peerHTTP.DialContext
-	h.relay.peerHTTP.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
+	dial := h.proxy.peerHTTP.DialContext
+	h.proxy.peerHTTP.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		opened.Add(1)
 		return dial(ctx, network, address)
 	}
 	for i := range 20 {
 		r := httptest.NewRequest("GET", "/download?bytes=1000&seed=3", http.NoBody)
-		r.ContentLength = -1 // as HTTP/3 gives it
+		r.ContentLength = -1 // as in an HTTP/3 request
 		r.Header.Set(target.RequestIDHeader, fmt.Sprint("d", i))
 		w := httptest.NewRecorder()
-		h.relay.ServeHTTP(w, r)
+		h.proxy.ServeHTTP(w, r)
 		is.Equal(w.Code, http.StatusOK)
 		is.Equal(w.Body.Len(), 1000)
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,11 +1,11 @@
-// Package proxy carries requests from callers to the target beside the agent,
-// or to another agent of the service, and answers back. It executes what the
-// decision packages admission, retry, placement and idempotency say.
+// Package proxy forwards callers' requests to the target next to the agent, or to another
+// agent of the service, and returns the responses. It acts on the decisions of packages
+// admission, retry, placement and idempotency.
 //
-// A request ends in one of three ways: a target's answer, whole; refused as not
-// run, where no target saw a byte of it; or unknown, where a target saw some of
-// it and no answer came. The border between the last two is the hand-over: the
-// moment at which a connection to the target is ready to be written.
+// A request has one of three outcomes: a target's complete response; refused as not run,
+// if no target received a byte of it; or unknown, if a target received some of it and no
+// response arrived. A request counts as received once a connection to the target is ready
+// for writing.
 package proxy
 
 import (
@@ -25,105 +25,106 @@
 	"bergamotstall/internal/table"
 )
 
-// Config describes one agent's relay.
+// Config configures one agent's proxy.
 type Config struct {
-	// Service and Host are the agent's own; requests for another service are
-	// refused.
+	// Service and Host are the agent's own; requests for other services are refused.
 	Service string
 	Host    string
 	// Target is the target's TCP address, "ip:port".
 	Target string
 	// Peer is the TCP address to listen on for other agents, "ip:port".
 	Peer string
-	// TLS protects connections between agents; nil is plain TCP.
+	// TLS secures connections between agents; nil means plain TCP.
 	TLS    *PeerTLS
 	Limits Limits
-	// ShedUnrun is the operator's word that a target which answers 503 has run
-	// nothing of the request. Such submissions then go to other targets.
+	// ShedUnrun is set by the operator to declare that the target hasn't run a request
+	// that it answers with 503. Such requests are then retried at other targets, whatever
+	// their method.
 	ShedUnrun bool
-	// TableAge tells how long ago control last confirmed the table; nil means
-	// that it is always fresh.
+	// TableAge returns the time since control last confirmed the table; nil means that
+	// the table always counts as fresh.
 	TableAge func() time.Duration
-	// Clock tells the time; nil means time.Now.
+	// Clock returns the current time; nil means time.Now.
 	Clock func() time.Time
-	// Log takes numbered events; nil discards them.
+	// Log receives numbered events; nil discards them.
 	Log logrus.FieldLogger
-	// Metrics takes the counters; nil means a set of its own.
+	// Metrics receives the counters; nil means a separate set.
 	Metrics *metrics.Set
 }
 
-// PeerTLS holds both ends of the connections between agents, as package keys
-// makes them for the role of an agent.
+// PeerTLS holds the TLS configurations for both ends of connections between agents, as
+// package keys creates them for the agent role.
 type PeerTLS struct {
 	Server *tls.Config
 	Client *tls.Config
 }
 
-// Limits bound what one agent takes on. A zero field means its default.
+// Limits bound the load of one agent. A zero field means the default.
 type Limits struct {
-	// Slots and Connections are the host's, until the table names others.
+	// Slots and Connections apply until the table sets others for the host.
 	Slots       int
 	Connections int
-	// Queue bounds the waiting requests, until the table names another bound.
+	// Queue is the maximum number of waiting requests, until the table sets another.
 	Queue int
-	// QueueTime bounds the waiting of a request without a deadline.
-	QueueTime time.Duration
-	// AnswerTime bounds the wait for the head of the target's answer.
-	AnswerTime time.Duration
-	// SlotTime is how long after the head of its answer a request keeps its
-	// slot; a feed gives it back at the head.
-	SlotTime time.Duration
-	// KeyedBody bounds the body of a submission with an idempotency key, which
-	// is held in memory, in bytes.
-	KeyedBody int64
+	// QueueTimeout bounds the wait of a request without a deadline.
+	QueueTimeout time.Duration
+	// AnswerTimeout bounds the wait for the head of the target's response.
+	AnswerTimeout time.Duration
+	// SlotTimeAfterHead is how long a request keeps its slot after the head of its
+	// response; a feed releases it at the head.
+	SlotTimeAfterHead time.Duration
+	// MaxKeyedBody is the maximum body size, in bytes, of a request with an idempotency
+	// key, whose body is buffered in memory.
+	MaxKeyedBody int64
 }
 
 // Defaults of Limits.
 const (
 	defaultSlots       = 4
 	defaultConnections = 2000
-	// defaultQueue is two to four turns of today's slots: enough that draining a
-	// data centre refuses next to nobody; longer queues only make others wait,
-	// see docs/PLACEMENT.md.
-	defaultQueue      = 16
-	defaultQueueTime  = 10 * time.Second
-	defaultAnswerTime = 60 * time.Second
-	// defaultSlotTime covers answers that compute on behind their head; longer
-	// ones keep slots for downloads that only stream, see docs/PLACEMENT.md.
-	defaultSlotTime  = 100 * time.Millisecond
-	defaultKeyedBody = 1 << 20
+	// defaultQueue is two to four times the usual number of slots: enough for draining a
+	// data centre with almost no refusals. A longer queue only adds waiting time; see
+	// docs/PLACEMENT.md.
+	defaultQueue         = 16
+	defaultQueueTimeout  = 10 * time.Second
+	defaultAnswerTimeout = 60 * time.Second
+	// defaultSlotTimeAfterHead covers responses that are still being computed after their
+	// head is sent. A longer time would hold slots for downloads that only stream; see
+	// docs/PLACEMENT.md.
+	defaultSlotTimeAfterHead = 100 * time.Millisecond
+	defaultMaxKeyedBody      = 1 << 20
 )
 
 func (l Limits) withDefaults() Limits {
 	return Limits{
-		Slots:       orDefault(l.Slots, defaultSlots),
-		Connections: orDefault(l.Connections, defaultConnections),
-		Queue:       orDefault(l.Queue, defaultQueue),
-		QueueTime:   orDefault(l.QueueTime, defaultQueueTime),
-		AnswerTime:  orDefault(l.AnswerTime, defaultAnswerTime),
-		SlotTime:    orDefault(l.SlotTime, defaultSlotTime),
-		KeyedBody:   orDefault(l.KeyedBody, defaultKeyedBody),
+		Slots:             orDefault(l.Slots, defaultSlots),
+		Connections:       orDefault(l.Connections, defaultConnections),
+		Queue:             orDefault(l.Queue, defaultQueue),
+		QueueTimeout:      orDefault(l.QueueTimeout, defaultQueueTimeout),
+		AnswerTimeout:     orDefault(l.AnswerTimeout, defaultAnswerTimeout),
+		SlotTimeAfterHead: orDefault(l.SlotTimeAfterHead, defaultSlotTimeAfterHead),
+		MaxKeyedBody:      orDefault(l.MaxKeyedBody, defaultMaxKeyedBody),
 	}
 }
 
-func orDefault[T int | int64 | time.Duration](value, standard T) T {
+func orDefault[T int | int64 | time.Duration](value, fallback T) T {
 	if value <= 0 {
-		return standard
+		return fallback
 	}
 	return value
 }
 
-// ErrConfig is returned by New for a configuration that can't work.
-var ErrConfig = errors.New("proxy: bad configuration")
+// ErrConfig is returned by New for an incomplete configuration.
+var ErrConfig = errors.New("proxy: invalid configuration")
 
-// Relay is one agent's end of the request's way.
+// Relay is one agent's HTTP proxy between callers, the agent's target and its peers.
 type Relay struct {
-	cfg    Config
-	log    logrus.FieldLogger
-	origin time.Time
-	count  counters
-	gate   *gate
-	target *targetClient
+	cfg       Config
+	log       logrus.FieldLogger
+	startTime time.Time
+	counters  counters
+	admitter  *admitter
+	target    *targetClient
 
 	table    atomic.Pointer[table.Table]
 	agent    atomic.Uint32
@@ -133,22 +134,23 @@
 	budgetMu sync.Mutex
 	budget   *retry.Budget
 
-	keeper     keeper
-	nonce      atomic.Uint64
-	keyedBytes atomic.Int64
-	frames     *frameClient
-	peerHTTP   *http.Transport
-	background sync.WaitGroup
+	voter         lockedVoter
+	nonce         atomic.Uint64
+	bufferedBytes atomic.Int64
+	frames        *frameClient
+	peerHTTP      *http.Transport
+	background    sync.WaitGroup
 
-	silent     silence
-	condition  condition
-	healthWell atomic.Bool
-	complaints complaints
+	latePeers       latePeers
+	health          targetHealth
+	endpointHealthy atomic.Bool
+	repeatLog       repeatLog
 
 	peerAddress atomic.Value // string
 }
 
-// New returns a relay that takes requests at once. Peers reach it after Run.
+// New returns a proxy that accepts callers' requests at once. Peers can reach it once Run
+// is called.
 func New(cfg Config) (*Relay, error) {
 	if cfg.Service == "" || cfg.Host == "" || cfg.Target == "" {
 		return nil, errors.Wrap(ErrConfig, "service, host and target must be set")
@@ -157,20 +159,20 @@
 		cfg.Clock = time.Now
 	}
 	if cfg.Log == nil {
-		cfg.Log = discard()
+		cfg.Log = discardLogger()
 	}
 	if cfg.Metrics == nil {
 		cfg.Metrics = metrics.New()
 	}
 	cfg.Limits = cfg.Limits.withDefaults()
 	x := &Relay{
-		cfg:    cfg,
-		log:    cfg.Log,
-		origin: cfg.Clock(),
-		count:  counters{set: cfg.Metrics},
-		budget: retry.NewBudget(0),
+		cfg:       cfg,
+		log:       cfg.Log,
+		startTime: cfg.Clock(),
+		counters:  counters{set: cfg.Metrics},
+		budget:    retry.NewBudget(0),
 	}
-	x.gate = newGate(x.now, admission.Config{
+	x.admitter = newAdmitter(x.now, admission.Config{
 		Slots:       cfg.Limits.Slots,
 		Connections: cfg.Limits.Connections,
 		Queue:       cfg.Limits.Queue,
@@ -178,14 +180,14 @@
 	x.target = newTargetClient(cfg.Target, cfg.Limits)
 	x.frames = newFrameClient(cfg.Service, cfg.TLS)
 	x.peerHTTP = newPeerTransport(cfg.TLS, cfg.Limits)
-	x.publish()
+	x.registerGauges()
 	return x, nil
 }
 
-// now is the time in the terms of the decision packages.
-func (x *Relay) now() time.Duration { return x.cfg.Clock().Sub(x.origin) }
+// now returns the time since the proxy was created, as the decision packages expect it.
+func (x *Relay) now() time.Duration { return x.cfg.Clock().Sub(x.startTime) }
 
-// SetAgent tells the number that control gave to this incarnation.
+// SetAgent sets the number that control assigned to this agent's incarnation.
 func (x *Relay) SetAgent(n table.AgentNumber) {
 	x.agent.Store(uint32(n))
 	x.reconfigure()
@@ -193,8 +195,8 @@
 
 func (x *Relay) self() table.AgentNumber { return table.AgentNumber(x.agent.Load()) }
 
-// Apply puts a table in force for requests from now on. A table with a lower
-// revision than the one in force is ignored.
+// Apply puts a table into effect for requests from now on. A table with a lower revision
+// than the current one is ignored.
 func (x *Relay) Apply(t *table.Table) {
 	old := x.table.Load()
 	if t == nil || (old != nil && t.Revision < old.Revision) {
@@ -204,7 +206,7 @@
 	x.reconfigure()
 }
 
-// reconfigure takes the limits over that the table sets for this host.
+// reconfigure applies the table's limits for this host and service.
 func (x *Relay) reconfigure() {
 	t := x.table.Load()
 	if t == nil {
@@ -221,23 +223,23 @@
 		x.budget.SetPercent(s.RetryPercent)
 		x.budgetMu.Unlock()
 	}
-	x.gate.configure(cfg)
-	x.resetKeeper(idempotency.Lookback(x.window()))
-	x.frames.forget(func(n table.AgentNumber) bool {
+	x.admitter.configure(cfg)
+	x.updateVoter(idempotency.Lookback(x.keyWindow()))
+	x.frames.closeIdle(func(n table.AgentNumber) bool {
 		peer, ok := t.Target(n)
 		return ok && peer.State != table.Retired
 	})
 }
 
-func nobody(table.AgentNumber) bool { return false }
+func noAgent(table.AgentNumber) bool { return false }
 
-// Drain sends new requests to other agents from now on. Requests in progress
-// and waiting ones go on.
+// Drain sends new requests to other agents from now on. Running and waiting requests
+// continue.
 func (x *Relay) Drain() { x.draining.Store(true) }
 
-// drained tells whether this host takes no new work, by its own word or by the
-// table's.
-func (x *Relay) drained() bool {
+// isDraining tells whether this host takes no new requests, because of Drain or its state
+// in the table.
+func (x *Relay) isDraining() bool {
 	if x.draining.Load() {
 		return true
 	}
@@ -249,6 +251,6 @@
 	return ok && own.State != table.Active
 }
 
-// InFlight returns the requests that wait, run or stream here, those for other
-// agents' callers included.
+// InFlight returns the number of requests that wait, run or stream here, including those
+// forwarded by other agents.
 func (x *Relay) InFlight() int { return int(x.inFlight.Load()) }
--- a/internal/proxy/route.go
+++ b/internal/proxy/route.go
@@ -17,96 +17,98 @@
 )
 
 const (
-	// maxProbeRounds is near peers, then far ones.
+	// maxProbeRounds is one round for near peers and one for far peers.
 	maxProbeRounds = 2
-	// probeTime is how long a request waits for peers' loads: eight round trips
-	// between data centres, half of usual work. Later, starting here is better.
-	probeTime = 25 * time.Millisecond
-	// probePause is how long a peer that was late isn't asked.
-	probePause = 2 * time.Second
+	// probeTimeout is how long a request waits for peers' loads: eight round trips
+	// between data centres, half the time of a typical request. Beyond that, running the
+	// request here is better.
+	probeTimeout = 25 * time.Millisecond
+	// lateProbePause is how long a peer that answered a probe too late isn't probed.
+	lateProbePause = 2 * time.Second
 )
 
-// route is where an attempt goes: to a peer, or here.
+// route is where an attempt goes: to this agent's target or to a peer.
 type route struct {
 	here bool
 	peer table.Target
 }
 
-// run makes attempts until one has a final result.
+// run makes attempts until one of them has a final result.
 func (x *Relay) run(c *call) result {
-	x.fresh()
+	x.recordRequest()
 	var tried []table.AgentNumber
 	next, ok := x.route(c, nil)
 	if !ok {
 		return refused(ReasonDraining)
 	}
-	for made := 1; ; made++ {
+	for attempts := 1; ; attempts++ {
 		res := x.attempt(c, next, &tried)
 		if res.outcome == 0 || c.ctx.Err() != nil {
 			return res
 		}
-		if !x.again(c, res, made) {
+		if !x.shouldRetry(c, res, attempts) {
 			return res
 		}
 		if next, ok = x.route(c, tried); !ok {
-			x.count.add("retries.no-other-target")
+			x.counters.add("retries.no-other-target")
 			return res
 		}
-		x.count.add("retries.made")
+		x.counters.add("retries.made")
 		res.close()
-		res.settle()
+		res.waitReleased()
 	}
 }
 
 func (x *Relay) attempt(c *call, r route, tried *[]table.AgentNumber) result {
-	c.newAttempt()
+	c.newAttemptBody()
 	if r.here {
 		*tried = append(*tried, x.self())
 		return x.runHere(c)
 	}
 	*tried = append(*tried, r.peer.Agent)
-	return x.runAt(c, r.peer)
+	return x.runAtPeer(c, r.peer)
 }
 
-// again asks the retry decision, and counts its reason where it says no.
-func (x *Relay) again(c *call, res result, made int) bool {
+// shouldRetry asks the retry budget for another attempt, and counts the reason if it is
+// refused.
+func (x *Relay) shouldRetry(c *call, res result, attempts int) bool {
 	a := retry.Attempt{
 		Outcome:    res.outcome,
 		Repeatable: c.repeatable() || (res.outcome == retry.Shed && x.cfg.ShedUnrun),
-		Made:       made,
-		Deadline:   x.deadlineOf(c),
-		Need:       x.gate.load().Hold,
+		Made:       attempts,
+		Deadline:   x.deadlineSinceStart(c),
+		Need:       x.admitter.load().Hold,
 	}
 	if !c.resendable() {
-		x.count.add("retries.refused.body-sent")
+		x.counters.add("retries.refused.body-sent")
 		return false
 	}
 	x.budgetMu.Lock()
 	reason, ok := x.budget.Again(x.now(), a)
 	x.budgetMu.Unlock()
 	if !ok {
-		x.count.add("retries.refused." + string(reason))
+		x.counters.add("retries.refused." + string(reason))
 	}
 	return ok
 }
 
-func (x *Relay) fresh() {
+func (x *Relay) recordRequest() {
 	x.budgetMu.Lock()
 	defer x.budgetMu.Unlock()
 	x.budget.Fresh(x.now())
 }
 
-// route picks the next place: here, a peer that promises an earlier answer, or
-// where nobody has room, here to wait, or any peer that takes work.
+// route chooses where the next attempt goes: here if there is room; else a peer that is
+// likely to respond sooner; else here to wait; else any peer that takes requests.
 func (x *Relay) route(c *call, tried []table.AgentNumber) (route, bool) {
-	here := !x.drained() && !slices.Contains(tried, x.self())
-	home := x.load()
-	home.Closed = !here || !x.fit(c)
-	if home.Room() && (c.isFeed() || !placement.LookAround(home)) {
+	here := !x.isDraining() && !slices.Contains(tried, x.self())
+	own := x.load()
+	own.Closed = !here || !x.mayUseTarget(c)
+	if own.Room() && (c.isFeed() || !placement.LookAround(own)) {
 		return route{here: true}, true
 	}
 	peers := x.peers()
-	if peer, ok := x.probe(c.ctx, home, peers, tried); ok {
+	if peer, ok := x.probe(c.ctx, own, peers, tried); ok {
 		return route{peer: peer}, true
 	}
 	if here {
@@ -118,14 +120,14 @@
 	return route{}, false
 }
 
-// isFeed tells whether the caller asks for a feed. A feed moves only where it
-// can't start here: at a peer it hangs on two agents for hours, and since it
-// holds no slot, leaving it here costs nothing.
+// isFeed tells whether the caller requests a feed. A feed is forwarded only if it can't
+// start here: at a peer it depends on two agents for hours, while here it costs nothing,
+// since it holds no slot.
 func (c *call) isFeed() bool {
 	return strings.Contains(c.request.Header.Get("Accept"), eventStream)
 }
 
-// peers returns the other agents that may get new work.
+// peers returns the other agents of the service that may get new requests.
 func (x *Relay) peers() []placement.Peer {
 	t := x.table.Load()
 	if t == nil {
@@ -138,99 +140,99 @@
 	now := x.cfg.Clock().UnixMilli()
 	var out []placement.Peer
 	for _, p := range t.Targets {
-		if p.Service == own.Service && p.Agent != own.Agent && p.State == table.Active && !x.silent.paused(p.Agent, x.now()) {
+		if p.Service == own.Service && p.Agent != own.Agent && p.State == table.Active && !x.latePeers.paused(p.Agent, x.now()) {
 			out = append(out, placement.Peer{Agent: p.Agent, Near: p.DataCentre == own.DataCentre, Share: slowstart.Share(p, now)})
 		}
 	}
 	return out
 }
 
-// probe asks a few peers for their load, near ones first, and returns the best
-// that has room and is better than home.
-func (x *Relay) probe(ctx context.Context, home placement.Load, peers []placement.Peer, tried []table.AgentNumber) (table.Target, bool) {
+// probe asks a few peers for their load, near ones first, and returns the best one that
+// has room and is better than this host.
+func (x *Relay) probe(ctx context.Context, own placement.Load, peers []placement.Peer, tried []table.AgentNumber) (table.Target, bool) {
 	t := x.table.Load()
 	for round := range maxProbeRounds {
-		drawn := placement.Draw(x.rng(), peers, round == 0, tried)
-		loads := x.loadsOf(ctx, t, drawn)
-		if i := placement.Best(home, loads); i >= 0 {
+		drawn := placement.Draw(x.newRNG(), peers, round == 0, tried)
+		loads := x.probeLoads(ctx, t, drawn)
+		if i := placement.Best(own, loads); i >= 0 {
 			return t.Target(drawn[i].Agent)
 		}
 	}
 	return table.Target{}, false
 }
 
-// loadsOf asks peers at the same time. One that doesn't answer in time counts as
+// probeLoads probes peers concurrently. A peer that doesn't answer in time counts as
 // closed.
-func (x *Relay) loadsOf(ctx context.Context, t *table.Table, peers []placement.Peer) []placement.Load {
+func (x *Relay) probeLoads(ctx context.Context, t *table.Table, peers []placement.Peer) []placement.Load {
 	loads := make([]placement.Load, len(peers))
 	var wait sync.WaitGroup
 	for i, p := range peers {
-		wait.Go(func() { loads[i] = x.loadOf(ctx, t, p.Agent) })
+		wait.Go(func() { loads[i] = x.probeLoad(ctx, t, p.Agent) })
 	}
 	wait.Wait()
 	return loads
 }
 
-// loadOf asks one peer. The question itself goes on when the wait is over, so
-// that a connection that is slow to open is there for the next one.
-func (x *Relay) loadOf(ctx context.Context, t *table.Table, peer table.AgentNumber) placement.Load {
-	x.count.add("peers.probes")
-	answer := make(chan placement.Load, 1)
+// probeLoad probes one peer. The call continues after the timeout, so that a connection
+// that is slow to open is ready for the next probe.
+func (x *Relay) probeLoad(ctx context.Context, t *table.Table, peer table.AgentNumber) placement.Load {
+	x.counters.add("peers.probes")
+	reply := make(chan placement.Load, 1)
 	go func() {
 		var r LoadReport
-		if err := x.tell(context.WithoutCancel(ctx), t, peer, kindProbe, &Probe{}, &r); err != nil {
-			answer <- placement.Load{Closed: true}
+		if err := x.callPeer(context.WithoutCancel(ctx), t, peer, kindProbe, &Probe{}, &r); err != nil {
+			reply <- placement.Load{Closed: true}
 			return
 		}
-		answer <- placement.Load{
+		reply <- placement.Load{
 			Slots: r.Slots, Running: r.Running, Waiting: r.Waiting,
-			Hold: time.Duration(r.HoldMicros) * time.Microsecond, Closed: r.Closed,
+			Hold: time.Duration(r.SlotTimeMicros) * time.Microsecond, Closed: r.Closed,
 		}
 	}()
-	timer := time.NewTimer(probeTime)
+	timer := time.NewTimer(probeTimeout)
 	defer timer.Stop()
 	select {
-	case l := <-answer:
+	case l := <-reply:
 		return l
 	case <-timer.C:
-		x.count.add("peers.probes-late")
-		x.silent.note(peer, x.now()+probePause)
+		x.counters.add("peers.probes-late")
+		x.latePeers.pause(peer, x.now()+lateProbePause)
 	case <-ctx.Done():
 	}
 	return placement.Load{Closed: true}
 }
 
-// silence remembers peers that let a probe wait. A dead VM answers nothing until
-// control has taken it out; without the pause each request that draws it would
-// wait for the whole probe time.
-type silence struct {
+// latePeers holds the peers that answered a probe too late. A dead VM doesn't answer
+// until control removes it from the table; without the pause, each request that probes it
+// would wait for the full timeout.
+type latePeers struct {
 	mu    sync.Mutex
 	until map[table.AgentNumber]time.Duration
 }
 
-func (s *silence) note(peer table.AgentNumber, until time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.until == nil {
-		s.until = map[table.AgentNumber]time.Duration{}
+func (l *latePeers) pause(peer table.AgentNumber, until time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.until == nil {
+		l.until = map[table.AgentNumber]time.Duration{}
 	}
-	s.until[peer] = until
+	l.until[peer] = until
 }
 
-// paused tells whether the peer isn't to be asked now.
-func (s *silence) paused(peer table.AgentNumber, now time.Duration) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	until, ok := s.until[peer]
+// paused tells whether the peer isn't to be probed now.
+func (l *latePeers) paused(peer table.AgentNumber, now time.Duration) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	until, ok := l.until[peer]
 	if ok && until <= now {
-		delete(s.until, peer)
+		delete(l.until, peer)
 	}
 	return ok && until > now
 }
 
-// load is this host's own, as its agent knows it.
+// load returns this host's load according to its agent.
 func (x *Relay) load() placement.Load {
-	l := x.gate.load()
+	l := x.admitter.load()
 	return placement.Load{Slots: l.Slots, Running: l.Running, Waiting: l.Waiting, Hold: l.Hold}
 }
 
@@ -238,35 +240,37 @@
 	l := x.load()
 	return &LoadReport{
 		Slots: l.Slots, Running: l.Running, Waiting: l.Waiting,
-		HoldMicros: l.Hold.Microseconds(), Closed: x.drained() || x.ill(),
+		SlotTimeMicros: l.Hold.Microseconds(), Closed: x.isDraining() || x.unhealthy(),
 	}
 }
 
-// anyPeer is for a host that can't take the request itself while all peers are
-// full: one of them lets it wait.
+// anyPeer returns a random peer, near ones first, regardless of its load. It is used if
+// this host can't run the request and no peer has room: the request then waits at the
+// peer.
 func (x *Relay) anyPeer(peers []placement.Peer, tried []table.AgentNumber) (table.Target, bool) {
 	t := x.table.Load()
 	for _, near := range []bool{true, false} {
-		if drawn := placement.Draw(x.rng(), peers, near, tried); len(drawn) > 0 {
+		if drawn := placement.Draw(x.newRNG(), peers, near, tried); len(drawn) > 0 {
 			return t.Target(drawn[0].Agent)
 		}
 	}
 	return table.Target{}, false
 }
 
-// rng returns a source of randomness for one decision.
-func (x *Relay) rng() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
+// newRNG returns a random number generator for one decision.
+func (x *Relay) newRNG() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// answered is a target's answer. A shed one may be tried elsewhere.
-func answered(resp *http.Response, p *pass) result {
-	r := result{resp: resp, pass: p}
+// responseResult returns the result for a target's response. A 503 may be retried
+// elsewhere.
+func responseResult(resp *http.Response, p *permit) result {
+	r := result{resp: resp, permit: p}
 	if resp.StatusCode == http.StatusServiceUnavailable {
 		r.outcome = retry.Shed
 	}
 	return r
 }
 
-// isKeyed tells whether the claim rules apply.
+// isKeyed tells whether the request has an idempotency key that applies.
 func (c *call) isKeyed() bool { return !c.safe && c.request.Header.Get(HeaderKey) != "" }
 
-func formatSum(s idempotency.Hash) string { return encodeHex(s[:]) }
+func formatHash(s idempotency.Hash) string { return encodeHex(s[:]) }
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -8,8 +8,9 @@
 	"bergamotstall/internal/idempotency"
 )
 
-// Run serves other agents until ctx is done, then hands the keys over and ends.
-// Its caller drains first, and cancels ctx when InFlight is 0.
+// Run serves other agents until ctx is done, then hands this agent's idempotency records
+// over to them and returns. The caller first calls Drain, and cancels ctx when InFlight
+// is 0.
 func (x *Relay) Run(ctx context.Context) error {
 	server, err := x.listenPeers()
 	if err != nil {
@@ -19,34 +20,34 @@
 	var wait sync.WaitGroup
 	wait.Go(server.serve)
 	wait.Go(func() { x.watchHealth(ctx) })
-	wait.Go(func() { x.sweepKeys(ctx) })
+	wait.Go(func() { x.sweepRecords(ctx) })
 	<-ctx.Done()
 	x.draining.Store(true)
 	x.background.Wait()
-	x.handOverKeys()
+	x.handOverRecords()
 	server.stop()
 	wait.Wait()
 	x.target.close()
 	x.peerHTTP.CloseIdleConnections()
-	x.frames.forget(nobody)
+	x.frames.closeIdle(noAgent)
 	return nil
 }
 
-// PeerAddress returns the address that Run listens on, empty before.
+// PeerAddress returns the address that Run listens on, or "" before Run.
 func (x *Relay) PeerAddress() string {
 	address, _ := x.peerAddress.Load().(string)
 	return address
 }
 
-func (x *Relay) sweepKeys(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
+func (x *Relay) sweepRecords(ctx context.Context) {
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			x.keep(func(k *idempotency.Voter, nowMS int64) { k.Sweep(nowMS) })
+			x.withVoter(func(v *idempotency.Voter, nowMS int64) { v.Sweep(nowMS) })
 		}
 	}
 }
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -13,34 +13,34 @@
 // eventStream is the media type of feeds.
 const eventStream = "text/event-stream"
 
-// result is how one attempt ended. Exactly one of resp, refusal, unknown and
-// misuse is set.
+// result is the result of one attempt. Exactly one of resp, refusal, unknown and invalid
+// is set.
 type result struct {
 	resp    *http.Response
 	refusal *Refusal
 	unknown *Unknown
-	// misuse says what is wrong with the request itself.
-	misuse Reason
-	// outcome is set where another attempt may be asked for.
+	// invalid says why the request itself is invalid.
+	invalid Reason
+	// outcome is set if another attempt may be made.
 	outcome retry.Outcome
-	// pass is held by an answer of this host's own target.
-	pass   *pass
+	// permit is set for a response of this host's own target.
+	permit *permit
 	cancel context.CancelFunc
-	// released is closed when keepers have heard that the attempt gave its key
-	// back; nil where there is nothing to give.
+	// released is closed when the voters know that the attempt released its key; nil if
+	// there is no key to release.
 	released <-chan struct{}
 }
 
-// settle waits until the key can be claimed anew. Only what leads to another
-// attempt waits for it, never a caller's final answer: the next agent would find
-// the key held and tell the caller that its request may be running.
-func (r result) settle() {
+// waitReleased waits until the key can be claimed again. Only an attempt that is followed
+// by another one waits, never a caller's final response: without the wait, the next agent
+// would find the key held and report that the request may be running.
+func (r result) waitReleased() {
 	if r.released != nil {
 		<-r.released
 	}
 }
 
-// close gives back what an attempt holds.
+// close releases an attempt's resources.
 func (r result) close() {
 	if r.resp != nil {
 		_ = r.resp.Body.Close()
@@ -48,129 +48,130 @@
 	if r.cancel != nil {
 		r.cancel()
 	}
-	if r.pass != nil {
-		r.pass.leave()
+	if r.permit != nil {
+		r.permit.release()
 	}
 }
 
-// ServeHTTP takes a caller's request.
+// ServeHTTP serves a caller's request.
 func (x *Relay) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	x.inFlight.Add(1)
 	defer x.inFlight.Add(-1)
-	x.count.add("taken")
+	x.counters.add("taken")
 	c := x.newCall(r)
-	defer c.end()
-	x.answer(w, c, x.run(c))
+	defer c.close()
+	x.writeResult(w, c, x.run(c))
 }
 
-// answer tells the caller what came of its request.
-func (x *Relay) answer(w http.ResponseWriter, c *call, r result) {
+// writeResult sends the result to the caller.
+func (x *Relay) writeResult(w http.ResponseWriter, c *call, r result) {
 	defer r.close()
 	switch {
 	case r.refusal != nil:
-		x.count.add("refused." + string(r.refusal.Reason))
-		refuse(w, c.request, r.refusal)
+		x.counters.add("refused." + string(r.refusal.Reason))
+		writeRefusal(w, c.request, r.refusal)
 	case r.unknown != nil:
-		x.count.add("unknown." + string(r.unknown.Reason))
-		sayUnknown(w, c.request, r.unknown)
-	case r.misuse != "":
-		x.count.add("refused." + string(r.misuse))
-		sayMisuse(w, c.request, r.misuse)
+		x.counters.add("unknown." + string(r.unknown.Reason))
+		writeUnknown(w, c.request, r.unknown)
+	case r.invalid != "":
+		x.counters.add("refused." + string(r.invalid))
+		writeInvalid(w, c.request, r.invalid)
 	default:
-		x.pass(w, c, r)
+		x.sendResponse(w, c, r)
 	}
 }
 
-// pass sends a target's answer to the caller. An answer that breaks off is
-// aborted, so that the caller can't take it for whole.
-func (x *Relay) pass(w http.ResponseWriter, c *call, r result) {
-	if r.pass != nil {
-		stop := x.releaseSlot(r)
+// sendResponse forwards a target's response to the caller. If the response breaks off,
+// the caller's connection is aborted, so that the caller can't take it for complete.
+func (x *Relay) sendResponse(w http.ResponseWriter, c *call, r result) {
+	if r.permit != nil {
+		stop := x.scheduleSlotRelease(r)
 		defer stop()
 	}
-	sendHead(w, r.resp)
-	fromTarget, toCaller := sendBody(w, r.resp)
+	writeHead(w, r.resp)
+	fromTarget, toCaller := copyBody(w, r.resp)
 	if toCaller != nil {
-		x.count.add("answers.caller-left")
+		x.counters.add("answers.caller-left")
 		return
 	}
 	if fromTarget != nil {
 		if c.ctx.Err() == nil {
-			x.count.add("answers.broken-off")
+			x.counters.add("answers.broken-off")
 		}
 		panic(http.ErrAbortHandler)
 	}
-	x.count.add("answers.whole")
+	x.counters.add("answers.whole")
 }
 
-// releaseSlot gives the slot back once the request is only a stream. A feed
-// holds its slot for hours otherwise, and a handful of open feeds would take the
-// whole host out of service.
-func (x *Relay) releaseSlot(r result) (stop func()) {
-	kind, _, _ := mime.ParseMediaType(r.resp.Header.Get("Content-Type"))
-	if kind == eventStream {
-		r.pass.stream()
+// scheduleSlotRelease releases the slot once the rest of the response is only streamed.
+// Otherwise a feed would hold its slot for hours, and a few open feeds would block the
+// whole host.
+func (x *Relay) scheduleSlotRelease(r result) (stop func()) {
+	mediaType, _, _ := mime.ParseMediaType(r.resp.Header.Get("Content-Type"))
+	if mediaType == eventStream {
+		r.permit.startStream()
 		return func() {}
 	}
-	timer := time.AfterFunc(x.cfg.Limits.SlotTime, r.pass.stream)
+	timer := time.AfterFunc(x.cfg.Limits.SlotTimeAfterHead, r.permit.startStream)
 	return func() { timer.Stop() }
 }
 
-// runHere runs the request at the target beside this agent.
+// runHere runs the request at this agent's target.
 func (x *Relay) runHere(c *call) result {
 	if c.isKeyed() {
 		return x.runKeyed(c)
 	}
-	p, refusal := x.enter(c)
+	p, refusal := x.acquireSlot(c)
 	if refusal != nil {
 		return result{refusal: refusal, outcome: retry.NotRun}
 	}
-	return x.handOver(c.ctx, c, p)
+	return x.forward(c.ctx, c, p)
 }
 
-// enter waits for a slot.
-func (x *Relay) enter(c *call) (*pass, *Refusal) {
-	ctx, cancel := context.WithTimeout(c.ctx, x.cfg.Limits.QueueTime)
+// acquireSlot waits for a slot.
+func (x *Relay) acquireSlot(c *call) (*permit, *Refusal) {
+	ctx, cancel := context.WithTimeout(c.ctx, x.cfg.Limits.QueueTimeout)
 	defer cancel()
-	return x.gate.enter(ctx, c.caller, x.deadlineOf(c))
+	return x.admitter.admit(ctx, c.caller, x.deadlineSinceStart(c))
 }
 
-// handOver sends the request to the target, and gives the slot back where no
-// answer comes.
-func (x *Relay) handOver(ctx context.Context, c *call, p *pass) result {
-	if c.held != nil {
-		c.newAttempt() // the body was held after the attempt began
+// forward sends the request to the target, and releases the slot if no response arrives.
+func (x *Relay) forward(ctx context.Context, c *call, p *permit) result {
+	if c.bufferedBody != nil {
+		c.newAttemptBody() // the body was buffered after the attempt began
 	}
-	resp, got, err := x.target.handOver(c.outgoing(ctx, x.cfg.Target), c.safe)
-	if err != nil && got.Reused && c.safe && ctx.Err() == nil {
-		// The target closed an idle connection: the connection's fault, not the
-		// target's, so it gets the request on a new one.
-		x.count.add("retries.stale-connection")
-		c.newAttempt()
-		resp, got, err = sendOnce(x.target.fresh, c.outgoing(ctx, x.cfg.Target))
+	resp, status, err := x.target.send(c.outgoingRequest(ctx, x.cfg.Target), c.safe)
+	if err != nil && status.Reused && c.safe && ctx.Err() == nil {
+		// The target closed an idle connection. That isn't a failure of the target, so
+		// the request is sent again on a new connection.
+		x.counters.add("retries.stale-connection")
+		c.newAttemptBody()
+		resp, status, err = sendOnce(x.target.unpooled, c.outgoingRequest(ctx, x.cfg.Target))
 	}
 	if err == nil {
-		x.note(true)
-		return answered(resp, p)
+		x.recordOutcome(true)
+		return responseResult(resp, p)
 	}
-	p.leave()
+	p.release()
 	if ctx.Err() == nil {
-		x.note(false)
+		x.recordOutcome(false)
 	}
-	if !got.Handed {
-		return result{refusal: x.notHanded(c), outcome: retry.NotRun}
+	if !status.Sent {
+		return result{refusal: x.notSentRefusal(c), outcome: retry.NotRun}
 	}
-	return result{unknown: x.noAnswer(c, err), outcome: retry.Lost}
+	return result{unknown: x.unknownOutcome(c, err), outcome: retry.Lost}
 }
 
-func (x *Relay) deadlineOf(c *call) time.Duration {
+// deadlineSinceStart returns the caller's deadline as a time since startTime, 0 for none.
+func (x *Relay) deadlineSinceStart(c *call) time.Duration {
 	if c.deadline.IsZero() {
 		return 0
 	}
-	return c.deadline.Sub(x.origin)
+	return c.deadline.Sub(x.startTime)
 }
 
-func (x *Relay) notHanded(c *call) *Refusal {
+// notSentRefusal returns the refusal for a request that couldn't be sent.
+func (x *Relay) notSentRefusal(c *call) *Refusal {
 	reason := ReasonUnreachable
 	switch {
 	case errors.Is(c.ctx.Err(), context.DeadlineExceeded):
@@ -181,15 +182,16 @@
 	return &Refusal{Reason: reason, Status: statusRefused}
 }
 
-func (x *Relay) noAnswer(c *call, err error) *Unknown {
+// unknownOutcome returns why a request that was sent got no response.
+func (x *Relay) unknownOutcome(c *call, err error) *Unknown {
 	switch {
 	case errors.Is(c.ctx.Err(), context.DeadlineExceeded):
 		return &Unknown{Reason: ReasonDeadline, Status: http.StatusGatewayTimeout}
 	case c.ctx.Err() != nil:
 		return &Unknown{Reason: ReasonCancelled, Status: http.StatusBadGateway}
-	case errorIsTimeout(err):
-		return &Unknown{Reason: ReasonSilent, Status: http.StatusGatewayTimeout}
+	case isTimeout(err):
+		return &Unknown{Reason: ReasonNoAnswer, Status: http.StatusGatewayTimeout}
 	default:
-		return &Unknown{Reason: ReasonCut, Status: http.StatusBadGateway}
+		return &Unknown{Reason: ReasonConnectionCut, Status: http.StatusBadGateway}
 	}
 }
--- a/internal/proxy/target.go
+++ b/internal/proxy/target.go
@@ -14,110 +14,108 @@
 )
 
 const (
-	// targetDialTime bounds the connection set-up to the target, which is on
-	// the same host.
-	targetDialTime = time.Second
-	// idleTime is how long a connection to the target is kept unused.
-	idleTime = 15 * time.Second
+	// targetDialTimeout bounds connecting to the target, which is on the same host.
+	targetDialTimeout = time.Second
+	// idleTimeout is how long an idle connection is kept.
+	idleTimeout = 15 * time.Second
 )
 
-// targetClient speaks HTTP/1.1 to the target beside the agent. It sends each
-// request once, whatever happens.
+// targetClient sends HTTP/1.1 requests to the target next to the agent. It sends each
+// request at most once, even if it fails.
 type targetClient struct {
 	address string
-	// pooled keeps connections; it carries repeatable requests only. A target
-	// may close an idle connection just when a request goes out on it, and
-	// nobody can tell then whether the request was read.
+	// pooled reuses connections; it carries repeatable requests only. A target may close
+	// an idle connection just as a request is sent on it, and then it is unknown whether
+	// the request was read.
 	pooled *http.Transport
-	// fresh opens a connection for each request. On a new connection a failure
-	// before the hand-over is a failed dial, and net/http never sends a request
-	// again by itself.
-	fresh *http.Transport
+	// unpooled opens a connection for each request. On a new connection, a failure before
+	// anything is sent is a failed dial, and net/http never resends a request by itself.
+	unpooled *http.Transport
 }
 
 func newTargetClient(address string, limits Limits) *targetClient {
 	transport := func(reuse bool) *http.Transport {
 		return &http.Transport{
-			DialContext:           (&net.Dialer{Timeout: targetDialTime}).DialContext,
+			DialContext:           (&net.Dialer{Timeout: targetDialTimeout}).DialContext,
 			DisableKeepAlives:     !reuse,
 			MaxIdleConnsPerHost:   limits.Slots,
-			IdleConnTimeout:       idleTime,
-			ResponseHeaderTimeout: limits.AnswerTime,
+			IdleConnTimeout:       idleTimeout,
+			ResponseHeaderTimeout: limits.AnswerTimeout,
 			DisableCompression:    true,
 		}
 	}
-	return &targetClient{address: address, pooled: transport(true), fresh: transport(false)}
+	return &targetClient{address: address, pooled: transport(true), unpooled: transport(false)}
 }
 
-// close drops idle connections.
+// close closes idle connections.
 func (c *targetClient) close() {
 	c.pooled.CloseIdleConnections()
-	c.fresh.CloseIdleConnections()
+	c.unpooled.CloseIdleConnections()
 }
 
-// handOver sends the request once. handed tells whether the target may have
-// seen a byte of it; reused, whether it went out on a connection used before.
-func (c *targetClient) handOver(r *http.Request, repeatable bool) (resp *http.Response, h handedOver, err error) {
-	transport := c.fresh
+// send sends the request once, on a pooled connection only if it is repeatable.
+func (c *targetClient) send(r *http.Request, repeatable bool) (resp *http.Response, status sendStatus, err error) {
+	transport := c.unpooled
 	if repeatable {
 		transport = c.pooled
 	}
 	return sendOnce(transport, r)
 }
 
-// handedOver is how far a request got.
-type handedOver struct {
-	// Handed is set once a connection was ready to be written. The first byte
-	// leaves right after, so this errs on the side of "seen".
-	Handed bool
-	// Reused is set where the connection had carried a request before.
+// sendStatus says how far sending a request got.
+type sendStatus struct {
+	// Sent is set once a connection was ready for writing. The first byte is written
+	// right afterwards, so a request may count as sent though the target received
+	// nothing.
+	Sent bool
+	// Reused is set if the connection had carried a request before.
 	Reused bool
 }
 
-// sendOnce sends a request through a transport that mustn't send it again.
-func sendOnce(transport *http.Transport, r *http.Request) (*http.Response, handedOver, error) {
-	var handed, reused atomic.Bool
+// sendOnce sends a request and prevents the transport from resending it.
+func sendOnce(transport *http.Transport, r *http.Request) (*http.Response, sendStatus, error) {
+	var sent, reused atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		handed.Store(true)
+		sent.Store(true)
 		reused.Store(info.Reused)
 	}}
 	out := r.WithContext(httptrace.WithClientTrace(r.Context(), trace))
-	// net/http sends a request again by itself where a reused connection fails,
-	// the method is safe or the request carries Idempotency-Key, and the body is
-	// nil or can be had again. A body that is neither forbids it.
-	out.Body = onceBody{r.Body}
+	// net/http resends a request by itself if a reused connection fails, the method is
+	// safe or the request has an Idempotency-Key, and the body is empty or GetBody is
+	// set. A body of unknown type without GetBody prevents that.
+	out.Body = opaqueBody{r.Body}
 	out.GetBody = nil
 	resp, err := transport.RoundTrip(out)
-	return resp, handedOver{Handed: handed.Load(), Reused: reused.Load()}, err
+	return resp, sendStatus{Sent: sent.Load(), Reused: reused.Load()}, err
 }
 
-// onceBody hides what net/http knows about a body, NoBody included.
-type onceBody struct{ body io.ReadCloser }
+// opaqueBody hides the type of a body from net/http, http.NoBody included.
+type opaqueBody struct{ body io.ReadCloser }
 
-func (b onceBody) Read(p []byte) (int, error) {
+func (b opaqueBody) Read(p []byte) (int, error) {
 	if b.body == nil {
 		return 0, io.EOF
 	}
 	return b.body.Read(p)
 }
 
-func (b onceBody) Close() error {
+func (b opaqueBody) Close() error {
 	if b.body == nil {
 		return nil
 	}
 	return b.body.Close()
 }
 
-// errDetached is returned to an attempt that is over.
-var errDetached = errors.New("proxy: the attempt is over")
+// errDetached is returned to an attempt that reads the body after it has ended.
+var errDetached = errors.New("proxy: body read after the end of the attempt")
 
-// attemptBody is the request's body as one attempt sees it. A failed attempt may
-// still be reading in the background; the next must not share its reads.
+// attemptBody is the request's body as one attempt sees it. A failed attempt may still be
+// reading in the background, and must not take bytes from the next one.
 type attemptBody struct {
 	mu       sync.Mutex
 	source   io.Reader
-	started  bool // some of the body was asked for
-	empty    bool // and there was none
+	started  bool // a read has begun
+	empty    bool // the first read found the body empty
 	detached bool
 }
 
@@ -139,12 +137,12 @@
 	return n, err
 }
 
-// Close leaves the caller's body to the server that owns it. A failed attempt
-// closes its body, and HTTP/1.1's server then reads what is still to come before
-// the refusal may go out.
+// Close does nothing: the caller's body belongs to the server. A failed attempt closes
+// its body; if that closed the caller's body, the HTTP/1.1 server would read the rest of
+// it before the refusal could be sent.
 func (b *attemptBody) Close() error { return nil }
 
-// detach ends the attempt's reading; it tells whether the body is still whole.
+// detach stops the attempt's reads and tells whether the body is still complete.
 func (b *attemptBody) detach() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -152,8 +150,8 @@
 	return !b.started || b.empty
 }
 
-// outgoing builds the request as the next hop gets it.
-func (c *call) outgoing(ctx context.Context, address string) *http.Request {
+// outgoingRequest builds the request for the next hop.
+func (c *call) outgoingRequest(ctx context.Context, address string) *http.Request {
 	url := *c.request.URL
 	url.Scheme = "http"
 	url.Host = address
@@ -168,10 +166,10 @@
 		ProtoMajor:    1,
 		ProtoMinor:    1,
 	}
-	if c.held != nil {
-		out.ContentLength = int64(len(c.held))
+	if c.bufferedBody != nil {
+		out.ContentLength = int64(len(c.bufferedBody))
 	}
-	if c.request.ContentLength == 0 && c.held == nil {
+	if c.request.ContentLength == 0 && c.bufferedBody == nil {
 		out.Body = http.NoBody // sendOnce wraps it
 	}
 	copyHeader(out.Header, c.request.Header)
@@ -181,7 +179,7 @@
 	return out.WithContext(ctx)
 }
 
-func errorIsTimeout(err error) bool {
+func isTimeout(err error) bool {
 	t, ok := err.(interface{ Timeout() bool })
 	return ok && t.Timeout()
 }
--- a/internal/proxy/votes.go
+++ b/internal/proxy/votes.go
@@ -15,47 +15,47 @@
 )
 
 const (
-	// sweepEvery is how often a keeper forgets what is out of date.
-	sweepEvery = 10 * time.Second
-	// handoverTime bounds the handover to one peer at a planned stop.
-	handoverTime = 5 * time.Second
+	// sweepInterval is how often a voter removes expired records.
+	sweepInterval = 10 * time.Second
+	// handoverTimeout bounds the handover of records to one peer at a planned shutdown.
+	handoverTimeout = 5 * time.Second
 )
 
-// keeper guards this agent's votes.
-type keeper struct {
+// lockedVoter guards this agent's voter.
+type lockedVoter struct {
 	mu    sync.Mutex
 	agent table.AgentNumber
-	votes *idempotency.Voter
+	voter *idempotency.Voter
 }
 
-// keep runs one step of the keeper; it does nothing before the agent has its
+// withVoter calls step with the voter locked. It does nothing before the agent has its
 // number.
-func (x *Relay) keep(step func(k *idempotency.Voter, nowMS int64)) {
-	x.keeper.mu.Lock()
-	defer x.keeper.mu.Unlock()
-	if x.keeper.votes != nil {
-		step(x.keeper.votes, x.now().Milliseconds())
+func (x *Relay) withVoter(step func(v *idempotency.Voter, nowMS int64)) {
+	x.voter.mu.Lock()
+	defer x.voter.mu.Unlock()
+	if x.voter.voter != nil {
+		step(x.voter.voter, x.now().Milliseconds())
 	}
 }
 
-// resetKeeper starts a keeper that knows nothing where the agent has a new
-// number, and follows the service's key window.
-func (x *Relay) resetKeeper(lookback time.Duration) {
-	x.keeper.mu.Lock()
-	defer x.keeper.mu.Unlock()
+// updateVoter starts a voter without records if the agent has a new number, and sets the
+// lookback.
+func (x *Relay) updateVoter(lookback time.Duration) {
+	x.voter.mu.Lock()
+	defer x.voter.mu.Unlock()
 	agent := x.self()
 	if agent == 0 {
 		return
 	}
-	if x.keeper.agent != agent {
-		x.keeper.agent = agent
-		x.keeper.votes = idempotency.NewVoter(agent, idempotency.Limits{}, lookback)
+	if x.voter.agent != agent {
+		x.voter.agent = agent
+		x.voter.voter = idempotency.NewVoter(agent, idempotency.Limits{}, lookback)
 	}
-	x.keeper.votes.SetLookback(lookback)
+	x.voter.voter.SetLookback(lookback)
 }
 
-// window returns how long this service's keys are valid.
-func (x *Relay) window() time.Duration {
+// keyWindow returns how long this service's keys are valid.
+func (x *Relay) keyWindow() time.Duration {
 	if t := x.table.Load(); t != nil {
 		if s, ok := t.ServiceNamed(x.cfg.Service); ok && s.KeyWindowMS > 0 {
 			return time.Duration(s.KeyWindowMS) * time.Millisecond
@@ -64,17 +64,17 @@
 	return idempotency.DefaultWindow
 }
 
-// vote answers a claimant.
+// vote handles a claim's request.
 func (x *Relay) vote(r idempotency.Request) idempotency.Reply {
 	reply := idempotency.Reply{State: idempotency.Closed}
 	if !idempotency.MayVote(x.table.Load(), x.self(), x.tableAge(), x.cfg.Clock().UnixMilli()) {
-		x.count.add("claims.vote-stale")
+		x.counters.add("claims.vote-stale")
 		return reply
 	}
-	x.keep(func(k *idempotency.Voter, nowMS int64) { reply = k.Vote(nowMS, r) })
+	x.withVoter(func(v *idempotency.Voter, nowMS int64) { reply = v.Vote(nowMS, r) })
 	if reply.State == idempotency.Full {
-		x.count.add("claims.vote-full")
-		x.complain(events.ClaimsFull)
+		x.counters.add("claims.vote-full")
+		x.logRepeated(events.ClaimsFull)
 	}
 	return reply
 }
@@ -86,122 +86,122 @@
 	return x.cfg.TableAge()
 }
 
-// heard is one keeper's reply on its way to the claimant.
-type heard struct {
+// voterReply is one voter's reply to a claim.
+type voterReply struct {
 	from  table.AgentNumber
 	reply *idempotency.Reply
 }
 
-// claim asks keepers until the try is decided.
-func (x *Relay) claim(ctx context.Context, r idempotency.Request, t *table.Table, rows []idempotency.Member) (*idempotency.Claim, idempotency.Verdict) {
-	lookback := idempotency.Lookback(x.window())
-	try := idempotency.NewClaim(r, rows, x.cfg.Clock().UnixMilli(), lookback.Milliseconds())
-	replies := make(chan heard, len(rows))
-	begun := time.Now()
-	defer func() { x.count.addN("claims.micros", time.Since(begun).Microseconds()) }()
+// runClaim asks voters until the claim is decided.
+func (x *Relay) runClaim(ctx context.Context, r idempotency.Request, t *table.Table, members []idempotency.Member) (*idempotency.Claim, idempotency.Verdict) {
+	lookback := idempotency.Lookback(x.keyWindow())
+	claim := idempotency.NewClaim(r, members, x.cfg.Clock().UnixMilli(), lookback.Milliseconds())
+	replies := make(chan voterReply, len(members))
+	start := time.Now()
+	defer func() { x.counters.addN("claims.micros", time.Since(start).Microseconds()) }()
 	for {
-		for _, n := range try.NextVoters() {
-			go func() { replies <- heard{n, x.askKeeper(ctx, t, n, r)} }()
+		for _, n := range claim.NextVoters() {
+			go func() { replies <- voterReply{n, x.askVoter(ctx, t, n, r)} }()
 		}
-		if v := try.Verdict(); v != idempotency.Pending {
-			return try, v
+		if v := claim.Verdict(); v != idempotency.Pending {
+			return claim, v
 		}
-		h := <-replies
-		try.RecordReply(h.from, h.reply)
+		r := <-replies
+		claim.RecordReply(r.from, r.reply)
 	}
 }
 
-// askKeeper returns a keeper's reply, nil where none comes.
-func (x *Relay) askKeeper(ctx context.Context, t *table.Table, n table.AgentNumber, r idempotency.Request) *idempotency.Reply {
+// askVoter returns a voter's reply, nil if none arrives.
+func (x *Relay) askVoter(ctx context.Context, t *table.Table, n table.AgentNumber, r idempotency.Request) *idempotency.Reply {
 	if n == x.self() {
 		reply := x.vote(r)
 		return &reply
 	}
 	var reply idempotency.Reply
-	if err := x.tell(ctx, t, n, kindClaim, &r, &reply); err != nil {
-		x.count.add("claims.keeper-silent")
+	if err := x.callPeer(ctx, t, n, kindClaim, &r, &reply); err != nil {
+		x.counters.add("claims.keeper-silent")
 		return nil
 	}
 	return &reply
 }
 
-// tell sends one message to a peer and waits for its answer.
-func (x *Relay) tell(ctx context.Context, t *table.Table, n table.AgentNumber, kind framing.Kind, m msgp.Marshaler, answer msgp.Unmarshaler) error {
+// callPeer sends one message to a peer and waits for its reply.
+func (x *Relay) callPeer(ctx context.Context, t *table.Table, n table.AgentNumber, kind framing.Kind, m msgp.Marshaler, reply msgp.Unmarshaler) error {
 	to, ok := t.Target(n)
 	if !ok {
 		return errWrongPeer
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	return x.frames.call(ctx, to, kind, m, answer)
+	return x.frames.call(ctx, to, kind, m, reply)
 }
 
-// tellAll tells everyone who may hold a vote how a try ended, in the
-// background: callers don't wait for it. The returned channel is closed when all
-// have heard or couldn't be reached.
-func (x *Relay) tellAll(try *idempotency.Claim, kind framing.Kind, m msgp.Marshaler, own func(*idempotency.Voter, int64)) <-chan struct{} {
+// notifyVoters tells all voters that were asked how a claim ended. It does so in the
+// background: callers don't wait for it. The returned channel is closed when each voter
+// has replied or couldn't be reached.
+func (x *Relay) notifyVoters(claim *idempotency.Claim, kind framing.Kind, m msgp.Marshaler, own func(*idempotency.Voter, int64)) <-chan struct{} {
 	t := x.table.Load()
-	var told sync.WaitGroup
-	for _, n := range try.Asked() {
+	var sent sync.WaitGroup
+	for _, n := range claim.Asked() {
 		if n == x.self() {
-			x.keep(own)
+			x.withVoter(own)
 			continue
 		}
-		told.Go(func() {
-			if err := x.tell(context.Background(), t, n, kind, m, &Done{}); err != nil {
-				x.count.add("claims.keeper-silent")
+		sent.Go(func() {
+			if err := x.callPeer(context.Background(), t, n, kind, m, &Ack{}); err != nil {
+				x.counters.add("claims.keeper-silent")
 			}
 		})
 	}
 	done := make(chan struct{})
 	x.background.Go(func() {
-		told.Wait()
+		sent.Wait()
 		close(done)
 	})
 	return done
 }
 
-func (x *Relay) releaseKey(try *idempotency.Claim) <-chan struct{} {
-	r := idempotency.Release{Key: try.Request().Key, ID: try.Request().ID}
-	return x.tellAll(try, kindRelease, &r, func(k *idempotency.Voter, nowMS int64) { k.Release(nowMS, r) })
+func (x *Relay) releaseKey(claim *idempotency.Claim) <-chan struct{} {
+	r := idempotency.Release{Key: claim.Request().Key, ID: claim.Request().ID}
+	return x.notifyVoters(claim, kindRelease, &r, func(v *idempotency.Voter, nowMS int64) { v.Release(nowMS, r) })
 }
 
-// finishKey tells in the background: the caller has its answer already.
-func (x *Relay) finishKey(try *idempotency.Claim, standing idempotency.KeyState, answer *idempotency.Response) {
-	f := idempotency.Finish{Request: try.Request(), State: standing, Response: answer}
-	x.tellAll(try, kindFinish, &f, func(k *idempotency.Voter, nowMS int64) { k.Finish(nowMS, f) })
+// finishKey reports the end of a claimed request to the voters, without waiting for them.
+func (x *Relay) finishKey(claim *idempotency.Claim, state idempotency.KeyState, response *idempotency.Response) {
+	f := idempotency.Finish{Request: claim.Request(), State: state, Response: response}
+	x.notifyVoters(claim, kindFinish, &f, func(v *idempotency.Voter, nowMS int64) { v.Finish(nowMS, f) })
 }
 
-// handOverKeys closes the keeper and gives what it knows to the service's other
-// agents. Without it, keys that two stopped agents kept are refused until the
-// lookback is over.
-func (x *Relay) handOverKeys() {
+// handOverRecords closes the voter and sends its records to the service's other agents.
+// Without it, keys of which two voters have shut down would be refused until the lookback
+// is over.
+func (x *Relay) handOverRecords() {
 	t := x.table.Load()
 	if t == nil || x.self() == 0 {
 		return
 	}
 	var h idempotency.Handover
-	x.keep(func(k *idempotency.Voter, nowMS int64) { h = k.Close(nowMS) })
+	x.withVoter(func(v *idempotency.Voter, nowMS int64) { h = v.Close(nowMS) })
 	own, _ := t.Target(x.self())
 	var wait sync.WaitGroup
 	for _, peer := range t.TargetsOf(own.Service) {
 		if peer.Agent != own.Agent && peer.State != table.Retired {
-			wait.Go(func() { x.handOverTo(peer, &h) })
+			wait.Go(func() { x.handOverToPeer(peer, &h) })
 		}
 	}
 	wait.Wait()
 	events.Log(x.log, events.ClaimsHandedOver, logrus.Fields{"keys": len(h.Records)})
 }
 
-func (x *Relay) handOverTo(peer table.Target, h *idempotency.Handover) {
-	ctx, cancel := context.WithTimeout(context.Background(), handoverTime)
+func (x *Relay) handOverToPeer(peer table.Target, h *idempotency.Handover) {
+	ctx, cancel := context.WithTimeout(context.Background(), handoverTimeout)
 	defer cancel()
 	var taken idempotency.HandoverReply
 	err := x.frames.call(ctx, peer, kindHandover, h, &taken)
 	if err == nil && taken.OK {
-		x.count.add("claims.handovers")
+		x.counters.add("claims.handovers")
 		return
 	}
-	x.count.add("claims.handovers-failed")
+	x.counters.add("claims.handovers-failed")
 	events.Log(x.log, events.ClaimsNotHandedOver, logrus.Fields{"agent": peer.Agent, "host": peer.Host, "error": err})
 }
