--- a/internal/envelope/envelope.go
+++ b/internal/envelope/envelope.go
@@ -1,13 +1,12 @@
-// Package envelope wraps callers' packets on their way between balancers and
-// agents. The envelope names the service and the agent that the packet is meant
-// for: an address that was given to another service's agent meanwhile refuses
-// the packet by that, so that a reused address can't carry traffic across
-// services. A keyed MAC keeps everyone without the cluster's key from handing
-// packets to agents or answers to balancers.
+// Package envelope encapsulates callers' packets between balancers and agents. The
+// envelope names the service and the agent that the packet is meant for. An agent refuses
+// a packet meant for another one, so a reassigned address can't carry traffic across
+// services. A keyed MAC prevents anyone without the cluster's key from sending packets to
+// agents or responses to balancers.
 //
-// The MAC covers the header, not the caller's packet: QUIC protects its own
-// packets, first flights can be sent by anyone anyway, and hashing the payload
-// would cost several times the rest of the envelope (docs/DATAPATH.md).
+// The MAC covers the header, not the caller's packet: QUIC protects its own packets,
+// anyone can send initial packets anyway, and hashing the payload would cost several
+// times as much as the rest of the envelope (docs/DATAPATH.md).
 package envelope
 
 import (
@@ -21,72 +20,72 @@
 	"bergamotstall/internal/table"
 )
 
-// Kind says which way a packet goes.
+// Kind is the type of an envelope.
 type Kind uint8
 
 const (
-	// Forward carries a caller's packet to an agent.
+	// Forward carries a caller's packet from a balancer to an agent.
 	Forward Kind = iota + 1
-	// Return carries an agent's packet to the balancer that sends it on.
+	// Return carries an agent's packet to the balancer that sends it to the caller.
 	Return
-	// Orphan is a Forward whose packet names an agent that the balancer can't
-	// reach. It goes to another agent of the service.
+	// Orphan is a Forward whose packet belongs to an agent that the balancer can't reach.
+	// It goes to another agent of the service.
 	Orphan
-	// Probe asks an agent for a sign of life; it carries no packet.
+	// Probe asks an agent whether it is alive; it carries no packet.
 	Probe
 	// Alive answers a Probe.
 	Alive
 )
 
 const (
-	macSize        = 16
-	keySize        = 16
-	generationMask = 0x07
-	addrPortMax    = 18
-
-	// Overhead bounds the bytes that an envelope adds to a packet: the MAC, and
-	// each header field at its longest.
-	Overhead = macSize + 1 + 5 + 5 + 2 + addrPortMax + 9 + 1 + 5 + 2 + addrPortMax
-	// MaxPayload is the largest packet that an envelope carries: an Ethernet
-	// frame less IPv6, UDP and the envelope. Larger ones are dropped and
-	// counted; QUIC's path MTU discovery takes them for lost probes.
+	macBytes         = 16
+	minKeyBytes      = 16
+	generationMask   = 0x07
+	maxAddrPortBytes = 18
+
+	// Overhead is an upper bound on the bytes that an envelope adds to a packet: the MAC
+	// and each header field at its maximum size.
+	Overhead = macBytes + 1 + 5 + 5 + 2 + maxAddrPortBytes + 9 + 1 + 5 + 2 + maxAddrPortBytes
+	// MaxPayload is the largest packet that fits into an envelope: an Ethernet frame less
+	// the IPv6 header, UDP header and envelope. Larger packets are dropped and counted;
+	// QUIC's path MTU discovery treats them as lost probes.
 	MaxPayload = 1500 - 40 - 8 - Overhead
-	// MaxHops bounds how often agents hand one packet on.
+	// MaxHops is how often agents may forward one packet to another agent.
 	MaxHops = 2
 )
 
-// Header is what an envelope says about its packet.
+// Header is the header of an envelope.
 type Header struct {
 	Kind Kind
-	// Generation of the key that signed, low three bits.
+	// Generation of the MAC key, its low three bits.
 	Generation uint8
 	Service    table.ServiceID
-	// Agent is the receiver of a Forward, Orphan or Probe, the sender of a Return
-	// or Alive.
+	// Agent is the receiver of a Forward, Orphan or Probe, and the sender of a Return or
+	// Alive.
 	Agent table.AgentNumber
-	// Caller is the far end of the flow.
+	// Caller is the caller's address.
 	Caller netip.AddrPort
-	// Revision of the table that the sender decided by.
+	// Revision of the table that the sender used.
 	Revision table.Revision
-	// Hops counts the agents that handed the packet on.
+	// Hops is how often agents have forwarded the packet to another agent.
 	Hops uint8
-	// HandedBy is the last agent that handed the packet on, or the one that a
-	// balancer avoids.
+	// HandedBy is the last agent that forwarded the packet, or the agent that a balancer
+	// avoids.
 	HandedBy table.AgentNumber
-	// Balancer is where answers go, where that isn't the address that the
-	// envelope came from: agents that hand a packet on set it.
+	// Balancer is where the agent's packets go if that isn't the address that the
+	// envelope came from. Agents set it when they forward a packet to another agent.
 	Balancer netip.AddrPort
 }
 
 var (
-	// ErrMalformed is returned for a datagram that is no envelope.
+	// ErrMalformed is returned for a datagram that isn't an envelope.
 	ErrMalformed = errors.New("envelope: malformed")
-	// ErrGeneration is returned where the ring lacks the key that signed.
+	// ErrGeneration is returned if the ring has no key of the envelope's generation.
 	ErrGeneration = errors.New("envelope: unknown key generation")
-	// ErrForged is returned for a MAC that doesn't match.
+	// ErrForged is returned if the MAC doesn't match.
 	ErrForged = errors.New("envelope: MAC doesn't match")
-	// ErrKey is returned for an envelope key that is too short.
-	ErrKey = errors.New("envelope: key must have 16 bytes or more")
+	// ErrKey is returned for a MAC key that is too short.
+	ErrKey = errors.New("envelope: key must have at least 16 bytes")
 )
 
 type macKey struct {
@@ -94,17 +93,18 @@
 	valid  bool
 }
 
-// Ring holds the valid MAC keys by the low bits of their generation. It is
-// read-only once built.
+// Ring holds the valid MAC keys, indexed by the low bits of their generation. It is
+// read-only once built, and safe for concurrent use.
 type Ring struct {
 	keys [generationMask + 1]macKey
 }
 
-// NewRing builds the ring of a table's keys. It returns ErrKey for a bad one.
+// NewRing builds the ring from a table's key sets. It returns ErrKey if a key is too
+// short.
 func NewRing(keys []table.KeySet) (*Ring, error) {
 	r := &Ring{}
 	for _, k := range keys {
-		if len(k.Envelope) < keySize {
+		if len(k.Envelope) < minKeyBytes {
 			return nil, errors.Wrapf(ErrKey, "generation %d", k.Generation)
 		}
 		r.keys[k.Generation&generationMask] = macKey{
@@ -116,11 +116,11 @@
 	return r, nil
 }
 
-// Has tells whether the ring can sign under a generation.
+// Has tells whether the ring has the key of a generation.
 func (r *Ring) Has(generation uint8) bool { return r.keys[generation&generationMask].valid }
 
-// Append adds the envelope with its payload to dst. It allocates only where dst
-// is too small. The header's generation must be in the ring.
+// Append appends the envelope and its payload to dst. It allocates only if dst is too
+// small. It returns ErrGeneration if the ring has no key of the header's generation.
 func (r *Ring) Append(dst []byte, h *Header, payload []byte) ([]byte, error) {
 	key := &r.keys[h.Generation&generationMask]
 	if !key.valid {
@@ -129,14 +129,14 @@
 	start := len(dst)
 	dst = append(dst, zeroMAC[:]...)
 	dst = appendHeader(dst, h)
-	seal(key, dst[start:])
+	writeMAC(key, dst[start:])
 	return append(dst, payload...), nil
 }
 
-var zeroMAC [macSize]byte
+var zeroMAC [macBytes]byte
 
-func seal(key *macKey, signed []byte) {
-	a, b := siphash.Hash128(key.k0, key.k1, signed[macSize:])
+func writeMAC(key *macKey, signed []byte) {
+	a, b := siphash.Hash128(key.k0, key.k1, signed[macBytes:])
 	binary.LittleEndian.PutUint64(signed, a)
 	binary.LittleEndian.PutUint64(signed[8:], b)
 }
@@ -153,7 +153,7 @@
 }
 
 func appendAddrPort(dst []byte, a netip.AddrPort) []byte {
-	var raw [addrPortMax]byte
+	var raw [maxAddrPortBytes]byte
 	n := 0
 	switch ip := a.Addr().Unmap(); {
 	case ip.Is4():
@@ -169,13 +169,13 @@
 	return msgp.AppendBytes(dst, raw[:n+2])
 }
 
-// Open checks a datagram and returns its header and payload, which is a part of
-// the datagram. It allocates nothing.
+// Open verifies a datagram, decodes its header into h, and returns the payload, which is
+// a part of the datagram. It doesn't allocate.
 func (r *Ring) Open(datagram []byte, h *Header) ([]byte, error) {
-	if len(datagram) <= macSize {
+	if len(datagram) <= macBytes {
 		return nil, ErrMalformed
 	}
-	payload, err := readHeader(datagram[macSize:], h)
+	payload, err := readHeader(datagram[macBytes:], h)
 	if err != nil {
 		return nil, ErrMalformed
 	}
@@ -183,11 +183,11 @@
 	if !key.valid {
 		return nil, ErrGeneration
 	}
-	signed := datagram[macSize : len(datagram)-len(payload)]
+	signed := datagram[macBytes : len(datagram)-len(payload)]
 	a, b := siphash.Hash128(key.k0, key.k1, signed)
-	wrong := a ^ binary.LittleEndian.Uint64(datagram)
-	wrong |= b ^ binary.LittleEndian.Uint64(datagram[8:])
-	if wrong != 0 {
+	diff := a ^ binary.LittleEndian.Uint64(datagram)
+	diff |= b ^ binary.LittleEndian.Uint64(datagram[8:])
+	if diff != 0 {
 		return nil, ErrForged
 	}
 	return payload, nil
@@ -238,7 +238,7 @@
 		return netip.AddrPort{}, rest, nil
 	case 6:
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte(raw)), binary.BigEndian.Uint16(raw[4:])), rest, nil
-	case addrPortMax:
+	case maxAddrPortBytes:
 		return netip.AddrPortFrom(netip.AddrFrom16([16]byte(raw)), binary.BigEndian.Uint16(raw[16:])), rest, nil
 	}
 	return netip.AddrPort{}, b, ErrMalformed
--- a/internal/envelope/envelope_test.go
+++ b/internal/envelope/envelope_test.go
@@ -12,7 +12,7 @@
 	"bergamotstall/internal/table"
 )
 
-func ring(is *is.I, generations ...uint8) *Ring {
+func newTestRing(is *is.I, generations ...uint8) *Ring {
 	var sets []table.KeySet
 	for _, g := range generations {
 		sets = append(sets, table.KeySet{Generation: g, Envelope: bytes.Repeat([]byte{g + 1}, 32)})
@@ -22,7 +22,7 @@
 	return r
 }
 
-func someHeader() Header {
+func testHeader() Header {
 	return Header{
 		Kind: Forward, Generation: 3, Service: 70000, Agent: 1 << 30, Revision: 1 << 40, Hops: 1, HandedBy: 1 << 20,
 		Caller:   netip.MustParseAddrPort("192.0.2.1:4433"),
@@ -30,12 +30,12 @@
 	}
 }
 
-// What is put into an envelope comes out, and its overhead is within the bound
-// that the MTU calculation uses.
+// Guards against encoding errors, and against an overhead above the bound that the MTU
+// calculation uses.
 func TestEnvelopeRoundTrip(t *testing.T) {
 	is := is.New(t)
-	r := ring(is, 3)
-	want, payload := someHeader(), bytes.Repeat([]byte{7}, MaxPayload)
+	r := newTestRing(is, 3)
+	want, payload := testHeader(), bytes.Repeat([]byte{7}, MaxPayload)
 	widest := want
 	widest.Caller = want.Balancer
 	for _, want := range []Header{want, widest, {Kind: Return, Generation: 3, Caller: want.Caller}, {Kind: Probe, Generation: 3}} {
@@ -50,12 +50,12 @@
 	}
 }
 
-// Nobody without the key changes an envelope: a flipped bit anywhere in MAC or
-// header is refused, and so is any cut.
+// Guards against accepting a modified envelope: a flipped bit anywhere in the MAC or
+// header is refused, and so is a truncated envelope.
 func TestEveryFlippedBitIsRefused(t *testing.T) {
 	is := is.New(t)
-	r := ring(is, 3)
-	h := someHeader()
+	r := newTestRing(is, 3)
+	h := testHeader()
 	out, err := r.Append(nil, &h, nil)
 	is.NoErr(err)
 	for i := range out {
@@ -73,28 +73,28 @@
 	}
 }
 
-// A key that the ring lacks neither signs nor verifies.
+// Guards against signing or verifying with a key that the ring doesn't have.
 func TestGenerations(t *testing.T) {
 	is := is.New(t)
-	h := someHeader()
-	out, err := ring(is, 3).Append(nil, &h, nil)
+	h := testHeader()
+	out, err := newTestRing(is, 3).Append(nil, &h, nil)
 	is.NoErr(err)
 	var got Header
-	_, err = ring(is, 4).Open(out, &got)
+	_, err = newTestRing(is, 4).Open(out, &got)
 	is.Equal(err, ErrGeneration)
-	_, err = ring(is, 3, 4).Open(out, &got)
+	_, err = newTestRing(is, 3, 4).Open(out, &got)
 	is.NoErr(err)
-	_, err = ring(is, 4).Append(nil, &h, nil)
+	_, err = newTestRing(is, 4).Append(nil, &h, nil)
 	is.Equal(err, ErrGeneration)
 	_, err = NewRing([]table.KeySet{{Envelope: []byte{1}}})
 	is.True(err != nil)
 }
 
-// An envelope costs no allocation on either side.
+// Guards against allocations on either side.
 func TestEnvelopeAllocatesNothing(t *testing.T) {
 	is := is.New(t)
-	r := ring(is, 3)
-	h, payload, out := someHeader(), make([]byte, 1200), make([]byte, 0, 2048)
+	r := newTestRing(is, 3)
+	h, payload, out := testHeader(), make([]byte, 1200), make([]byte, 0, 2048)
 	var got Header
 	is.Equal(testing.AllocsPerRun(100, func() {
 		out, _ = r.Append(out[:0], &h, payload)
@@ -103,8 +103,8 @@
 }
 
 func BenchmarkEnvelope(b *testing.B) {
-	r := ring(is.New(b), 3)
-	h, payload, out := someHeader(), make([]byte, 1200), make([]byte, 0, 2048)
+	r := newTestRing(is.New(b), 3)
+	h, payload, out := testHeader(), make([]byte, 1200), make([]byte, 0, 2048)
 	b.Run("append", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
