--- a/internal/passthrough/control/evacuation.go
+++ b/internal/passthrough/control/evacuation.go
@@ -36,8 +36,8 @@
 		return err
 	}
 	held := c.store.Evacuations()
-	o := route.EvacuationOrder{Zone: zone, Evacuate: evacuate, Seen: held.Revision, AtMS: time.Now().UnixMilli()}
-	if held.MayBeLate(o, c.cfg.ResendWindow) {
+	o := route.EvacuationOrder{Zone: zone, Evacuate: evacuate, SeenRevision: held.Revision, AtMS: time.Now().UnixMilli()}
+	if held.MayBeDelayedCopy(o, c.cfg.ResendWindow) {
 		c.orderDecided(zone, evacuate, "unavailable", errLateCopy)
 		return errors.Wrap(ErrUnavailable, errLateCopy.Error())
 	}
@@ -54,13 +54,13 @@
 	case route.Accepted:
 		c.orderDecided(zone, evacuate, "accepted", nil)
 		return nil
-	case route.Overtaken:
+	case route.Redundant:
 		c.orderDecided(zone, evacuate, "unchanged", nil)
 		return nil
-	case route.Conflicting:
+	case route.Conflict:
 		c.orderDecided(zone, evacuate, "unavailable", errOvertaken)
 		return errors.Wrap(ErrUnavailable, errOvertaken.Error())
-	case route.Full:
+	case route.TooManyZones:
 		c.orderDecided(zone, evacuate, "invalid", route.ErrTooManyZones)
 		return route.ErrTooManyZones
 	}
--- a/internal/passthrough/control/operator.go
+++ b/internal/passthrough/control/operator.go
@@ -45,7 +45,7 @@
 		c.decided(d, "unavailable", err)
 		return err
 	}
-	if outcome == route.Unreadable {
+	if outcome == route.Malformed {
 		c.decided(d, "unreadable", nil)
 		return errors.New("control: the log could not read the definition")
 	}
@@ -69,7 +69,7 @@
 	}
 	c.cfg.Metrics.Histogram("order_agreed_after").Record(time.Since(began))
 	if len(out) != 1 {
-		return route.Unreadable, nil
+		return route.Malformed, nil
 	}
 	return route.Outcome(out[0]), nil
 }
--- a/internal/passthrough/membership/client_take.go
+++ b/internal/passthrough/membership/client_take.go
@@ -105,7 +105,7 @@
 	if route.Version(u.Version) <= c.version {
 		return
 	}
-	var lean route.Lean
+	var lean route.TableUpdate
 	if _, err := lean.UnmarshalMsg(u.Lean); err != nil {
 		c.cfg.Log.WithError(err).Error("membership: table can't be read")
 		return
--- a/internal/passthrough/membership/membership_test.go
+++ b/internal/passthrough/membership/membership_test.go
@@ -117,7 +117,7 @@
 // order has an evacuation, or its end, agreed on at a VM.
 func (v *vm) order(t *testing.T, zone string, evacuate bool) {
 	t.Helper()
-	o := route.EvacuationOrder{Zone: zone, Evacuate: evacuate, Seen: v.store.Evacuations().Revision}
+	o := route.EvacuationOrder{Zone: zone, Evacuate: evacuate, SeenRevision: v.store.Evacuations().Revision}
 	command, err := o.Command()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/passthrough/route/cost_test.go
+++ b/internal/passthrough/route/cost_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// BenchmarkLeanTable measures what nodes are sent, by routes.
-func BenchmarkLeanTable(b *testing.B) {
+// BenchmarkFullUpdate reports the size of a full update per route.
+func BenchmarkFullUpdate(b *testing.B) {
 	for _, n := range []int{100, 600, 2100} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			d := good()
+			d := validDefinition()
 			for i := range n {
 				d.Routes = append(d.Routes, Route{
 					Name: fmt.Sprintf("r-%07x", i), IP: [4]byte{198, 18, byte(i >> 8), byte(i)}, Port: 8443, TimeoutMS: 2500, Priority: 2,
@@ -19,7 +19,7 @@
 			}
 			for range b.N {
 				s := NewStore()
-				s.put(d)
+				s.setDefinition(d)
 				whole, err := s.Current().Since(0)
 				if err != nil {
 					b.Fatal(err)
--- a/internal/passthrough/route/evacuation.go
+++ b/internal/passthrough/route/evacuation.go
@@ -9,12 +9,12 @@
 
 //go:generate env GOWORK=off go -C ../../../tools tool msgp -file ../internal/passthrough/route/evacuation.go -o ../internal/passthrough/route/evacuation_gen.go -tests=false -io=false
 
-// Evacuations are the data centres whose targets take no new flows, as operators ordered.
-// They don't change once in force.
+// Evacuations is the replicated state of evacuation orders: the data centres whose
+// targets get no new flows. It is immutable once in force.
 type Evacuations struct {
-	// Revision rises with each order that changed something; 0 if none ever did.
+	// Revision counts the orders that changed the state; 0 means that none did.
 	Revision uint64 `msg:"r"`
-	// Zones holds each data centre's last order.
+	// Zones holds the last order for each data centre, sorted by revision.
 	Zones []ZoneOrder `msg:"z"`
 }
 
@@ -23,55 +23,56 @@
 //msgp:tuple ZoneOrder
 type ZoneOrder struct {
 	Zone string
-	// Evacuated is false once the evacuation was withdrawn.
+	// Evacuated is false if the evacuation was withdrawn.
 	Evacuated bool
-	// Revision is the one that the order led to.
+	// Revision is the revision of the state after the order.
 	Revision uint64
-	// AtMS is when a control VM took the order, by its time of day in Unix milliseconds;
-	// PreviousMS when the one before was taken, 0 if there was none.
+	// AtMS is when a control VM received the order, and PreviousMS when one received the
+	// order before it, 0 if there was none. Both are in Unix milliseconds of the
+	// receiving VM's clock.
 	AtMS, PreviousMS int64
 }
 
-// EvacuationOrder is an operator's order as a command of the log.
+// EvacuationOrder is an operator's order, encoded as a command of the replicated log.
 //
 //msgp:tuple EvacuationOrder
 type EvacuationOrder struct {
 	Zone     string
 	Evacuate bool
-	// Seen is the revision that the control VM held when it took the order.
-	Seen uint64
-	// AtMS is when it took the order, by its time of day in Unix milliseconds.
+	// SeenRevision is the revision that the control VM held when it received the order.
+	SeenRevision uint64
+	// AtMS is when the VM received the order, in Unix milliseconds of its clock.
 	AtMS int64
 }
 
-// StoreSnapshot is the snapshot of a store that has taken evacuations.
+// StoreSnapshot is the snapshot of a store that has applied evacuation orders.
 //
 //msgp:tuple StoreSnapshot
 type StoreSnapshot struct {
-	// Definition is nil before the first one.
+	// Definition is nil before the first definition.
 	Definition  *Definition
 	Evacuations Evacuations
 }
 
 // Limits of evacuation orders.
 const (
-	// maxZoneName bounds the name of a data centre, in bytes.
-	maxZoneName = 128
-	// maxZones bounds the data centres remembered. The oldest withdrawn one is forgotten
-	// for a new one.
+	// maxZoneNameBytes bounds the length of a data centre's name.
+	maxZoneNameBytes = 128
+	// maxZones bounds the data centres whose last orders are kept. Beyond it, a new data
+	// centre replaces the one whose evacuation was withdrawn longest ago.
 	maxZones = 256
 )
 
-// Errors of an evacuation order that is refused; nothing changed.
+// Errors for evacuation orders that are refused; the state doesn't change.
 var (
-	ErrZoneName     = errors.New("route: a data centre's name has 1 to 128 printable characters")
+	ErrZoneName     = errors.New("route: a data centre's name must have 1 to 128 printable ASCII characters and no spaces")
 	ErrTooManyZones = errors.New("route: too many data centres are evacuated")
 )
 
-// ValidateZone judges the name of a data centre. One that no target has announced is
-// valid: its targets may come later.
+// ValidateZone checks the syntax of a data centre's name. A data centre without known
+// targets is valid: its targets may register later.
 func ValidateZone(name string) error {
-	if name == "" || len(name) > maxZoneName {
+	if name == "" || len(name) > maxZoneNameBytes {
 		return ErrZoneName
 	}
 	for _, c := range name {
@@ -93,7 +94,7 @@
 	return out
 }
 
-// Order returns the last order for a data centre; false if there was none.
+// Order returns the last order for a data centre, or false if there was none.
 func (e *Evacuations) Order(zone string) (ZoneOrder, bool) {
 	i := slices.IndexFunc(e.Zones, func(z ZoneOrder) bool { return z.Zone == zone })
 	if i < 0 {
@@ -102,56 +103,57 @@
 	return e.Zones[i], true
 }
 
-// after returns the evacuations once an order was carried out, and what became of it.
+// withOrder returns the evacuations after an order is applied, and the outcome.
 //
-// An order that was held up inside the cluster, as at a frozen leader, may come after its
-// opposite was acknowledged. It carries the revision that its VM held when it was taken,
-// so a later order for the same data centre shows, and the one that is late does nothing.
-func (e *Evacuations) after(o EvacuationOrder) (*Evacuations, Outcome) {
+// An order may be delayed inside the cluster, for example at a frozen leader, and be
+// applied after the opposite order was acknowledged. It carries the revision that its VM
+// held when it received it, so a later order for the same data centre is detected and the
+// delayed order has no effect.
+func (e *Evacuations) withOrder(o EvacuationOrder) (*Evacuations, Outcome) {
 	last, known := e.Order(o.Zone)
 	switch {
 	case last.Evacuated == o.Evacuate:
-		return e, Overtaken
-	case known && last.Revision > o.Seen:
-		return e, Conflicting
+		return e, Redundant
+	case known && last.Revision > o.SeenRevision:
+		return e, Conflict
 	case !known && len(e.Zones) >= maxZones && !slices.ContainsFunc(e.Zones, withdrawn):
-		return e, Full
+		return e, TooManyZones
 	}
 	next := &Evacuations{Revision: e.Revision + 1, Zones: slices.Clone(e.Zones)}
 	if !known && len(next.Zones) >= maxZones {
-		next.forgetOldest()
+		next.dropOldestWithdrawn()
 	}
 	next.Zones = slices.DeleteFunc(next.Zones, func(z ZoneOrder) bool { return z.Zone == o.Zone })
 	next.Zones = append(next.Zones, ZoneOrder{Zone: o.Zone, Evacuated: o.Evacuate, Revision: next.Revision, AtMS: o.AtMS, PreviousMS: last.AtMS})
 	return next, Accepted
 }
 
-// MayBeLate tells whether an order may be a copy of one that was carried out and reversed
-// since. An operator that lost an answer sends its order again for resendWindow at most,
-// and a copy that was held up looks like a new order: carried out, it would leave a data
-// centre evacuated, or not, against the operator's last word. Whoever means it sends it
-// again until the window is over.
-func (e *Evacuations) MayBeLate(o EvacuationOrder, resendWindow time.Duration) bool {
+// MayBeDelayedCopy reports whether an order may be a delayed copy of one that was applied
+// and has since been reversed. An operator that lost an answer resends its order for at
+// most resendWindow, and a delayed copy looks like a new order: applying it would
+// override the operator's latest order. An operator that means the order resends it until
+// the window is over.
+func (e *Evacuations) MayBeDelayedCopy(o EvacuationOrder, resendWindow time.Duration) bool {
 	last, _ := e.Order(o.Zone)
 	if last.PreviousMS == 0 || last.Evacuated == o.Evacuate {
 		return false
 	}
 	age := time.Duration(o.AtMS-last.PreviousMS) * time.Millisecond
-	// Clocks of VMs that differ by more say nothing of the order's age.
+	// If the VMs' clocks differ by more than the window, the order's age is unknown.
 	return -resendWindow < age && age < resendWindow
 }
 
 func withdrawn(z ZoneOrder) bool { return !z.Evacuated }
 
-// forgetOldest drops the data centre whose evacuation was withdrawn longest ago. Orders
-// are kept in the order of their revisions.
-func (e *Evacuations) forgetOldest() {
+// dropOldestWithdrawn drops the data centre whose evacuation was withdrawn longest ago.
+// Zones is sorted by revision.
+func (e *Evacuations) dropOldestWithdrawn() {
 	if at := slices.IndexFunc(e.Zones, withdrawn); at >= 0 {
 		e.Zones = slices.Delete(e.Zones, at, at+1)
 	}
 }
 
-// Command encodes an order for the log.
+// Command encodes the order as a command of the replicated log.
 func (o *EvacuationOrder) Command() ([]byte, error) {
 	data, err := o.MarshalMsg(nil)
 	if err != nil {
--- a/internal/passthrough/route/evacuation_gen.go
+++ b/internal/passthrough/route/evacuation_gen.go
@@ -13,7 +13,7 @@
 	o = append(o, 0x94)
 	o = msgp.AppendString(o, z.Zone)
 	o = msgp.AppendBool(o, z.Evacuate)
-	o = msgp.AppendUint64(o, z.Seen)
+	o = msgp.AppendUint64(o, z.SeenRevision)
 	o = msgp.AppendInt64(o, z.AtMS)
 	return
 }
@@ -40,9 +40,9 @@
 		err = msgp.WrapError(err, "Evacuate")
 		return
 	}
-	z.Seen, bts, err = msgp.ReadUint64Bytes(bts)
+	z.SeenRevision, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Seen")
+		err = msgp.WrapError(err, "SeenRevision")
 		return
 	}
 	z.AtMS, bts, err = msgp.ReadInt64Bytes(bts)
--- a/internal/passthrough/route/evacuation_test.go
+++ b/internal/passthrough/route/evacuation_test.go
@@ -9,13 +9,12 @@
 	"github.com/matryer/is"
 )
 
-const window = 6 * time.Second
+const resendWindow = 6 * time.Second
 
-// order has a store carry out an order that a VM took which held a revision, at a time of
-// day.
+// order applies an order that a VM received at the given time, holding the revision seen.
 func order(t *testing.T, s *Store, zone string, evacuate bool, seen uint64, at time.Duration) Outcome {
 	t.Helper()
-	o := EvacuationOrder{Zone: zone, Evacuate: evacuate, Seen: seen, AtMS: at.Milliseconds()}
+	o := EvacuationOrder{Zone: zone, Evacuate: evacuate, SeenRevision: seen, AtMS: at.Milliseconds()}
 	command, err := o.Command()
 	if err != nil {
 		t.Fatal(err)
@@ -23,61 +22,64 @@
 	return Outcome(s.Apply(1, command)[0])
 }
 
-// Guards against orders that are resent and refused, or that change the definition.
+// Guards against resent orders that are refused, and against orders that change the
+// definition.
 func TestEvacuationOrdersAreIdempotent(t *testing.T) {
 	is := is.New(t)
 	s := NewStore()
 	s.Apply(1, command(t, 7))
-	is.Equal(order(t, s, "accra-a", false, 0, time.Hour), Overtaken) // never evacuated
+	is.Equal(order(t, s, "accra-a", false, 0, time.Hour), Redundant) // never evacuated
 	changed := s.Changed()
 	is.Equal(order(t, s, "accra-a", true, 0, time.Hour), Accepted)
 	<-changed
-	is.Equal(order(t, s, "accra-a", true, 0, time.Hour), Overtaken)
+	is.Equal(order(t, s, "accra-a", true, 0, time.Hour), Redundant)
 	is.Equal(order(t, s, "accra-b", true, 0, time.Hour), Accepted) // another data centre's order is no conflict
 	is.Equal(s.Evacuations().Evacuated(), []string{"accra-a", "accra-b"})
 	is.Equal(order(t, s, "accra-a", false, 2, time.Hour), Accepted)
 	is.Equal(s.Evacuations().Evacuated(), []string{"accra-b"})
 	is.Equal(s.Version(), Version(7))
-	is.Equal(Outcome(s.Apply(1, []byte{0x93, 1, 2, 3})[0]), Unreadable)
+	is.Equal(Outcome(s.Apply(1, []byte{0x93, 1, 2, 3})[0]), Malformed)
 }
 
-// Guards against an order that was held up at a frozen leader and evacuates a data centre
-// after its withdrawal was acknowledged.
-func TestHeldUpOrderDoesNothing(t *testing.T) {
+// Guards against an order that is delayed at a frozen leader and evacuates a data centre
+// after the withdrawal was acknowledged.
+func TestDelayedOrderHasNoEffect(t *testing.T) {
 	is := is.New(t)
 	s := NewStore()
 	is.Equal(order(t, s, "accra-a", true, 0, time.Hour), Accepted)
 	is.Equal(order(t, s, "accra-a", false, 1, time.Hour), Accepted)
-	is.Equal(order(t, s, "accra-a", true, 0, time.Hour), Conflicting)
-	is.Equal(order(t, s, "accra-a", true, 1, time.Hour), Conflicting)
+	is.Equal(order(t, s, "accra-a", true, 0, time.Hour), Conflict)
+	is.Equal(order(t, s, "accra-a", true, 1, time.Hour), Conflict)
 	is.Equal(len(s.Evacuations().Evacuated()), 0)
 	is.Equal(order(t, s, "accra-a", true, 2, time.Hour), Accepted)
 }
 
-// Guards against a copy of an order that comes after its opposite was acknowledged: while
-// the operator may still be sending copies, it is left without a clear answer.
-func TestLateCopyIsLeftOpen(t *testing.T) {
+// Guards against a delayed copy of an order that is applied after the opposite order was
+// acknowledged. While the operator may still be resending, the order gets no definite
+// answer.
+func TestDelayedCopyGetsNoDefiniteAnswer(t *testing.T) {
 	is := is.New(t)
 	s := NewStore()
-	late := func(evacuate bool, at time.Duration) bool {
-		return s.Evacuations().MayBeLate(EvacuationOrder{Zone: "accra-a", Evacuate: evacuate, AtMS: at.Milliseconds()}, window)
+	mayBeDelayed := func(evacuate bool, at time.Duration) bool {
+		return s.Evacuations().MayBeDelayedCopy(EvacuationOrder{Zone: "accra-a", Evacuate: evacuate, AtMS: at.Milliseconds()}, resendWindow)
 	}
 	at := time.Hour
-	is.True(!late(true, at))
+	is.True(!mayBeDelayed(true, at))
 	order(t, s, "accra-a", true, 0, at)
-	is.True(!late(true, at+time.Second))  // a resend
-	is.True(!late(false, at+time.Second)) // its opposite was never ordered
+	is.True(!mayBeDelayed(true, at+time.Second))  // a resend
+	is.True(!mayBeDelayed(false, at+time.Second)) // the opposite was never ordered
 	order(t, s, "accra-a", false, 1, at+2*time.Second)
-	is.True(!late(false, at+3*time.Second))
-	is.True(late(true, at+3*time.Second))
-	is.True(!late(true, at+window))
-	order(t, s, "accra-a", true, 2, at+window)
-	is.True(late(false, at+window+time.Second)) // of the withdrawal two seconds after at
-	is.True(!late(false, at+window+2*time.Second))
-	is.True(!late(false, at-2*window)) // a VM whose clock is far behind still takes orders
+	is.True(!mayBeDelayed(false, at+3*time.Second))
+	is.True(mayBeDelayed(true, at+3*time.Second))
+	is.True(!mayBeDelayed(true, at+resendWindow))
+	order(t, s, "accra-a", true, 2, at+resendWindow)
+	is.True(mayBeDelayed(false, at+resendWindow+time.Second)) // may be a copy of the withdrawal at +2 s
+	is.True(!mayBeDelayed(false, at+resendWindow+2*time.Second))
+	is.True(!mayBeDelayed(false, at-2*resendWindow)) // a VM whose clock is far behind still accepts orders
 }
 
-// Guards against evacuations that a restart, or a replica that is far behind, forgets.
+// Guards against evacuations that are lost when a replica restarts or catches up from a
+// snapshot.
 func TestEvacuationsAreInSnapshots(t *testing.T) {
 	is := is.New(t)
 	for _, withDefinition := range []bool{false, true} {
@@ -98,10 +100,10 @@
 	}
 }
 
-// Guards against replicas that can't read the files of a version without evacuations.
-func TestSnapshotOfADefinitionAloneIsRead(t *testing.T) {
+// Guards against replicas that can't read snapshots of versions without evacuations.
+func TestRestoreSnapshotWithoutEvacuations(t *testing.T) {
 	is := is.New(t)
-	old, err := Command(good())
+	old, err := Command(validDefinition())
 	is.NoErr(err)
 	s := NewStore()
 	is.NoErr(s.Restore(old))
@@ -112,8 +114,8 @@
 	is.Equal(same, old)
 }
 
-// Guards against a replica that is opened anew and goes back to evacuations of before.
-func TestRestoredEvacuationsNeverGoBack(t *testing.T) {
+// Guards against a reopened replica that returns to older evacuations from its snapshot.
+func TestRestoreKeepsNewerEvacuations(t *testing.T) {
 	is := is.New(t)
 	s := NewStore()
 	order(t, s, "accra-a", true, 0, time.Hour)
@@ -124,8 +126,8 @@
 	is.Equal(len(s.Evacuations().Evacuated()), 0)
 }
 
-// Guards against state that grows with each name that an operator mistypes.
-func TestZonesRememberedAreBounded(t *testing.T) {
+// Guards against state that grows with every mistyped name of a data centre.
+func TestNumberOfZonesIsBounded(t *testing.T) {
 	is := is.New(t)
 	s := NewStore()
 	seen := uint64(0)
@@ -139,14 +141,14 @@
 	for n := range maxZones {
 		is.Equal(order(t, s, "kept-"+strconv.Itoa(n), true, seen, time.Hour), Accepted)
 	}
-	is.Equal(order(t, s, "one-more", true, seen+maxZones, time.Hour), Full)
+	is.Equal(order(t, s, "one-more", true, seen+maxZones, time.Hour), TooManyZones)
 	is.Equal(len(s.Evacuations().Evacuated()), maxZones)
 }
 
 func TestZoneNames(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(ValidateZone("brescia-fornace"))
-	for _, name := range []string{"", " ", "a b", "a\n", "é", strings.Repeat("x", maxZoneName+1)} {
+	for _, name := range []string{"", " ", "a b", "a\n", "é", strings.Repeat("x", maxZoneNameBytes+1)} {
 		is.Equal(ValidateZone(name), ErrZoneName)
 	}
 }
--- a/internal/passthrough/route/route.go
+++ b/internal/passthrough/route/route.go
@@ -1,6 +1,6 @@
-// Package route is the desired state of pass-through traffic: which service
-// addresses exist and which services new flows to each may go to. The newest
-// version accepted is in force as a whole.
+// Package route defines the desired state of pass-through traffic: which service
+// addresses exist and which services the new flows to each may go to. The highest version
+// accepted is in force as a whole.
 package route
 
 import (
@@ -15,26 +15,27 @@
 
 //go:generate env GOWORK=off go -C ../../../tools tool msgp -file ../internal/passthrough/route/route.go -o ../internal/passthrough/route/route_gen.go -tests=false -io=false
 
-//msgp:ignore Table lookup Choice Problem
+//msgp:ignore Table tableEntry Choice ValidationError
 
 // Version orders definitions; the highest accepted one is in force.
 type Version uint64
 
-// ServiceID stands for a service's name in packets between nodes.
+// ServiceID identifies a service in packets between nodes. It is a hash of the service's
+// name.
 type ServiceID uint64
 
-// IDOf returns the identity of the service with the given name. Two names of
-// one installation collide with a chance of one in 10^13 at 2,100 services.
+// IDOf returns the ID of the service with the given name. The probability that two names
+// of one installation collide is 1 in 10^13 at 2,100 services.
 func IDOf(name string) ServiceID { return ServiceID(xxhash.Sum64String(name)) }
 
-// Definition is a whole desired state.
+// Definition is a complete desired state.
 type Definition struct {
 	Version  Version   `msg:"v"`
 	Routes   []Route   `msg:"r"`
 	Services []Service `msg:"s"`
-	// Document is the definition as the operator sent it. It is kept whole, so
-	// that a reader gets back what was sent, fields this product has no use for
-	// included.
+	// Document is the definition as the operator sent it. It is stored verbatim, so that
+	// readers get back exactly what was sent, including fields that this program doesn't
+	// use.
 	Document []byte `msg:"d"`
 }
 
@@ -45,15 +46,15 @@
 	IP       [4]byte  `msg:"a"`
 	Port     uint16   `msg:"p"`
 	Backends []Backed `msg:"b"`
-	// TimeoutMS is how long a request over the route may take, in milliseconds.
+	// TimeoutMS is the timeout of a request over the route, in milliseconds.
 	TimeoutMS uint32 `msg:"t"`
-	// Priority orders routes under load; 0 is the most urgent.
+	// Priority ranks routes for load shedding; 0 is the most urgent.
 	Priority uint32 `msg:"u"`
-	// Homes are the regions whose targets may take the route's flows; nil for all.
+	// Homes are the regions whose targets may take the route's flows; nil means all.
 	Homes []string `msg:"h"`
 }
 
-// Backed is a service behind a route, with its share of new flows.
+// Backed is a service behind a route with its weight, its share of new flows.
 type Backed struct {
 	Service string `msg:"s"`
 	Weight  uint32 `msg:"w"`
@@ -62,36 +63,35 @@
 // Service is a group of targets.
 type Service struct {
 	Name string `msg:"n"`
-	// ColdPerSecond is how many requests a second a target bears while it is cold; 0 if
-	// there is no limit.
+	// ColdPerSecond is the rate at which a cold target can take requests, in requests per
+	// second; 0 means no limit.
 	ColdPerSecond float64 `msg:"c"`
 }
 
-// Errors of a definition that is refused; nothing of it is in force.
+// Errors for invalid definitions, which are refused as a whole.
 var (
-	ErrNoVersion      = errors.New("route: the version is 0")
-	ErrUnknownService = errors.New("route: names a service that isn't defined")
-	ErrSameAddress    = errors.New("route: two routes share an address")
-	ErrNoTimeout      = errors.New("route: the timeout is 0")
-	ErrNoBackend      = errors.New("route: no service with a weight above 0")
-	ErrSameService    = errors.New("route: two services share a name")
+	ErrNoVersion      = errors.New("route: version is 0")
+	ErrUnknownService = errors.New("route: route names an undefined service")
+	ErrSameAddress    = errors.New("route: two routes have the same address")
+	ErrNoTimeout      = errors.New("route: timeout is 0")
+	ErrNoBackend      = errors.New("route: route has no service with a weight above 0")
+	ErrSameService    = errors.New("route: two services have the same name")
 )
 
-// Problem is a refusal with its place.
-type Problem struct {
-	// Where names the route or service.
-	Where string
-	Err   error
+// ValidationError says which route or service makes a definition invalid, and why.
+type ValidationError struct {
+	// Name is the name of the route or service.
+	Name string
+	Err  error
 }
 
-func (p *Problem) Error() string { return fmt.Sprintf("%v: %q", p.Err, p.Where) }
+func (e *ValidationError) Error() string { return fmt.Sprintf("%v: %q", e.Err, e.Name) }
 
-// Unwrap returns the kind of problem.
-func (p *Problem) Unwrap() error { return p.Err }
+// Unwrap returns the kind of error, such as ErrNoTimeout.
+func (e *ValidationError) Unwrap() error { return e.Err }
 
-// Validate judges a definition as a whole. A definition that is half right is
-// refused whole: flows of the routes that are wrong would be refused or, worse,
-// reach another service's targets.
+// Validate checks a definition as a whole. One invalid route invalidates the definition,
+// because that route's flows would be refused or, worse, reach another service's targets.
 func (d *Definition) Validate() error {
 	if d.Version == 0 {
 		return ErrNoVersion
@@ -99,7 +99,7 @@
 	known := make(map[string]bool, len(d.Services))
 	for _, s := range d.Services {
 		if known[s.Name] {
-			return &Problem{s.Name, ErrSameService}
+			return &ValidationError{s.Name, ErrSameService}
 		}
 		known[s.Name] = true
 	}
@@ -107,7 +107,7 @@
 	for i := range d.Routes {
 		r := &d.Routes[i]
 		if taken[r.Address()] {
-			return &Problem{r.Name, ErrSameAddress}
+			return &ValidationError{r.Name, ErrSameAddress}
 		}
 		taken[r.Address()] = true
 		if err := r.validate(known); err != nil {
@@ -119,17 +119,17 @@
 
 func (r *Route) validate(known map[string]bool) error {
 	if r.TimeoutMS == 0 {
-		return &Problem{r.Name, ErrNoTimeout}
+		return &ValidationError{r.Name, ErrNoTimeout}
 	}
-	total := uint64(0)
+	totalWeight := uint64(0)
 	for _, b := range r.Backends {
 		if !known[b.Service] {
-			return &Problem{r.Name, ErrUnknownService}
+			return &ValidationError{r.Name, ErrUnknownService}
 		}
-		total += uint64(b.Weight)
+		totalWeight += uint64(b.Weight)
 	}
-	if total == 0 {
-		return &Problem{r.Name, ErrNoBackend}
+	if totalWeight == 0 {
+		return &ValidationError{r.Name, ErrNoBackend}
 	}
 	return nil
 }
@@ -137,38 +137,39 @@
 // Address returns the route's service address.
 func (r *Route) Address() packet.Endpoint { return packet.Endpoint{IP: r.IP, Port: r.Port} }
 
-// Choice is one service that a route may use.
+// Choice is one service that the new flows of a route may go to.
 type Choice struct {
 	Service ServiceID
 	// Weight is the share of new flows, above 0.
 	Weight uint32
 }
 
-// lookup is what a Table knows of one route.
-type lookup struct {
-	choices  []Choice
-	total    uint64
-	priority uint32
-	timeout  time.Duration
-	homes    []string
+// tableEntry is what a Table holds of one route.
+type tableEntry struct {
+	choices        []Choice
+	totalWeight    uint64
+	priority       uint32
+	timeout        time.Duration
+	allowedRegions []string
 }
 
-// Table answers which services an address's new flows may go to. It doesn't
-// change once made.
+// Table looks up the services that an address's new flows may go to. It is immutable.
 type Table struct {
 	Version Version
-	routes  map[packet.Endpoint]lookup
-	// cold holds the limits of services whose cold targets bear few requests.
-	cold map[ServiceID]float64
+	routes  map[packet.Endpoint]tableEntry
+	// coldLimits holds the services whose cold targets have a limit, in requests per
+	// second.
+	coldLimits map[ServiceID]float64
 }
 
-// NewTable makes the lookup of a valid definition.
-func NewTable(d *Definition) *Table { return LeanOf(d).whole() }
+// NewTable returns the table of a valid definition.
+func NewTable(d *Definition) *Table { return FullUpdate(d).fullTable() }
 
 // Len returns the number of routes.
 func (t *Table) Len() int { return len(t.routes) }
 
-// Services returns the choices of an address, nil if it has no route.
+// Services returns the services that an address's new flows may go to, or nil if it has
+// no route.
 func (t *Table) Services(at packet.Endpoint) []Choice {
 	if t == nil {
 		return nil
@@ -176,8 +177,8 @@
 	return t.routes[at].choices
 }
 
-// Priority returns how urgent an address's route is; 0 is the most urgent, and
-// what is said of an address without a route.
+// Priority returns the priority of an address's route; 0, the most urgent, also if it has
+// no route.
 func (t *Table) Priority(at packet.Endpoint) uint32 {
 	if t == nil {
 		return 0
@@ -185,8 +186,7 @@
 	return t.routes[at].priority
 }
 
-// Timeout returns how long a request over an address's route may take, 0 if it
-// has no route.
+// Timeout returns the request timeout of an address's route, or 0 if it has no route.
 func (t *Table) Timeout(at packet.Endpoint) time.Duration {
 	if t == nil {
 		return 0
@@ -194,34 +194,34 @@
 	return t.routes[at].timeout
 }
 
-// Homes returns the regions whose targets may take an address's flows; nil for all.
+// Homes returns the regions whose targets may take an address's flows; nil means all.
 func (t *Table) Homes(at packet.Endpoint) []string {
 	if t == nil {
 		return nil
 	}
-	return t.routes[at].homes
+	return t.routes[at].allowedRegions
 }
 
-// ColdPerSecond returns how many requests a second a cold target of a service bears; 0 if
-// there is no limit.
+// ColdPerSecond returns the rate at which a cold target of a service can take requests,
+// in requests per second; 0 means no limit.
 func (t *Table) ColdPerSecond(s ServiceID) float64 {
 	if t == nil {
 		return 0
 	}
-	return t.cold[s]
+	return t.coldLimits[s]
 }
 
-// Pick returns the service of a new flow. The flow's hash decides, so that the
-// copies of a first packet get the same service at every node.
+// Pick returns the service of a new flow. It depends on the flow's hash only, so that all
+// nodes pick the same service for copies of a flow's first packet.
 func (t *Table) Pick(f packet.Flow) (ServiceID, bool) {
 	if t == nil {
 		return 0, false
 	}
 	l, ok := t.routes[f.Service]
-	if !ok || l.total == 0 {
+	if !ok || l.totalWeight == 0 {
 		return 0, false
 	}
-	at := Hash(f) % l.total
+	at := Hash(f) % l.totalWeight
 	for _, c := range l.choices {
 		if at < uint64(c.Weight) {
 			return c.Service, true
@@ -231,7 +231,7 @@
 	return 0, false
 }
 
-// Hash mixes a flow's addresses and ports.
+// Hash returns a hash of a flow's addresses and ports.
 func Hash(f packet.Flow) uint64 {
 	var b [12]byte
 	copy(b[0:4], f.Client.IP[:])
--- a/internal/passthrough/route/route_test.go
+++ b/internal/passthrough/route/route_test.go
@@ -9,7 +9,7 @@
 	"bergamotstall/internal/passthrough/packet"
 )
 
-func good() *Definition {
+func validDefinition() *Definition {
 	return &Definition{
 		Version:  7,
 		Services: []Service{{Name: "casework"}, {Name: "mapdocs"}},
@@ -21,8 +21,7 @@
 	}
 }
 
-// An operator's mistake is named with its place, and nothing of the definition
-// comes into force.
+// Guards against invalid definitions that come into force, in part or as a whole.
 func TestInvalidDefinitions(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -40,7 +39,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			d := good()
+			d := validDefinition()
 			is.NoErr(d.Validate())
 			c.spoil(d)
 			is.True(errors.Is(d.Validate(), c.want))
@@ -48,9 +47,9 @@
 	}
 }
 
-func TestPickFollowsWeightsAndCopies(t *testing.T) {
+func TestPickFollowsWeights(t *testing.T) {
 	is := is.New(t)
-	table := NewTable(good())
+	table := NewTable(validDefinition())
 	count := map[ServiceID]int{}
 	for port := range uint16(10_000) {
 		f := packet.Flow{Client: packet.Endpoint{IP: [4]byte{100, 64, 0, 1}, Port: port}, Service: packet.Endpoint{IP: [4]byte{198, 18, 0, 1}, Port: 443}}
@@ -72,7 +71,7 @@
 	is.Equal(none.Services(at), nil)
 	_, ok := none.Pick(packet.Flow{Service: at})
 	is.Equal(ok, false)
-	table := NewTable(good())
+	table := NewTable(validDefinition())
 	_, ok = table.Pick(packet.Flow{Service: at})
 	is.Equal(ok, false)
 	is.Equal(table.Priority(packet.Endpoint{IP: [4]byte{198, 18, 0, 1}, Port: 80}), uint32(2))
@@ -80,7 +79,7 @@
 
 func command(t *testing.T, v Version) []byte {
 	t.Helper()
-	d := good()
+	d := validDefinition()
 	d.Version = v
 	c, err := Command(d)
 	if err != nil {
@@ -89,30 +88,31 @@
 	return c
 }
 
-// Two operators race and resend; replicas see the commands in one order. The
-// highest version stays whatever the order, and a resend changes nothing.
-func TestHighestVersionStays(t *testing.T) {
+// Guards against an older version that replaces a newer one when operators race and
+// resend. The highest version stays in any order of the commands, and a resend changes
+// nothing.
+func TestHighestVersionWins(t *testing.T) {
 	is := is.New(t)
 	s := NewStore()
 	is.Equal(s.Apply(1, command(t, 7)), []byte{byte(Accepted)})
 	changed := s.Changed()
-	is.Equal(s.Apply(2, command(t, 7)), []byte{byte(Overtaken)})
-	is.Equal(s.Apply(3, command(t, 5)), []byte{byte(Overtaken)})
-	is.Equal(s.Apply(4, []byte("no command")), []byte{byte(Unreadable)})
+	is.Equal(s.Apply(2, command(t, 7)), []byte{byte(Redundant)})
+	is.Equal(s.Apply(3, command(t, 5)), []byte{byte(Redundant)})
+	is.Equal(s.Apply(4, []byte("no command")), []byte{byte(Malformed)})
 	is.Equal(s.Version(), Version(7))
 	select {
 	case <-changed:
-		t.Error("told of a change where there was none")
+		t.Error("change notified although nothing changed")
 	default:
 	}
 	is.Equal(s.Apply(5, command(t, 9)), []byte{byte(Accepted)})
 	<-changed
-	is.Equal(s.Current().Definition.Document, good().Document)
+	is.Equal(s.Current().Definition.Document, validDefinition().Document)
 }
 
-// A replica that was opened anew is given a snapshot older than what it has
-// applied: nodes must not be told of an older definition for a moment.
-func TestRestoreNeverGoesBack(t *testing.T) {
+// Guards against nodes that are sent an older definition after a reopened replica is
+// given a snapshot older than its applied state.
+func TestRestoreKeepsNewerDefinition(t *testing.T) {
 	is := is.New(t)
 	old := NewStore()
 	old.Apply(1, command(t, 7))
--- a/internal/passthrough/route/store.go
+++ b/internal/passthrough/route/store.go
@@ -11,10 +11,10 @@
 	"bergamotstall/internal/passthrough/packet"
 )
 
-// Store is the replicated state machine that keeps the definition with the
-// highest version, and the evacuations in force. Versions come from operators who may
-// race, resend and lose answers: by keeping the highest, every replica ends with the same
-// definition in whatever order the commands come, and a resend changes nothing.
+// Store is the replicated state machine that holds the definition with the highest
+// version and the evacuations in force. Operators may race, resend and lose answers.
+// Because the highest version wins, every replica ends with the same definition whatever
+// the order of the commands, and a resend changes nothing.
 type Store struct {
 	current     atomic.Pointer[State]
 	evacuations atomic.Pointer[Evacuations]
@@ -23,25 +23,29 @@
 	changed chan struct{}
 }
 
-// maxSteps is from how many versions ago a node is brought up to date by the changes.
-const maxSteps = 64
+// maxDeltas is how many versions a node may be behind and still get only the changes
+// instead of the whole table.
+const maxDeltas = 64
 
-// State is a definition in force with what is derived from it once.
+// State is a definition in force with the data derived from it.
 type State struct {
 	Definition *Definition
-	// steps are the changes that led here, each to the version of the next.
-	steps []*changes
+	// deltas led to this definition, oldest first; each starts at the version where the
+	// one before it ended.
+	deltas []*delta
 
 	mu sync.Mutex
-	// encoded is what nodes get, by the version that they hold.
+	// encoded caches encoded updates by the version that they start from; 0 is the full
+	// update.
 	encoded map[Version][]byte
 }
 
-// Since returns the encoded Lean for a node that holds a version, 0 for none. Most
-// nodes hold the same few, so each is encoded once and not once a node.
+// Since returns the encoded TableUpdate for a node that holds the given version, 0 for
+// none. Most nodes hold one of a few versions, so each update is encoded once instead of
+// once per node.
 func (s *State) Since(held Version) ([]byte, error) {
-	step := slices.IndexFunc(s.steps, func(c *changes) bool { return c.from == held })
-	if step < 0 {
+	first := slices.IndexFunc(s.deltas, func(c *delta) bool { return c.from == held })
+	if first < 0 {
 		held = 0
 	}
 	s.mu.Lock()
@@ -49,7 +53,7 @@
 	if data, ok := s.encoded[held]; ok {
 		return data, nil
 	}
-	data, err := s.lean(step).MarshalMsg(nil)
+	data, err := s.update(first).MarshalMsg(nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "route: encode")
 	}
@@ -60,53 +64,56 @@
 	return data, nil
 }
 
-// lean returns the changes from a step on, or all routes if there is no such step, or
-// the changes are no less.
-func (s *State) lean(step int) *Lean {
-	if step < 0 {
-		return LeanOf(s.Definition)
+// update returns the changes from the delta at index first on. It returns all routes if
+// first is negative or if the changes are no smaller.
+func (s *State) update(first int) *TableUpdate {
+	if first < 0 {
+		return FullUpdate(s.Definition)
 	}
-	all := &changes{from: s.steps[step].from, changed: map[packet.Endpoint]*Route{}, removed: map[packet.Endpoint]bool{}}
-	for _, later := range s.steps[step:] {
-		all.then(later)
+	all := &delta{from: s.deltas[first].from, changed: map[packet.Endpoint]*Route{}, removed: map[packet.Endpoint]bool{}}
+	for _, later := range s.deltas[first:] {
+		all.merge(later)
 	}
 	if all.size() >= len(s.Definition.Routes) {
-		return LeanOf(s.Definition)
+		return FullUpdate(s.Definition)
 	}
-	return all.lean(s.Definition)
+	return all.update(s.Definition)
 }
 
-// Outcome says what became of a command.
+// Outcome is the result of applying a command.
 type Outcome byte
 
 const (
-	// Accepted means that the definition came into force.
+	// Accepted means that the definition or order came into force.
 	Accepted Outcome = iota + 1
-	// Overtaken means that the same or a higher version was in force.
-	Overtaken
-	// Unreadable means that the command is no definition or order; nothing changed.
-	Unreadable
-	// Conflicting means that another order for the same data centre came first, one that
-	// the VM didn't know of when it took this one; nothing changed.
-	Conflicting
-	// Full means that no more data centres are remembered; nothing changed.
-	Full
+	// Redundant means that the same or a higher version, or the state that was ordered,
+	// was already in force; nothing changed.
+	Redundant
+	// Malformed means that the command is not a valid definition or order; nothing
+	// changed.
+	Malformed
+	// Conflict means that an order for the same data centre was applied first that the VM
+	// didn't know of when it received this one; nothing changed.
+	Conflict
+	// TooManyZones means that the number of data centres is at its limit; nothing
+	// changed.
+	TooManyZones
 )
 
-// NewStore returns a store without a definition.
+// NewStore returns an empty store.
 func NewStore() *Store {
 	s := &Store{changed: make(chan struct{})}
 	s.evacuations.Store(&Evacuations{})
 	return s
 }
 
-// Evacuations returns those in force.
+// Evacuations returns the evacuations in force.
 func (s *Store) Evacuations() *Evacuations { return s.evacuations.Load() }
 
-// Current returns what is in force, nil before the first definition.
+// Current returns the state in force, or nil before the first definition.
 func (s *Store) Current() *State { return s.current.Load() }
 
-// Version returns the version in force, 0 before the first.
+// Version returns the version in force, 0 before the first definition.
 func (s *Store) Version() Version {
 	if c := s.current.Load(); c != nil {
 		return c.Definition.Version
@@ -114,15 +121,15 @@
 	return 0
 }
 
-// Changed returns a channel that is closed when another definition, or an evacuation
-// order, comes into force.
+// Changed returns a channel that is closed at the next change of the definition or the
+// evacuations.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// Command encodes a definition for the log.
+// Command encodes a definition as a command of the replicated log.
 func Command(d *Definition) ([]byte, error) {
 	data, err := d.MarshalMsg(nil)
 	if err != nil {
@@ -139,51 +146,51 @@
 	}
 	d := new(Definition)
 	if _, err := d.UnmarshalMsg(command); err != nil {
-		return []byte{byte(Unreadable)}
+		return []byte{byte(Malformed)}
 	}
 	if d.Version <= s.Version() {
-		return []byte{byte(Overtaken)}
+		return []byte{byte(Redundant)}
 	}
-	s.put(d)
+	s.setDefinition(d)
 	return []byte{byte(Accepted)}
 }
 
 func (s *Store) applyOrder(command []byte) Outcome {
 	var o EvacuationOrder
 	if _, err := o.UnmarshalMsg(command); err != nil || ValidateZone(o.Zone) != nil {
-		return Unreadable
+		return Malformed
 	}
-	next, outcome := s.Evacuations().after(o)
+	next, outcome := s.Evacuations().withOrder(o)
 	if outcome == Accepted {
-		s.putEvacuations(next)
+		s.setEvacuations(next)
 	}
 	return outcome
 }
 
-func (s *Store) put(d *Definition) {
+func (s *Store) setDefinition(d *Definition) {
 	next := &State{Definition: d}
 	if held := s.current.Load(); held != nil {
-		next.steps = append(slices.Clone(held.steps), changesBetween(held.Definition, d))
-		next.steps = next.steps[max(0, len(next.steps)-maxSteps):]
+		next.deltas = append(slices.Clone(held.deltas), diff(held.Definition, d))
+		next.deltas = next.deltas[max(0, len(next.deltas)-maxDeltas):]
 	}
 	s.current.Store(next)
-	s.tellChanged()
+	s.notifyChanged()
 }
 
-func (s *Store) putEvacuations(e *Evacuations) {
+func (s *Store) setEvacuations(e *Evacuations) {
 	s.evacuations.Store(e)
-	s.tellChanged()
+	s.notifyChanged()
 }
 
-func (s *Store) tellChanged() {
+func (s *Store) notifyChanged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Snapshot implements replica.StateMachine. Without evacuation orders it is the encoded
-// definition alone, as written by versions that know of no evacuations.
+// Snapshot implements replica.StateMachine. Before the first evacuation order it returns
+// the encoded definition alone, the format of versions that don't support evacuations.
 func (s *Store) Snapshot() ([]byte, error) {
 	var d *Definition
 	if c := s.current.Load(); c != nil {
@@ -203,9 +210,8 @@
 	return Command(d)
 }
 
-// Restore implements replica.StateMachine. A replica that was opened anew may be
-// given a snapshot older than what the store has: what it has was agreed on, and
-// is kept.
+// Restore implements replica.StateMachine. A replica that was reopened may be given a
+// snapshot older than the store's state. That state was committed, so it is kept.
 func (s *Store) Restore(snapshot []byte) error {
 	if len(snapshot) == 0 {
 		return nil
@@ -219,13 +225,13 @@
 		_, err = state.Definition.UnmarshalMsg(snapshot)
 	}
 	if err != nil {
-		return errors.Wrap(err, "route: snapshot")
+		return errors.Wrap(err, "route: decode snapshot")
 	}
 	if d := state.Definition; d != nil && d.Version > s.Version() {
-		s.put(d)
+		s.setDefinition(d)
 	}
 	if state.Evacuations.Revision > s.Evacuations().Revision {
-		s.putEvacuations(&state.Evacuations)
+		s.setEvacuations(&state.Evacuations)
 	}
 	return nil
 }
--- a/internal/passthrough/route/lean_gen.go
+++ b/internal/passthrough/route/table_update_gen.go
@@ -9,7 +9,7 @@
 )
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Lean) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *TableUpdate) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 7
 	// string "v"
@@ -71,7 +71,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Lean) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *TableUpdate) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -129,7 +129,7 @@
 			if cap(z.Routes) >= int(zb0003) {
 				z.Routes = (z.Routes)[:zb0003]
 			} else {
-				z.Routes = make([]LeanRoute, zb0003)
+				z.Routes = make([]UpdateRoute, zb0003)
 			}
 			for za0002 := range z.Routes {
 				bts, err = z.Routes[za0002].UnmarshalMsg(bts)
@@ -186,7 +186,7 @@
 			if cap(z.Cold) >= int(zb0006) {
 				z.Cold = (z.Cold)[:zb0006]
 			} else {
-				z.Cold = make([]LeanCold, zb0006)
+				z.Cold = make([]UpdateColdLimit, zb0006)
 			}
 			for za0005 := range z.Cold {
 				var zb0007 uint32
@@ -223,7 +223,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Lean) Msgsize() (s int) {
+func (z *TableUpdate) Msgsize() (s int) {
 	s = 1 + 2 + z.Version.Msgsize() + 2 + z.From.Msgsize() + 2 + msgp.ArrayHeaderSize + (len(z.Services) * (msgp.Uint64Size)) + 2 + msgp.ArrayHeaderSize
 	for za0002 := range z.Routes {
 		s += z.Routes[za0002].Msgsize()
@@ -241,7 +241,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z LeanBacked) MarshalMsg(b []byte) (o []byte, err error) {
+func (z UpdateBackend) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 2
 	o = append(o, 0x92)
@@ -251,7 +251,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *LeanBacked) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *UpdateBackend) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -277,13 +277,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z LeanBacked) Msgsize() (s int) {
+func (z UpdateBackend) Msgsize() (s int) {
 	s = 1 + msgp.Uint16Size + msgp.Uint32Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z LeanCold) MarshalMsg(b []byte) (o []byte, err error) {
+func (z UpdateColdLimit) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 2
 	o = append(o, 0x92)
@@ -293,7 +293,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *LeanCold) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *UpdateColdLimit) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -319,13 +319,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z LeanCold) Msgsize() (s int) {
+func (z UpdateColdLimit) Msgsize() (s int) {
 	s = 1 + msgp.Uint64Size + msgp.Float32Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *LeanRoute) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *UpdateRoute) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 5
 	o = append(o, 0x95)
@@ -343,15 +343,15 @@
 		o = msgp.AppendUint16(o, z.Backends[za0001].Service)
 		o = msgp.AppendUint32(o, z.Backends[za0001].Weight)
 	}
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Homes)))
-	for za0002 := range z.Homes {
-		o = msgp.AppendUint16(o, z.Homes[za0002])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.AllowedRegions)))
+	for za0002 := range z.AllowedRegions {
+		o = msgp.AppendUint16(o, z.AllowedRegions[za0002])
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *LeanRoute) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *UpdateRoute) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -386,7 +386,7 @@
 	if cap(z.Backends) >= int(zb0002) {
 		z.Backends = (z.Backends)[:zb0002]
 	} else {
-		z.Backends = make([]LeanBacked, zb0002)
+		z.Backends = make([]UpdateBackend, zb0002)
 	}
 	for za0001 := range z.Backends {
 		var zb0003 uint32
@@ -413,18 +413,18 @@
 	var zb0004 uint32
 	zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Homes")
+		err = msgp.WrapError(err, "AllowedRegions")
 		return
 	}
-	if cap(z.Homes) >= int(zb0004) {
-		z.Homes = (z.Homes)[:zb0004]
+	if cap(z.AllowedRegions) >= int(zb0004) {
+		z.AllowedRegions = (z.AllowedRegions)[:zb0004]
 	} else {
-		z.Homes = make([]uint16, zb0004)
+		z.AllowedRegions = make([]uint16, zb0004)
 	}
-	for za0002 := range z.Homes {
-		z.Homes[za0002], bts, err = msgp.ReadUint16Bytes(bts)
+	for za0002 := range z.AllowedRegions {
+		z.AllowedRegions[za0002], bts, err = msgp.ReadUint16Bytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Homes", za0002)
+			err = msgp.WrapError(err, "AllowedRegions", za0002)
 			return
 		}
 	}
@@ -433,7 +433,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *LeanRoute) Msgsize() (s int) {
-	s = 1 + z.At.Msgsize() + msgp.Uint32Size + msgp.Uint32Size + msgp.ArrayHeaderSize + (len(z.Backends) * (16 + msgp.Uint16Size + msgp.Uint32Size)) + msgp.ArrayHeaderSize + (len(z.Homes) * (msgp.Uint16Size))
+func (z *UpdateRoute) Msgsize() (s int) {
+	s = 1 + z.At.Msgsize() + msgp.Uint32Size + msgp.Uint32Size + msgp.ArrayHeaderSize + (len(z.Backends) * (16 + msgp.Uint16Size + msgp.Uint32Size)) + msgp.ArrayHeaderSize + (len(z.AllowedRegions) * (msgp.Uint16Size))
 	return
 }
