--- a/internal/passthrough/membership/attach_test.go
+++ b/internal/passthrough/membership/attach_test.go
@@ -12,7 +12,8 @@
 	"bergamotstall/internal/passthrough/route"
 )
 
-// BenchmarkAttach measures how long nodes, a third of them balancers, take to get their table of one VM.
+// BenchmarkAttach reports how long nodes, a third of them balancers, take to get their
+// table from one VM.
 func BenchmarkAttach(b *testing.B) {
 	v := &vm{ip: "127.99.1.1", store: route.NewStore(), flows: flowlog.NewStore()}
 	v.start(b)
@@ -42,17 +43,17 @@
 	b.Helper()
 	var conns []*framing.Conn
 	for n := range nodes {
-		raw, err := net.Dial("tcp", net.JoinHostPort(v.ip, strconv.Itoa(port)))
+		raw, err := net.Dial("tcp", net.JoinHostPort(v.ip, strconv.Itoa(streamPort)))
 		if err != nil {
 			b.Fatal(err)
 		}
 		defer raw.Close()
-		conn := framing.NewConn(raw, frameLimit, writeTimeout)
+		conn := framing.NewConn(raw, maxFrameBytes, writeTimeout)
 		role := Agent
 		if n%3 == 0 {
 			role = Balancer
 		}
-		h := Hello{Node: Node{Role: role, Address: fmt.Sprintf("10.0.%d.%d:1", n>>8, n&255), Zone: "a", Process: 1}, Beat: Beat{Want: true}}
+		h := Hello{Node: Node{Role: role, Address: fmt.Sprintf("10.0.%d.%d:1", n>>8, n&255), Zone: "a", Process: 1}, Heartbeat: Heartbeat{WantTables: true}}
 		if _, err := conn.Write(kindHello, &h); err != nil {
 			b.Fatal(err)
 		}
@@ -75,7 +76,7 @@
 		if err := f.Decode(&u); err != nil {
 			b.Fatal(err)
 		}
-		if u.Lean != nil {
+		if u.Table != nil {
 			return
 		}
 	}
--- a/internal/passthrough/membership/choice.go
+++ b/internal/passthrough/membership/choice.go
@@ -9,27 +9,29 @@
 )
 
 const (
-	// agentStreams is how many control VMs an agent keeps streams to: one may be lost
-	// without a gap. With a stream to each, 12,000 agents are over what one VM serves,
-	// and after a power cut VMs serve all of a fleet before anybody has a table.
-	agentStreams = 2
-	// reachWithin is how long a VM may take to answer before another one is tried.
-	reachWithin = 500 * time.Millisecond
-	// secondAfter is when an agent attaches to its second VM: until then the VMs are
-	// free to serve every node once.
-	secondAfter = time.Second
+	// agentStreamCount is how many control VMs an agent keeps streams to, so that one VM
+	// may be lost without a gap. With a stream to every VM, 12,000 agents exceed what one
+	// VM can serve, and after a power failure the VMs would serve the whole fleet before
+	// any node has a table.
+	agentStreamCount = 2
+	// attachTimeout is how long a VM may take to answer before another one is tried.
+	attachTimeout = 500 * time.Millisecond
+	// secondStreamDelay is how long after its start an agent attaches to a second VM.
+	// Until then the VMs are free to serve every node once.
+	secondStreamDelay = time.Second
 )
 
-// reachable tells what is known of a control VM's stream.
-type reachable struct {
+// candidate is a control VM that a stream may be kept to.
+type candidate struct {
 	ip string
-	// healthy says that it was heard lately, or was begun so lately that it may be.
+	// healthy means that the VM was heard within streamTimeout, or that the stream is so
+	// new that it may still be connecting.
 	healthy bool
 }
 
-// preference orders control VMs for a node by rendezvous hashing: agents spread over
-// them evenly, and come back to the ones that remember their flows.
-func preference(node string, controls []string) []string {
+// rankControls orders control VMs for a node by rendezvous hashing. It spreads agents
+// evenly over the VMs and leads them back to the VMs that hold their flow records.
+func rankControls(node string, controls []string) []string {
 	out := slices.Clone(controls)
 	weight := func(ip string) uint64 { return xxhash.Sum64String(node + "|" + ip) }
 	slices.SortFunc(out, func(a, b string) int {
@@ -41,10 +43,10 @@
 	return out
 }
 
-// chooseControls returns the VMs that a node should keep streams to, out of those that
-// it prefers in this order: as many as it takes to have the wanted number of healthy
-// ones. Those before that aren't healthy go on being tried.
-func chooseControls(ordered []reachable, wanted int) []string {
+// chooseControls returns the VMs to keep streams to, out of candidates in order of
+// preference: as many as are needed for the wanted number of healthy ones. Unhealthy ones
+// before those stay included, so that they are retried.
+func chooseControls(ordered []candidate, wanted int) []string {
 	var out []string
 	healthy := 0
 	for _, r := range ordered {
@@ -59,23 +61,24 @@
 	return out
 }
 
-// choose returns the VMs to keep streams to now; started is since when each stream is
-// kept. Balancers keep one to each VM: what they place depends on the union of lists.
-func (c *Client) choose(now time.Time, controls []string, started map[string]keptStream) []string {
+// choose returns the VMs to keep streams to now. started holds the streams that run.
+// Balancers keep a stream to every VM, since they place flows by the union of the VMs'
+// lists.
+func (c *Client) choose(now time.Time, controls []string, started map[string]runningStream) []string {
 	if c.cfg.Node.Role != Agent {
 		return controls
 	}
-	wanted := agentStreams
-	if now.Sub(c.startedAt) < secondAfter {
+	wanted := agentStreamCount
+	if now.Sub(c.startedAt) < secondStreamDelay {
 		wanted = 1
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var ordered []reachable
-	for _, ip := range preference(c.cfg.Node.Address, controls) {
+	var ordered []candidate
+	for _, ip := range rankControls(c.cfg.Node.Address, controls) {
 		kept, ok := started[ip]
-		heard := c.streams[ip] != nil && now.Sub(c.streams[ip].heardAt) < beatPatience
-		ordered = append(ordered, reachable{ip: ip, healthy: heard || !ok || now.Sub(kept.at) < reachWithin})
+		heard := c.streams[ip] != nil && now.Sub(c.streams[ip].heardAt) < streamTimeout
+		ordered = append(ordered, candidate{ip: ip, healthy: heard || !ok || now.Sub(kept.at) < attachTimeout})
 	}
 	return chooseControls(ordered, wanted)
 }
--- a/internal/passthrough/membership/choice_test.go
+++ b/internal/passthrough/membership/choice_test.go
@@ -15,26 +15,26 @@
 		healthy []bool
 		want    int
 	}{
-		{"all are well: the first two", []bool{true, true, true, true, true}, 2},
-		{"the first is lost: it is tried on, the third stands in", []bool{false, true, true, true, true}, 3},
-		{"two are lost", []bool{false, true, false, true, true}, 4},
-		{"only the last is well", []bool{false, false, false, false, true}, 5},
-		{"none is well: all are tried", []bool{false, false, false, false, false}, 5},
+		{"all healthy: the first two", []bool{true, true, true, true, true}, 2},
+		{"first unhealthy: it is retried, the third is added", []bool{false, true, true, true, true}, 3},
+		{"two unhealthy", []bool{false, true, false, true, true}, 4},
+		{"only the last healthy", []bool{false, false, false, false, true}, 5},
+		{"none healthy: all are tried", []bool{false, false, false, false, false}, 5},
 		{"fewer than wanted", []bool{true}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var ordered []reachable
+			var ordered []candidate
 			for n, healthy := range c.healthy {
-				ordered = append(ordered, reachable{ip: fmt.Sprint(n), healthy: healthy})
+				ordered = append(ordered, candidate{ip: fmt.Sprint(n), healthy: healthy})
 			}
-			if got := chooseControls(ordered, agentStreams); len(got) != c.want {
+			if got := chooseControls(ordered, agentStreamCount); len(got) != c.want {
 				t.Errorf("streams to %v, want the first %d", got, c.want)
 			}
 		})
 	}
 }
 
-// Guards against control VMs that serve most of the agents while others serve few.
+// Guards against an uneven spread of the agents over the control VMs.
 func TestAgentsSpreadOverControlVMs(t *testing.T) {
 	var controls []string
 	for n := range 9 {
@@ -43,11 +43,11 @@
 	const agents = 3000
 	got := map[string]int{}
 	for n := range agents {
-		for _, ip := range preference(fmt.Sprintf("10.1.%d.%d:7622", n>>8, n&255), controls)[:agentStreams] {
+		for _, ip := range rankControls(fmt.Sprintf("10.1.%d.%d:7622", n>>8, n&255), controls)[:agentStreamCount] {
 			got[ip]++
 		}
 	}
-	even := agents * agentStreams / len(controls)
+	even := agents * agentStreamCount / len(controls)
 	for ip, n := range got {
 		if n < even*3/4 || n > even*5/4 {
 			t.Errorf("%s serves %d agents, an even share is %d", ip, n, even)
@@ -55,10 +55,11 @@
 	}
 }
 
-// Guards against an agent that no control VM lists: its two VMs end, and others take over.
+// Guards against an agent that no control VM lists after both of its VMs ended: it must
+// move to others.
 func TestAgentMovesToOtherControlVMs(t *testing.T) {
 	is := is.New(t)
-	all := vms(t, 5)
+	all := startVMs(t, 5)
 	var ips []string
 	for _, v := range all {
 		v.put(t, 1)
@@ -67,10 +68,10 @@
 	const name = "10.0.0.1:1"
 	balancer := startNode(t, Balancer, "10.0.0.9:1", all...)
 	agent := startNode(t, Agent, name, all...)
-	await(t, "two streams", func() bool { return agent.client.Heard() == agentStreams })
-	order := preference(name, ips)
+	await(t, "two streams", func() bool { return agent.client.Heard() == agentStreamCount })
+	order := rankControls(name, ips)
 	for _, v := range all {
-		if slices.Index(order, v.ip) < agentStreams {
+		if slices.Index(order, v.ip) < agentStreamCount {
 			v.stop()
 		}
 	}
@@ -79,26 +80,27 @@
 		defer agent.client.mu.Unlock()
 		n := 0
 		for ip, s := range agent.client.streams {
-			if s.current() && slices.Index(order, ip) >= agentStreams {
+			if s.current() && slices.Index(order, ip) >= agentStreamCount {
 				n++
 			}
 		}
-		return n == agentStreams
+		return n == agentStreamCount
 	}
 	await(t, "two others", others)
 	is.Equal(balancer.listed(), 1)
 }
 
-// Guards against control VMs that go on listing an agent which has long gone over to others:
-// after it has ended balancers would take it for silent, and let callers of lost flows wait.
-func TestAgentThatMovedIsNotListedTwice(t *testing.T) {
+// Guards against control VMs that still list an agent long after it moved to others. Once
+// it has ended, balancers would take it for silent, and callers would wait for flows that
+// are lost.
+func TestMovedAgentIsListedByItsNewVMsOnly(t *testing.T) {
 	is := is.New(t)
-	all := vms(t, 5)
+	all := startVMs(t, 5)
 	for _, v := range all {
 		v.put(t, 1)
 	}
 	const address = "10.0.0.1:1"
-	order := preference(address, all[0].controls)
+	order := rankControls(address, all[0].controls)
 	last := all[slices.IndexFunc(all, func(v *vm) bool { return v.ip == order[len(order)-1] })]
 	listed := func(v *vm) bool {
 		v.server.mu.Lock()
@@ -109,13 +111,13 @@
 	began := time.Now()
 	startNode(t, Agent, address, last)
 	await(t, "the first stream", func() bool { return listed(last) })
-	await(t, "the move", func() bool {
+	await(t, "the move to the preferred VMs", func() bool {
 		for _, v := range all {
-			if listed(v) != slices.Contains(order[:agentStreams], v.ip) {
+			if listed(v) != slices.Contains(order[:agentStreamCount], v.ip) {
 				return false
 			}
 		}
 		return true
 	})
-	is.True(time.Since(began) < lingering)
+	is.True(time.Since(began) < delistDelay)
 }
--- a/internal/passthrough/membership/client.go
+++ b/internal/passthrough/membership/client.go
@@ -16,159 +16,161 @@
 )
 
 const (
-	// dialTimeout is short because a VM without power doesn't answer at all, and
-	// a lost first packet is sent again by the kernel only after a second: nodes
-	// would come back that much later after all had lost power.
+	// dialTimeout is short because a VM without power doesn't answer at all, and the
+	// kernel resends a lost SYN only after one second, which would delay all nodes by
+	// that much after a full power failure.
 	dialTimeout = 250 * time.Millisecond
-	// dialPause is the mean wait before the next try; control VMs restart
-	// within a second.
-	dialPause = 100 * time.Millisecond
-	// aheadPatience is how long a version that another VM tells of may be missing
-	// before the table is asked for there. It is more than a table takes on a thin
-	// link.
-	aheadPatience = 300 * time.Millisecond
-	// contactBound is the contact age from which on a VM's stream isn't the one
-	// that tables are taken from.
-	contactBound = 1500 * time.Millisecond
-	// silentBound is how long no control VM may have been heard, and behindBound how
-	// long a newer version may have been known of, before the node is out of touch.
-	// The platform wants an accepted version in force within three seconds.
-	silentBound = 2500 * time.Millisecond
-	behindBound = 1500 * time.Millisecond
-	// listKept is how long the list of a control VM that can't be reached still
-	// counts.
-	listKept = 10 * time.Second
+	// redialDelay is the mean delay before the next attempt. Control VMs restart within a
+	// second.
+	redialDelay = 100 * time.Millisecond
+	// tableTimeout is how long a version that another VM has announced may be missing
+	// before the table is requested from that VM. It is longer than a table takes over a
+	// slow link.
+	tableTimeout = 300 * time.Millisecond
+	// maxContactAge is the quorum contact age from which on no tables are requested from
+	// a VM.
+	maxContactAge = 1500 * time.Millisecond
+	// maxSilence is how long no control VM may have been heard, and maxTableLag how long
+	// a newer version may have been known, before the node counts as out of touch. The
+	// platform requires an accepted version to be in force within three seconds.
+	maxSilence  = 2500 * time.Millisecond
+	maxTableLag = 1500 * time.Millisecond
+	// listExpiry is how long the list of an unreachable control VM stays valid.
+	listExpiry = 10 * time.Second
 )
 
-// ClientConfig sets a node's streams up.
+// ClientConfig configures a Client.
 type ClientConfig struct {
 	Node Node
-	// Seeds returns the IP numbers of control VMs that settings tell of now.
+	// Seeds returns the IP addresses of the control VMs in the current settings.
 	Seeds func() []string
-	// Port is where control VMs take streams, the same at all of them.
+	// Port is the TCP port of the streams, the same at all control VMs.
 	Port uint16
-	// Table is called with each newer table; Evacuated with the data centres that take
-	// no new flows, whenever that changes; Agents, at balancers, with what changed in
-	// the union of the VMs' lists of agents. All are called from streams' goroutines,
-	// one at a time.
+	// Table is called with each newer table. Evacuated is called with the data centres
+	// that take no new flows, whenever they change. Agents, at balancers, is called with
+	// the changes in the union of the VMs' lists of agents. All are called from the
+	// streams' goroutines, one call at a time.
 	Table     func(t *route.Table)
 	Evacuated func(zones []string)
 	Agents    func(c Changes)
-	// Recalled, at agents, is called with the flows that a control VM remembers of
+	// Recalled, at agents, is called with the flow records that a control VM holds for
 	// the agent's address.
 	Recalled func(u flowlog.Update)
-	// Meter counts the streams' messages.
+	// Meter counts the streams' messages and bytes.
 	Meter *traffic.Meter
 	Log   logrus.FieldLogger
 }
 
-// Client keeps a node's streams.
+// Client maintains a node's streams to the control VMs.
 type Client struct {
 	cfg ClientConfig
-	// startedAt is when Run began.
+	// startedAt is the time of the call of Run.
 	startedAt time.Time
 
-	mu      sync.Mutex
-	streams map[string]*clientStream
-	known   []string
-	version route.Version
-	table   *route.Table
-	// evacuations is the revision of those in force here.
+	mu            sync.Mutex
+	streams       map[string]*clientStream
+	knownControls []string
+	version       route.Version
+	table         *route.Table
+	// evacuations is the revision of the evacuations in force at this node.
 	evacuations uint64
-	// wanted is the VM that tables are taken from, since wantedAt or its last table.
-	wanted   string
-	wantedAt time.Time
+	// tableSource is the VM that tables are requested from; tableSourceAt is when it was
+	// chosen or when the last table came.
+	tableSource   string
+	tableSourceAt time.Time
 }
 
-// clientStream is what the node knows of one control VM.
+// clientStream is the state of the stream to one control VM.
 type clientStream struct {
 	ip string
-	// heardAt is the last update's time, contactAge what it said.
+	// heardAt is when the last update arrived, contactAge the VM's quorum contact age in
+	// it.
 	heardAt    time.Time
 	contactAge time.Duration
 	version    route.Version
-	// aheadAt is when the VM told of its version.
-	aheadAt time.Time
+	// versionAt is when the VM announced its version.
+	versionAt time.Time
 	// view is the VM's list of agents, at balancers.
 	view view
-	// conn is the open connection; told says that the VM knows all flows as of
-	// some moment since the connection was made.
-	conn *framing.Conn
-	told bool
-	// kick has a beat sent at once.
-	kick chan struct{}
+	// conn is the open connection; flowsReported means that all flows were reported over
+	// it.
+	conn          *framing.Conn
+	flowsReported bool
+	// wake triggers an immediate heartbeat.
+	wake chan struct{}
 }
 
 func newClientStream(ip string) *clientStream {
-	return &clientStream{ip: ip, kick: make(chan struct{}, 1)}
+	return &clientStream{ip: ip, wake: make(chan struct{}, 1)}
 }
 
-// beatNow has a beat sent at once.
-func (s *clientStream) beatNow() {
+// heartbeatNow triggers an immediate heartbeat.
+func (s *clientStream) heartbeatNow() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// NewClient returns a client; Run keeps its streams.
+// NewClient returns a client; Run starts its streams.
 func NewClient(cfg ClientConfig) *Client {
 	return &Client{cfg: cfg, streams: map[string]*clientStream{}}
 }
 
-// Version returns that of the table held, 0 for none.
+// Version returns the version of the node's table, 0 for none.
 func (c *Client) Version() route.Version {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.version
 }
 
-// Heard counts the control VMs heard within the last seconds.
+// Heard returns the number of control VMs heard within streamTimeout.
 func (c *Client) Heard() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
 	for _, s := range c.streams {
-		if time.Since(s.heardAt) < beatPatience {
+		if time.Since(s.heardAt) < streamTimeout {
 			n++
 		}
 	}
 	return n
 }
 
-// InTouch tells whether the node's table is in all likelihood the newest: it hears control
-// VMs, and none has had a newer version for long. A VM that has lost its quorum counts as
-// heard, since there is no newer version then.
+// InTouch reports whether the node's table is most likely the newest: the node hears
+// control VMs, and none has had a newer version for more than maxTableLag. A VM that has
+// lost its quorum counts as heard, since no newer version can be accepted without one.
 func (c *Client) InTouch(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	heard := false
 	for _, s := range c.streams {
-		heard = heard || now.Sub(s.heardAt) < silentBound
-		if s.version > c.version && now.Sub(s.aheadAt) > behindBound {
+		heard = heard || now.Sub(s.heardAt) < maxSilence
+		if s.version > c.version && now.Sub(s.versionAt) > maxTableLag {
 			return false
 		}
 	}
 	return heard
 }
 
-// keptStream is a stream that is kept up since a moment.
-type keptStream struct {
+// runningStream is a stream that the client maintains since the time at.
+type runningStream struct {
 	at   time.Time
 	stop context.CancelCauseFunc
 }
 
-// errMoved ends a stream to a control VM that isn't chosen any more.
+// errMoved is the cause that ends a stream to a control VM that the node has left for
+// others.
 var errMoved = errors.New("membership: moved to other control VMs")
 
-// Run keeps streams to control VMs until ctx is done: a balancer to each one known, an
-// agent to a few.
+// Run maintains streams to control VMs until ctx is done: a balancer to every known VM,
+// an agent to a few.
 func (c *Client) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
 	c.startedAt = time.Now()
-	started := map[string]keptStream{}
-	ticker := time.NewTicker(BeatInterval / 4)
+	started := map[string]runningStream{}
+	ticker := time.NewTicker(HeartbeatInterval / 4)
 	defer ticker.Stop()
 	for {
 		now := time.Now()
@@ -178,11 +180,11 @@
 				continue
 			}
 			one, cancel := context.WithCancelCause(ctx)
-			started[ip] = keptStream{at: now, stop: cancel}
+			started[ip] = runningStream{at: now, stop: cancel}
 			running.Add(1)
 			go func() {
 				defer running.Done()
-				c.keep(one, ip)
+				c.keepStream(one, ip)
 			}()
 		}
 		for ip, kept := range started {
@@ -200,12 +202,12 @@
 	}
 }
 
-// addresses are the seeds and the control VMs that streams told of.
+// addresses returns the seeds and the control VMs named in updates.
 func (c *Client) addresses() []string {
 	seeds := c.cfg.Seeds()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := slices.Clone(c.known)
+	out := slices.Clone(c.knownControls)
 	for _, ip := range seeds {
 		if !slices.Contains(out, ip) {
 			out = append(out, ip)
--- a/internal/passthrough/membership/client_list.go
+++ b/internal/passthrough/membership/client_list.go
@@ -9,31 +9,31 @@
 type ListedAgent struct {
 	Address netip.AddrPort
 	Zone    string
-	// Service is the one that the agent's VM belongs to.
+	// Service is the route.ServiceID of the agent's VM.
 	Service uint64
 	// Process is random for each start of the agent.
 	Process uint64
 }
 
-// Changes are agents that came or became another process, and agents that no control VM
-// lists any more.
+// Changes holds agents that were added or restarted, and agents that no control VM lists
+// any more.
 type Changes struct {
 	Present []ListedAgent
 	Gone    []netip.AddrPort
-	// Retired are gone with their targets: no flow can be open there.
+	// Retired are gone together with their targets, so no flow is open there.
 	Retired []netip.AddrPort
 }
 
-// view is one control VM's list as the node has it.
+// view is the node's copy of one control VM's list.
 type view struct {
 	epoch, number uint64
 	agents        map[netip.AddrPort]ListedAgent
 }
 
-// apply takes what changed, and returns the addresses concerned, and the processes that went
-// with their targets.
-func (v *view) apply(l *Listing) (changed []netip.AddrPort, retired map[netip.AddrPort]uint64) {
-	if l.Whole || v.agents == nil {
+// apply applies an update. It returns the addresses concerned, and the processes that
+// ended together with their targets.
+func (v *view) apply(l *ListUpdate) (changed []netip.AddrPort, retired map[netip.AddrPort]uint64) {
+	if l.Full || v.agents == nil {
 		for address := range v.agents {
 			changed = append(changed, address)
 		}
@@ -63,29 +63,30 @@
 	return changed, retired
 }
 
-// takeListing puts a VM's changes in force; the lock is held. An agent is there as long
-// as any VM lists it.
-func (c *Client) takeListing(s *clientStream, l *Listing) {
+// applyList applies an update of a VM's list; the lock is held. An agent is present as
+// long as any VM lists it.
+func (c *Client) applyList(s *clientStream, l *ListUpdate) {
 	changed, retired := s.view.apply(l)
-	c.tellAgents(s, changed, retired)
+	c.notifyAgents(s, changed, retired)
 }
 
-// tellAgents hands on what the lists now say of some agents; news is the VM whose list
-// has just changed, retired the processes that went with their targets: one VM's word is
-// enough, others may have been out of the agent's reach. The lock is held.
-func (c *Client) tellAgents(news *clientStream, changed []netip.AddrPort, retired map[netip.AddrPort]uint64) {
+// notifyAgents calls the Agents callback for the given addresses. updated is the VM whose
+// list has changed. retired are the processes that ended together with their targets: one
+// VM's report suffices, because the agent may not have reached the others. The lock is
+// held.
+func (c *Client) notifyAgents(updated *clientStream, changed []netip.AddrPort, retired map[netip.AddrPort]uint64) {
 	var out Changes
-	told := map[netip.AddrPort]bool{}
+	seen := map[netip.AddrPort]bool{}
 	for _, address := range changed {
-		if told[address] {
+		if seen[address] {
 			continue
 		}
-		told[address] = true
+		seen[address] = true
 		process, ended := retired[address]
 		if ended {
 			c.dropProcess(address, process)
 		}
-		switch a, ok := c.lookUp(news, address); {
+		switch a, ok := c.lookUp(updated, address); {
 		case ok:
 			out.Present = append(out.Present, a)
 		case ended:
@@ -94,12 +95,12 @@
 			out.Gone = append(out.Gone, address)
 		}
 	}
-	if len(told) > 0 && c.cfg.Agents != nil {
+	if len(seen) > 0 && c.cfg.Agents != nil {
 		c.cfg.Agents(out)
 	}
 }
 
-// dropProcess takes a process of an agent that is gone off all lists; the lock is held.
+// dropProcess removes a process that has ended from all lists; the lock is held.
 func (c *Client) dropProcess(address netip.AddrPort, process uint64) {
 	for _, s := range c.streams {
 		if s.view.agents[address].Process == process {
@@ -108,7 +109,7 @@
 	}
 }
 
-// lookUp finds an agent on a VM's list, or else on any; the lock is held.
+// lookUp finds an agent on the given VM's list, or else on any other; the lock is held.
 func (c *Client) lookUp(first *clientStream, address netip.AddrPort) (ListedAgent, bool) {
 	if a, ok := first.view.agents[address]; ok {
 		return a, true
@@ -121,13 +122,13 @@
 	return ListedAgent{}, false
 }
 
-// dropStaleLists lets the lists of VMs that aren't heard any more lapse. An agent that
+// dropStaleLists drops the lists of VMs that weren't heard for listExpiry. Agents that
 // left meanwhile would otherwise stay on them.
 func (c *Client) dropStaleLists() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.streams {
-		if len(s.view.agents) == 0 || time.Since(s.heardAt) <= listKept {
+		if len(s.view.agents) == 0 || time.Since(s.heardAt) <= listExpiry {
 			continue
 		}
 		var changed []netip.AddrPort
@@ -135,6 +136,6 @@
 			changed = append(changed, address)
 		}
 		s.view = view{}
-		c.tellAgents(s, changed, nil)
+		c.notifyAgents(s, changed, nil)
 	}
 }
--- a/internal/passthrough/membership/client_stream.go
+++ b/internal/passthrough/membership/client_stream.go
@@ -17,25 +17,25 @@
 	"bergamotstall/internal/passthrough/peer"
 )
 
-// streamKind is the kind that streams' messages are counted as.
+// streamKind is the kind under which the meter counts the streams' messages.
 const streamKind = int(peer.KindStream)
 
-// keep makes one stream anew whenever it ends.
-func (c *Client) keep(ctx context.Context, ip string) {
+// keepStream runs the stream to one control VM and reopens it whenever it ends.
+func (c *Client) keepStream(ctx context.Context, ip string) {
 	s := newClientStream(ip)
-	told := false
+	logged := false
 	for ctx.Err() == nil {
-		err := c.follow(ctx, s)
-		if !s.heardAt.IsZero() && !told {
-			told = true
+		err := c.runStream(ctx, s)
+		if !s.heardAt.IsZero() && !logged {
+			logged = true
 			events.Log(c.cfg.Log, events.ControlLeft, logrus.Fields{"control": ip, "error": events.ErrorText(err)})
 		}
-		if time.Since(s.heardAt) < BeatInterval {
-			told = false
+		if time.Since(s.heardAt) < HeartbeatInterval {
+			logged = false
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(dialPause/2 + mathrand.N(dialPause)):
+		case <-time.After(redialDelay/2 + mathrand.N(redialDelay)):
 		}
 	}
 	c.mu.Lock()
@@ -45,27 +45,27 @@
 	}
 }
 
-// follow runs one stream until it fails.
-func (c *Client) follow(ctx context.Context, s *clientStream) error {
+// runStream runs one connection until it fails.
+func (c *Client) runStream(ctx context.Context, s *clientStream) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", net.JoinHostPort(s.ip, strconv.Itoa(int(c.cfg.Port))))
 	if err != nil {
 		return errors.Wrap(err, "membership: dial")
 	}
 	defer raw.Close()
-	conn := framing.NewConn(raw, frameLimit, writeTimeout)
-	stop := context.AfterFunc(ctx, func() { c.end(ctx, raw, conn) })
+	conn := framing.NewConn(raw, maxFrameBytes, writeTimeout)
+	stop := context.AfterFunc(ctx, func() { c.closeStream(ctx, raw, conn) })
 	defer stop()
-	hello := Hello{Node: c.cfg.Node, Beat: c.beat(s)}
+	hello := Hello{Node: c.cfg.Node, Heartbeat: c.heartbeat(s)}
 	if err := c.write(conn, kindHello, &hello); err != nil {
 		return err
 	}
-	c.attach(s, conn)
-	defer c.attach(s, nil)
+	c.setConn(s, conn)
+	defer c.setConn(s, nil)
 	first := true
-	beating, cancel := context.WithCancel(ctx)
+	heartbeatCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go c.beatOn(beating, conn, s)
+	go c.sendHeartbeats(heartbeatCtx, conn, s)
 	for {
 		u, err := c.nextUpdate(conn)
 		if err != nil {
@@ -75,21 +75,21 @@
 			first = false
 			events.Log(c.cfg.Log, events.ControlAttached, logrus.Fields{"control": s.ip, "version": u.Version, "contact_age_ms": u.ContactAgeMS})
 		}
-		c.take(s, u)
+		c.applyUpdate(s, u)
 	}
 }
 
-// end closes a stream. A control VM that the node leaves for others is told so: it would
-// otherwise list the node for a while after it has ended, and balancers would take its
-// silence for a target that may hold their flows.
-func (c *Client) end(ctx context.Context, raw net.Conn, conn *framing.Conn) {
+// closeStream closes a stream. A control VM that the node leaves for others is told
+// first. Otherwise it would still list the node for a while after the node has ended, and
+// balancers would take the node for a silent agent that may hold their flows.
+func (c *Client) closeStream(ctx context.Context, raw net.Conn, conn *framing.Conn) {
 	tcp, ok := raw.(*net.TCPConn)
 	if !ok || !errors.Is(context.Cause(ctx), errMoved) || c.write(conn, kindRetire, &Retire{Moved: true}) != nil {
 		_ = raw.Close()
 		return
 	}
-	// What is still unread would turn a close into a reset, and the message would be lost;
-	// the VM closes its end.
+	// Closing with unread data would send a reset and lose the message, so only the write
+	// side is closed; the VM closes the other.
 	if err := tcp.CloseWrite(); err != nil {
 		_ = raw.Close()
 	}
@@ -102,16 +102,15 @@
 	return err
 }
 
-func (c *Client) attach(s *clientStream, conn *framing.Conn) {
+func (c *Client) setConn(s *clientStream, conn *framing.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.streams[s.ip] = s
 	s.conn = conn
-	s.told = false
+	s.flowsReported = false
 }
 
-// nextUpdate waits for an update; what a control VM recalls before it is handed
-// on.
+// nextUpdate waits for an update. Flow records that arrive first go to Recalled.
 func (c *Client) nextUpdate(conn *framing.Conn) (Update, error) {
 	for {
 		f, err := read(conn)
@@ -130,37 +129,37 @@
 			}
 			c.cfg.Recalled(u)
 		default:
-			return Update{}, errors.Errorf("membership: frame kind %d", f.Kind)
+			return Update{}, errors.Errorf("membership: unexpected frame kind %d", f.Kind)
 		}
 	}
 }
 
-// TellFlows tells the control VMs of changes among the flows held; those that
-// were reached since the last call are told of all. whole returns all.
+// TellFlows reports changes of the flows held to the control VMs. VMs that were connected
+// since the last call get the flows that whole returns, which are all.
 func (c *Client) TellFlows(changes flowlog.Update, changed bool, whole func() flowlog.Update) {
 	c.mu.Lock()
-	var knowing, fresh []*framing.Conn
+	var known, unknown []*framing.Conn
 	for _, s := range c.streams {
 		switch {
 		case s.conn == nil:
-		case s.told:
-			knowing = append(knowing, s.conn)
+		case s.flowsReported:
+			known = append(known, s.conn)
 		default:
-			s.told = true
-			fresh = append(fresh, s.conn)
+			s.flowsReported = true
+			unknown = append(unknown, s.conn)
 		}
 	}
 	c.mu.Unlock()
 	if changed {
-		c.writeFlows(knowing, changes)
+		c.writeFlows(known, changes)
 	}
-	if len(fresh) > 0 {
-		c.writeFlows(fresh, whole())
+	if len(unknown) > 0 {
+		c.writeFlows(unknown, whole())
 	}
 }
 
-// writeFlows sends an update; a stream that fails is made anew, and then told of
-// all.
+// writeFlows sends an update. A connection that fails is closed; after reconnecting, all
+// flows are reported.
 func (c *Client) writeFlows(to []*framing.Conn, u flowlog.Update) {
 	for _, conn := range to {
 		if err := c.write(conn, kindFlows, &u); err != nil {
@@ -169,8 +168,8 @@
 	}
 }
 
-// Retire has the control VMs take the node off their lists, since it ends with its
-// target.
+// Retire asks the control VMs to remove the node from their lists, because it ends
+// together with its target.
 func (c *Client) Retire() {
 	c.mu.Lock()
 	var conns []*framing.Conn
@@ -182,24 +181,24 @@
 	c.mu.Unlock()
 	for _, conn := range conns {
 		if err := c.write(conn, kindRetire, &Retire{}); err != nil {
-			_ = conn.Close() // the VM notices the end of the stream
+			_ = conn.Close() // the VM notices that the stream ended
 		}
 	}
 }
 
-// beatOn sends beats until ctx is done or the stream fails.
-func (c *Client) beatOn(ctx context.Context, conn *framing.Conn, s *clientStream) {
-	ticker := time.NewTicker(BeatInterval)
+// sendHeartbeats sends heartbeats until ctx is done or the stream fails.
+func (c *Client) sendHeartbeats(ctx context.Context, conn *framing.Conn, s *clientStream) {
+	ticker := time.NewTicker(HeartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-s.kick:
+		case <-s.wake:
 		}
-		b := c.beat(s)
-		if err := c.write(conn, kindBeat, &b); err != nil {
+		b := c.heartbeat(s)
+		if err := c.write(conn, kindHeartbeat, &b); err != nil {
 			_ = conn.Close() // the reader ends the stream
 			return
 		}
--- a/internal/passthrough/membership/directory.go
+++ b/internal/passthrough/membership/directory.go
@@ -8,26 +8,26 @@
 	"bergamotstall/internal/passthrough/packet"
 )
 
-// maxChanges bounds the changes of the list that are kept, 40 B each. A node that has
-// missed more gets the whole list.
+// maxChanges bounds the list changes that are kept, 40 B each. A node that missed more
+// gets the whole list.
 const maxChanges = 4_096
 
-// directory is a control VM's list of agents. Each change has a number, so that a node
-// is sent what changed since it was last told, and not the list.
+// directory is a control VM's list of agents. Changes are numbered, so that a node is
+// sent only the changes since the last one it has.
 type directory struct {
-	// epoch is random for each start of the VM's process: numbers of another one
-	// mean nothing.
+	// epoch is random for each start of the VM's process; change numbers are valid within
+	// one epoch only.
 	epoch   uint64
 	number  uint64
 	agents  map[netip.AddrPort]Node
 	changes []change
 }
 
-// change says that an agent came, went or is another process.
+// change records that an agent was added, restarted or removed.
 type change struct {
 	number  uint64
 	address netip.AddrPort
-	// retired says that the agent went with its target.
+	// retired means that the agent ended together with its target.
 	retired bool
 }
 
@@ -35,19 +35,19 @@
 	return &directory{epoch: rand.Uint64(), agents: map[netip.AddrPort]Node{}}
 }
 
-// put lists an agent.
+// put adds or replaces an agent.
 func (d *directory) put(address netip.AddrPort, n Node) {
 	d.agents[address] = n
-	d.note(address, false)
+	d.record(address, false)
 }
 
-// remove takes an agent off the list; retired says that its target is gone.
+// remove removes an agent; retired means that it ended together with its target.
 func (d *directory) remove(address netip.AddrPort, retired bool) {
 	delete(d.agents, address)
-	d.note(address, retired)
+	d.record(address, retired)
 }
 
-func (d *directory) note(address netip.AddrPort, retired bool) {
+func (d *directory) record(address netip.AddrPort, retired bool) {
 	d.number++
 	if len(d.changes) == maxChanges {
 		d.changes = slices.Clone(d.changes[maxChanges/2:])
@@ -55,26 +55,27 @@
 	d.changes = append(d.changes, change{d.number, address, retired})
 }
 
-// since returns what a node lacks that has the list as of a number; nil if nothing.
-func (d *directory) since(epoch, number uint64) *Listing {
+// since returns the changes after the given number, the whole list if they aren't kept,
+// or nil if there are none.
+func (d *directory) since(epoch, number uint64) *ListUpdate {
 	if epoch == d.epoch && number == d.number {
 		return nil
 	}
-	l := &Listing{Epoch: d.epoch, Number: d.number}
+	l := &ListUpdate{Epoch: d.epoch, Number: d.number}
 	oldest := d.number + 1 - uint64(len(d.changes))
 	if epoch != d.epoch || number > d.number || number+1 < oldest {
-		l.Whole = true
+		l.Full = true
 		for address, n := range d.agents {
 			l.add(address, n)
 		}
 		return l
 	}
-	told := map[netip.AddrPort]bool{}
+	seen := map[netip.AddrPort]bool{}
 	for _, c := range slices.Backward(d.changes[number+1-oldest:]) {
-		if told[c.address] {
+		if seen[c.address] {
 			continue
 		}
-		told[c.address] = true
+		seen[c.address] = true
 		at := packet.EndpointOf(c.address)
 		switch n, ok := d.agents[c.address]; {
 		case ok:
@@ -88,11 +89,11 @@
 	return l
 }
 
-func (l *Listing) add(address netip.AddrPort, n Node) {
+func (l *ListUpdate) add(address netip.AddrPort, n Node) {
 	zone := slices.Index(l.Zones, n.Zone)
 	if zone < 0 {
 		zone = len(l.Zones)
 		l.Zones = append(l.Zones, n.Zone)
 	}
-	l.Present = append(l.Present, Entry{At: packet.EndpointOf(address), Zone: uint16(zone), Service: n.Service, Process: n.Process})
+	l.Present = append(l.Present, AgentEntry{At: packet.EndpointOf(address), Zone: uint16(zone), Service: n.Service, Process: n.Process})
 }
--- a/internal/passthrough/membership/list_test.go
+++ b/internal/passthrough/membership/list_test.go
@@ -9,31 +9,32 @@
 	"github.com/matryer/is"
 )
 
-// Guards against agents that vanish from the list while they are cut off from control, or stay when they end.
-func TestBalancersLearnOfAgents(t *testing.T) {
+// Guards against agents that leave the list while they are cut off from the control VMs,
+// or that stay on it after they end.
+func TestBalancersListAgents(t *testing.T) {
 	is := is.New(t)
-	all := vms(t, 2)
+	all := startVMs(t, 2)
 	balancer := startNode(t, Balancer, "10.0.0.9:1", all...)
 	first := startNode(t, Agent, "10.0.0.1:1", all...)
 	second := startNode(t, Agent, "10.0.0.2:1", all...)
 	await(t, "two agents", func() bool { return balancer.listed() == 2 })
-	all[0].stop() // a control VM's process ends; the other one's list stands
-	time.Sleep(2 * BeatInterval)
+	all[0].stop() // a control VM ends; the other one still lists both
+	time.Sleep(2 * HeartbeatInterval)
 	is.Equal(balancer.listed(), 2)
 	second.stop()
-	time.Sleep(2 * BeatInterval)
+	time.Sleep(2 * HeartbeatInterval)
 	is.Equal(balancer.listed(), 2)
-	first.client.Retire() // its target is gone
+	first.client.Retire() // the agent ends together with its target
 	await(t, "one agent", func() bool { return balancer.listed() == 1 })
 }
 
-// Guards against agents that count as silent after they have ended with their targets: their
-// flows are gone, and callers would wait for their deadlines. One control VM's word is
-// enough, also where another hasn't heard it.
-func TestRetiredAgentsAreToldApart(t *testing.T) {
+// Guards against agents that are taken for silent after they ended together with their
+// targets: their flows are gone, and callers would wait for their deadlines. One control
+// VM's report suffices, even if another has none.
+func TestRetiredAgentsAreReportedAsRetired(t *testing.T) {
 	is := is.New(t)
 	var last Changes
-	c := NewClient(ClientConfig{Node: Node{Role: Balancer}, Log: quiet(), Agents: func(x Changes) { last = x }})
+	c := NewClient(ClientConfig{Node: Node{Role: Balancer}, Log: discardLog(), Agents: func(x Changes) { last = x }})
 	first, second := newDirectory(), newDirectory()
 	one, other := newClientStream("1"), newClientStream("2")
 	c.streams["1"], c.streams["2"] = one, other
@@ -43,18 +44,18 @@
 		second.put(at, Node{Process: 5})
 	}
 	tell := func(s *clientStream, d *directory) {
-		c.takeListing(s, d.since(s.view.epoch, s.view.number))
+		c.applyList(s, d.since(s.view.epoch, s.view.number))
 	}
 	tell(one, first)
 	tell(other, second)
 	first.remove(a, true)
 	tell(one, first)
 	is.Equal(last, Changes{Retired: []netip.AddrPort{a}})
-	second.put(a, Node{Process: 6}) // another process beside another target
+	second.put(a, Node{Process: 6}) // the agent's next process, with another target
 	tell(other, second)
 	is.Equal(len(last.Present), 1)
 	first.put(a, Node{Process: 5})
-	first.remove(a, true) // late word of the one before
+	first.remove(a, true) // a late report on the first process
 	tell(one, first)
 	is.Equal(len(last.Retired), 0)
 	first.remove(b, false)
@@ -64,10 +65,10 @@
 	is.Equal(last, Changes{Gone: []netip.AddrPort{b}})
 }
 
-// Guards against lists that are sent whole with each change.
+// Guards against sending the whole list for each change.
 func TestListIsSentAsChanges(t *testing.T) {
 	is := is.New(t)
-	all := vms(t, 1)
+	all := startVMs(t, 1)
 	balancer := startNode(t, Balancer, "10.0.0.9:1", all...)
 	for n := range 30 {
 		startNode(t, Agent, fmt.Sprintf("10.0.1.%d:1", n), all...)
@@ -83,16 +84,17 @@
 	is.Equal(balancer.changes, 31)
 }
 
-// Guards against an agent that vanishes with one control VM's list while another still has it.
-func TestListsAreUnited(t *testing.T) {
+// Guards against an agent that is removed when one control VM drops it while another
+// still lists it.
+func TestAgentIsPresentWhileAnyListHasIt(t *testing.T) {
 	is := is.New(t)
-	told := map[netip.AddrPort]bool{}
-	c := NewClient(ClientConfig{Node: Node{Role: Balancer}, Log: quiet(), Agents: func(x Changes) {
+	present := map[netip.AddrPort]bool{}
+	c := NewClient(ClientConfig{Node: Node{Role: Balancer}, Log: discardLog(), Agents: func(x Changes) {
 		for _, a := range x.Present {
-			told[a.Address] = true
+			present[a.Address] = true
 		}
 		for _, at := range x.Gone {
-			delete(told, at)
+			delete(present, at)
 		}
 	}})
 	one, two := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")
@@ -102,24 +104,25 @@
 	first.put(one, Node{})
 	first.put(two, Node{})
 	second.put(two, Node{})
-	c.takeListing(a, first.since(a.view.epoch, a.view.number))
-	c.takeListing(b, second.since(b.view.epoch, b.view.number))
-	is.Equal(len(told), 2)
+	c.applyList(a, first.since(a.view.epoch, a.view.number))
+	c.applyList(b, second.since(b.view.epoch, b.view.number))
+	is.Equal(len(present), 2)
 	first.remove(two, false)
-	c.takeListing(a, first.since(a.view.epoch, a.view.number))
-	is.Equal(len(told), 2) // the other VM lists it
+	c.applyList(a, first.since(a.view.epoch, a.view.number))
+	is.Equal(len(present), 2) // the other VM still lists it
 	restarted := newDirectory()
 	restarted.put(one, Node{})
-	c.takeListing(b, restarted.since(b.view.epoch, b.view.number))
-	is.Equal(told, map[netip.AddrPort]bool{one: true})
-	a.heardAt = time.Now().Add(-2 * listKept)
+	c.applyList(b, restarted.since(b.view.epoch, b.view.number))
+	is.Equal(present, map[netip.AddrPort]bool{one: true})
+	a.heardAt = time.Now().Add(-2 * listExpiry)
 	b.heardAt = a.heardAt
 	c.dropStaleLists()
-	is.Equal(len(told), 0)
+	is.Equal(len(present), 0)
 }
 
-// Guards against a node that is told of changes it has, or that misses some after many.
-func TestDirectoryTellsWhatANodeLacks(t *testing.T) {
+// Guards against a node that gets changes it already has, or that misses some after many
+// changes.
+func TestDirectorySince(t *testing.T) {
 	is := is.New(t)
 	d := newDirectory()
 	at := func(n int) netip.AddrPort {
@@ -142,13 +145,14 @@
 		is.True(d.since(v.epoch, v.number) == nil)
 	}
 	is.True(len(d.changes) <= maxChanges)
-	late := d.since(v.epoch, 1) // its changes aren't kept any more
-	is.True(late.Whole)
+	late := d.since(v.epoch, 1) // changes that old aren't kept
+	is.True(late.Full)
 }
 
-// Guards against open flows reset by a balancer that starts and knows some agents only.
-func TestBalancerLearnsOfAllAgents(t *testing.T) {
-	all := vms(t, 2)
+// Guards against open flows that are reset by a newly started balancer that knows only
+// some agents.
+func TestNewBalancerLearnsOfAllAgents(t *testing.T) {
+	all := startVMs(t, 2)
 	for _, v := range all {
 		v.put(t, 1)
 	}
--- a/internal/passthrough/membership/membership_test.go
+++ b/internal/passthrough/membership/membership_test.go
@@ -21,43 +21,44 @@
 	"bergamotstall/internal/passthrough/route"
 )
 
-// patience bounds waits for what must happen; no verdict depends on its length.
-const patience = 20 * time.Second
+// testTimeout bounds the waits for events that must happen; no result depends on its
+// length.
+const testTimeout = 20 * time.Second
 
-// port is where all control VMs of these tests take streams.
-const port = 7931
+// streamPort is the TCP port of the streams of all control VMs in these tests.
+const streamPort = 7931
 
-var nextNet atomic.Uint32
+var nextSubnet atomic.Uint32
 
-func quiet() logrus.FieldLogger {
+func discardLog() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// vm is a control VM of a test: a store and streams, without a replica.
+// vm is a control VM without a replica: a store and a stream server.
 type vm struct {
 	ip     string
 	store  *route.Store
 	server *Server
 	stop   context.CancelFunc
-	// cut says that it has no contact with a quorum.
-	cut      atomic.Bool
+	// isolated means that the VM has no contact with a quorum.
+	isolated atomic.Bool
 	controls []string
 	flows    *flowlog.Store
 }
 
-var errCut = errors.New("no quorum")
+var errIsolated = errors.New("no quorum")
 
 func (v *vm) Barrier(context.Context) error {
-	if v.cut.Load() {
-		return errCut
+	if v.isolated.Load() {
+		return errIsolated
 	}
 	return nil
 }
 
 func (v *vm) ContactAge() time.Duration {
-	if v.cut.Load() {
+	if v.isolated.Load() {
 		return time.Minute
 	}
 	return 0
@@ -65,10 +66,10 @@
 
 func (v *vm) Controls() []string { return v.controls }
 
-// vms starts control VMs; all name each other.
-func vms(t *testing.T, n int) []*vm {
+// startVMs starts control VMs that all name each other.
+func startVMs(t *testing.T, n int) []*vm {
 	t.Helper()
-	net := nextNet.Add(1)
+	net := nextSubnet.Add(1)
 	var out []*vm
 	var ips []string
 	for i := range n {
@@ -84,13 +85,13 @@
 
 func (v *vm) start(t testing.TB) {
 	t.Helper()
-	ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", v.ip, port))
+	ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", v.ip, streamPort))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	v.stop = cancel
-	v.server = NewServer(ServerConfig{Store: v.store, Source: v, Flows: v.flows, Log: quiet(), Metrics: metrics.New()})
+	v.server = NewServer(ServerConfig{Store: v.store, Source: v, Flows: v.flows, Log: discardLog(), Metrics: metrics.New()})
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -104,7 +105,7 @@
 	})
 }
 
-// put has a version agreed on at a VM.
+// put commits a version at a VM.
 func (v *vm) put(t *testing.T, version route.Version) {
 	t.Helper()
 	command, err := route.Command(&route.Definition{Version: version})
@@ -114,7 +115,7 @@
 	v.store.Apply(1, command)
 }
 
-// order has an evacuation, or its end, agreed on at a VM.
+// order commits an evacuation or its withdrawal at a VM.
 func (v *vm) order(t *testing.T, zone string, evacuate bool) {
 	t.Helper()
 	o := route.EvacuationOrder{Zone: zone, Evacuate: evacuate, SeenRevision: v.store.Evacuations().Revision}
@@ -130,22 +131,22 @@
 	client *Client
 	mu     sync.Mutex
 	tables []route.Version
-	// evacuated are the data centres that were last told of; tabledBefore says that the
-	// first table came before any were.
-	evacuated    []string
-	tabledBefore bool
-	agents       map[netip.AddrPort]ListedAgent
-	changes      int
-	metrics      *metrics.Set
-	recalled     []flowlog.Update
-	stop         context.CancelFunc
+	// evacuated are the data centres of the last call of Evacuated; tableFirst means that
+	// a table came before the first such call.
+	evacuated  []string
+	tableFirst bool
+	agents     map[netip.AddrPort]ListedAgent
+	changes    int
+	metrics    *metrics.Set
+	recalled   []flowlog.Update
+	stop       context.CancelFunc
 }
 
 func startNode(t *testing.T, role Role, name string, seeds ...*vm) *node {
 	t.Helper()
 	n := &node{metrics: metrics.New(), agents: map[netip.AddrPort]ListedAgent{}}
 	n.client = NewClient(ClientConfig{
-		Node: Node{Role: role, Address: name, Process: 1}, Port: port, Log: quiet(), Meter: peer.NewMeter(n.metrics),
+		Node: Node{Role: role, Address: name, Process: 1}, Port: streamPort, Log: discardLog(), Meter: peer.NewMeter(n.metrics),
 		Seeds: func() []string {
 			var out []string
 			for _, v := range seeds {
@@ -162,7 +163,7 @@
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.tables = append(n.tables, table.Version)
-			n.tabledBefore = n.tabledBefore || n.evacuated == nil
+			n.tableFirst = n.tableFirst || n.evacuated == nil
 		},
 		Evacuated: func(zones []string) {
 			n.mu.Lock()
@@ -209,18 +210,18 @@
 
 func await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timeout waiting for %s", what)
 		}
 	}
 }
 
-// A node starts with one seed, learns the other control VMs, and follows the
-// definition.
+// Guards against a node that doesn't find the other control VMs from a single seed, or
+// misses a new definition.
 func TestNodeFollowsTheDefinition(t *testing.T) {
 	is := is.New(t)
-	all := vms(t, 3)
+	all := startVMs(t, 3)
 	for _, v := range all {
 		v.put(t, 1)
 	}
@@ -233,51 +234,52 @@
 	is.Equal(n.seen(), []route.Version{1, 2})
 }
 
-// A control VM that is cut off from the others doesn't know whether it has the
-// newest definition. A node that starts must not serve by what it says.
-func TestNodeStartsByNobodysStaleWord(t *testing.T) {
+// Guards against a node that starts and serves by the definition of a control VM that is
+// cut off, which can't know whether it has the newest.
+func TestNodeIgnoresUnconfirmedTable(t *testing.T) {
 	is := is.New(t)
-	all := vms(t, 1)
+	all := startVMs(t, 1)
 	all[0].put(t, 1)
-	all[0].cut.Store(true)
+	all[0].isolated.Store(true)
 	n := startNode(t, Balancer, "10.0.0.1:1", all[0])
 	await(t, "a stream", func() bool { return n.client.Heard() == 1 })
-	time.Sleep(3 * pushPause)
+	time.Sleep(3 * pushInterval)
 	is.Equal(len(n.seen()), 0)
-	all[0].cut.Store(false)
+	all[0].isolated.Store(false)
 	await(t, "the table", func() bool { return n.client.Version() == 1 })
 }
 
-// The VM that a node takes tables from is cut off and stays behind. The node
-// takes the newer version from another one, and never goes back, though the
-// first one goes on telling of the older.
-func TestNodeTakesTheNewestVersion(t *testing.T) {
+// Guards against a node that stays at an old version because its table source was cut
+// off. It must get the newer version from another VM, and never go back although the
+// first still announces the older one.
+func TestNodeUsesTheNewestVersion(t *testing.T) {
 	is := is.New(t)
-	all := vms(t, 3)
+	all := startVMs(t, 3)
 	for _, v := range all {
 		v.put(t, 1)
 	}
 	n := startNode(t, Balancer, "10.0.0.1:1", all...)
 	await(t, "streams", func() bool { return n.client.Heard() == 3 && n.client.Version() == 1 })
 	n.client.mu.Lock()
-	wanted := n.client.wanted
+	source := n.client.tableSource
 	n.client.mu.Unlock()
 	for _, v := range all {
-		if v.ip == wanted {
-			v.cut.Store(true)
+		if v.ip == source {
+			v.isolated.Store(true)
 		} else {
 			v.put(t, 2)
 		}
 	}
 	await(t, "version 2", func() bool { return n.client.Version() == 2 })
-	time.Sleep(3 * BeatInterval)
+	time.Sleep(3 * HeartbeatInterval)
 	is.Equal(n.seen(), []route.Version{1, 2})
 }
 
-// Guards against whole tables from every control VM at a start, and for each change of one route.
-func TestTableComesOnce(t *testing.T) {
+// Guards against full tables from every control VM at a start, and for each change of one
+// route.
+func TestTableIsSentOnce(t *testing.T) {
 	is := is.New(t)
-	all := vms(t, 5)
+	all := startVMs(t, 5)
 	put := func(version route.Version, timeout uint32) {
 		d := &route.Definition{Version: version, Services: []route.Service{{Name: "desk"}}}
 		for n := range 1000 {
@@ -301,38 +303,39 @@
 		put(version, uint32(version))
 		await(t, "the next version", func() bool { return n.client.Version() == version })
 	}
-	time.Sleep(3 * BeatInterval)
+	time.Sleep(3 * HeartbeatInterval)
 	if got := n.metrics.Value("bytes_in_control"); got > int64(len(whole))*3/2 {
 		t.Errorf("%d bytes received; a whole table takes %d", got, len(whole))
 	}
 }
 
-// Guards against a balancer that goes on placing by a version replaced long ago.
-func TestNodeKnowsThatItsTableMayBeOld(t *testing.T) {
+// Guards against a balancer that still places flows by a table that was replaced long
+// ago.
+func TestInTouch(t *testing.T) {
 	is := is.New(t)
-	c := NewClient(ClientConfig{Node: Node{Role: Balancer}, Log: quiet()})
+	c := NewClient(ClientConfig{Node: Node{Role: Balancer}, Log: discardLog()})
 	now := time.Now()
-	is.True(!c.InTouch(now)) // nobody was ever heard
+	is.True(!c.InTouch(now)) // no VM was ever heard
 	s := newClientStream("a")
 	c.streams["a"] = s
-	s.heardAt, s.version, s.aheadAt = now, 7, now
+	s.heardAt, s.version, s.versionAt = now, 7, now
 	c.version = 7
 	is.True(c.InTouch(now))
 	s.contactAge = time.Minute // its VM has lost the quorum: no version can be accepted
 	is.True(c.InTouch(now))
-	is.True(!c.InTouch(now.Add(silentBound)))
+	is.True(!c.InTouch(now.Add(maxSilence)))
 	s.version = 8
 	is.True(c.InTouch(now))
-	s.heardAt = now.Add(2 * behindBound)
-	is.True(!c.InTouch(now.Add(2 * behindBound)))
+	s.heardAt = now.Add(2 * maxTableLag)
+	is.True(!c.InTouch(now.Add(2 * maxTableLag)))
 	c.version = 8
-	is.True(c.InTouch(now.Add(2 * behindBound)))
+	is.True(c.InTouch(now.Add(2 * maxTableLag)))
 }
 
-// A storm of versions costs a node a table each tenth of a second, not one for
-// each, and ends with the newest.
-func TestStormIsGathered(t *testing.T) {
-	all := vms(t, 1)
+// Guards against a table for each version of a burst: a node gets at most ten a second,
+// and the newest in the end.
+func TestBurstOfVersionsIsCombined(t *testing.T) {
+	all := startVMs(t, 1)
 	all[0].put(t, 1)
 	n := startNode(t, Balancer, "10.0.0.1:1", all[0])
 	await(t, "version 1", func() bool { return n.client.Version() == 1 })
@@ -346,14 +349,14 @@
 	}
 }
 
-// A control VM's address is taken by something that accepts connections and says
-// nothing. The node gives such a stream up and goes on with the others.
-func TestSilentPeerIsGivenUp(t *testing.T) {
+// Guards against a node that hangs on a peer that accepts connections and sends nothing.
+// It must drop such a stream and use the other VMs.
+func TestSilentPeerTimesOut(t *testing.T) {
 	is := is.New(t)
-	all := vms(t, 1)
+	all := startVMs(t, 1)
 	all[0].put(t, 1)
-	silent := &vm{ip: fmt.Sprintf("127.%d.1.9", 60+nextNet.Load())}
-	ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", silent.ip, port))
+	silent := &vm{ip: fmt.Sprintf("127.%d.1.9", 60+nextSubnet.Load())}
+	ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", silent.ip, streamPort))
 	is.NoErr(err)
 	defer ln.Close()
 	var accepted atomic.Int32
@@ -369,15 +372,15 @@
 	}()
 	n := startNode(t, Balancer, "10.0.0.1:1", silent, all[0])
 	await(t, "the table", func() bool { return n.client.Version() == 1 })
-	await(t, "a second try", func() bool { return accepted.Load() >= 2 })
+	await(t, "a second connection", func() bool { return accepted.Load() >= 2 })
 }
 
-// An agent tells every control VM which flows it holds. After its restart each of
-// them says what it remembers, before the new process's list replaces it; a VM
-// that was reached later is told of all.
-func TestFlowsAreRemembered(t *testing.T) {
+// Guards against flow records that are lost when an agent restarts. Every control VM must
+// return what it holds before the new process's report replaces it, and a VM that is
+// connected later must get all flows.
+func TestFlowRecordsSurviveARestart(t *testing.T) {
 	is := is.New(t)
-	all := vms(t, 2)
+	all := startVMs(t, 2)
 	first := startNode(t, Agent, "10.0.0.9:1", all...)
 	await(t, "streams", func() bool { return first.client.Heard() == 2 })
 	held := flowlog.Update{Target: "i-1", Born: 5, Whole: true, Opened: []flowlog.Record{{ClientPort: 1}, {ClientPort: 2}}}
@@ -392,17 +395,17 @@
 			return true
 		}
 	}
-	await(t, "both to remember", remembers(2))
+	await(t, "both VMs to hold the flows", remembers(2))
 	ended := flowlog.Update{Target: "i-1", Born: 5, Ended: []flowlog.Record{{ClientPort: 1}}}
 	first.client.TellFlows(ended, true, func() flowlog.Update {
-		t.Error("asked for all")
+		t.Error("all flows requested")
 		return held
 	})
-	await(t, "the end of one", remembers(1))
+	await(t, "the end of one flow", remembers(1))
 	first.stop()
 
 	second := startNode(t, Agent, "10.0.0.9:1", all...)
-	await(t, "both to recall", func() bool {
+	await(t, "flow records from both VMs", func() bool {
 		second.mu.Lock()
 		defer second.mu.Unlock()
 		return len(second.recalled) == 2
--- a/internal/passthrough/membership/messages.go
+++ b/internal/passthrough/membership/messages.go
@@ -7,24 +7,24 @@
 
 //go:generate env GOWORK=off go -C ../../../tools tool msgp -file ../internal/passthrough/membership/messages.go -o ../internal/passthrough/membership/messages_gen.go -tests=false -io=false
 
-// Kinds of frames.
+// Frame kinds.
 const (
 	kindHello framing.Kind = iota + 1
-	kindBeat
+	kindHeartbeat
 	kindUpdate
-	// kindFlows carries a flowlog.Update: from an agent what it holds, to a new
-	// agent what was held at its address.
+	// kindFlows carries a flowlog.Update: from an agent the flows that it holds, to a
+	// restarted agent the flows that were held at its address.
 	kindFlows
-	// kindRetire comes from an agent that ends with its target, or goes over to other
-	// control VMs: it is taken off the list at once.
+	// kindRetire is sent by an agent that ends together with its target, or that moves to
+	// other control VMs. The VM removes it from the list at once.
 	kindRetire
 )
 
-// Role is what a node does.
+// Role is the role of a node.
 type Role uint8
 
 const (
-	// Balancer nodes take packets from the fabric.
+	// Balancer nodes receive packets from the fabric.
 	Balancer Role = iota + 1
 	// Agent nodes run beside a target.
 	Agent
@@ -37,93 +37,94 @@
 	return "agent"
 }
 
-// Node is one process that carries packets.
+// Node is a process that carries packets.
 type Node struct {
 	Role Role `msg:"r"`
-	// Address is where it takes datagrams of other nodes, "ip:port".
+	// Address is where it receives datagrams of other nodes, "ip:port".
 	Address string `msg:"a"`
 	Zone    string `msg:"z"`
-	// Service is an agent's; see route.ServiceID.
+	// Service is the route.ServiceID of an agent's target.
 	Service uint64 `msg:"s"`
 	// Process is random for each start.
 	Process uint64 `msg:"p"`
 }
 
-// Hello opens a stream.
+// Hello is the first message of a stream.
 type Hello struct {
-	Node Node `msg:"n"`
-	Beat Beat `msg:"b"`
+	Node      Node      `msg:"n"`
+	Heartbeat Heartbeat `msg:"b"`
 }
 
-// Beat says that the node is alive and where it stands.
-type Beat struct {
-	// Version is that of the table held.
+// Heartbeat reports that a node is alive, and its state.
+type Heartbeat struct {
+	// Version is the version of the node's table.
 	Version uint64 `msg:"v"`
-	// Want asks for newer tables as they come; without it the node only hears
-	// which version there is. A node wants them of one VM at a time.
-	Want bool `msg:"w"`
-	// Epoch and Number say as of when a balancer holds this VM's list of agents.
+	// WantTables requests newer tables as they come; without it the node is only told the
+	// newest version. A node requests tables from one VM at a time.
+	WantTables bool `msg:"w"`
+	// Epoch and Number identify the state of this VM's list that a balancer has.
 	Epoch  uint64 `msg:"e"`
 	Number uint64 `msg:"n"`
-	// Evacuations is the revision of the evacuations held.
+	// Evacuations is the revision of the evacuations in force at the node.
 	Evacuations uint64 `msg:"x"`
 }
 
-// Retire says that an agent ends and its target is gone.
+// Retire announces that an agent ends together with its target.
 type Retire struct {
-	// Moved says that the agent goes on, and other control VMs list it.
+	// Moved means that the agent keeps running and that other control VMs list it.
 	Moved bool `msg:"m"`
 }
 
-// Entry is an agent on a VM's list.
+// AgentEntry is an agent on a VM's list.
 //
-//msgp:tuple Entry
-type Entry struct {
-	// At is where it takes datagrams.
+//msgp:tuple AgentEntry
+type AgentEntry struct {
+	// At is where the agent receives datagrams.
 	At packet.Endpoint
-	// Zone is the index of its data centre in the listing.
+	// Zone is the index of its data centre in ListUpdate.Zones.
 	Zone    uint16
 	Service uint64
 	Process uint64
 }
 
-// Listing is what changed in a VM's list of agents, or all of it.
-type Listing struct {
-	// Epoch is random for each process of the VM; Number counts its changes.
+// ListUpdate holds the changes of a VM's list of agents, or the whole list.
+type ListUpdate struct {
+	// Epoch is random for each process of the VM; Number counts the list's changes.
 	Epoch  uint64 `msg:"e"`
 	Number uint64 `msg:"n"`
-	// Whole says that the list begins anew.
-	Whole bool `msg:"w"`
-	// Zones are the data centres that entries name.
+	// Full means that the update holds the whole list and replaces the old one.
+	Full bool `msg:"w"`
+	// Zones are the data centres that entries refer to by index.
 	Zones   []string          `msg:"z"`
-	Present []Entry           `msg:"p"`
+	Present []AgentEntry      `msg:"p"`
 	Gone    []packet.Endpoint `msg:"g"`
-	// Retired are gone with their targets: no flow can be open there.
+	// Retired are gone together with their targets, so no flow is open there.
 	Retired []packet.Endpoint `msg:"r"`
 }
 
-// Evacuated is which data centres take no new flows, whole: there are few.
-type Evacuated struct {
+// EvacuatedZones holds all data centres that take no new flows; they are few.
+type EvacuatedZones struct {
 	Revision uint64   `msg:"r"`
 	Zones    []string `msg:"z"`
 }
 
-// Update answers a beat, and is sent unasked when something changes.
+// Update answers a heartbeat, and is also sent when something changes.
 type Update struct {
-	// Version is the newest known to be agreed on, 0 for none or if the VM
-	// hasn't been in touch with a quorum since the stream began.
+	// Version is the newest committed version that the VM knows of. It is 0 if there is
+	// none, or if the VM has had no contact with a quorum since the stream began.
 	Version uint64 `msg:"v"`
-	// Confirmed says that the VM has been.
+	// Confirmed means that the VM has had contact with a quorum since the stream began.
 	Confirmed bool `msg:"c"`
-	// Lean is the encoded route.Lean from the node's version on, or of all routes, if
-	// there is a newer one and it is wanted.
-	Lean []byte `msg:"l"`
-	// List is what a balancer lacks of the VM's list of agents.
-	List *Listing `msg:"n"`
-	// Evacuated is there if the node holds an older revision.
-	Evacuated *Evacuated `msg:"x"`
-	// Controls are the IP numbers of all control VMs.
+	// Table is the encoded route.TableUpdate from the node's version on, or with all
+	// routes. It is set if there is a newer version and the node wants tables.
+	Table []byte `msg:"l"`
+	// List holds the changes of the VM's list of agents that a balancer lacks.
+	List *ListUpdate `msg:"n"`
+	// Evacuated is set if the node has an older revision.
+	Evacuated *EvacuatedZones `msg:"x"`
+	// Controls are the IP addresses of all control VMs.
 	Controls []string `msg:"m"`
-	// ContactAgeMS is how long ago the VM was in touch with a quorum.
+	// ContactAgeMS is the time since the VM's last contact with a quorum, in
+	// milliseconds.
 	ContactAgeMS int64 `msg:"a"`
 }
--- a/internal/passthrough/membership/messages_gen.go
+++ b/internal/passthrough/membership/messages_gen.go
@@ -9,95 +9,7 @@
 )
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Beat) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
-	// string "v"
-	o = append(o, 0x85, 0xa1, 0x76)
-	o = msgp.AppendUint64(o, z.Version)
-	// string "w"
-	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendBool(o, z.Want)
-	// string "e"
-	o = append(o, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.Epoch)
-	// string "n"
-	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.Number)
-	// string "x"
-	o = append(o, 0xa1, 0x78)
-	o = msgp.AppendUint64(o, z.Evacuations)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Beat) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "v":
-			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Version")
-				return
-			}
-		case "w":
-			z.Want, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Want")
-				return
-			}
-		case "e":
-			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "n":
-			z.Number, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Number")
-				return
-			}
-		case "x":
-			z.Evacuations, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Evacuations")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Beat) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.BoolSize + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Entry) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *AgentEntry) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 4
 	o = append(o, 0x94)
@@ -113,7 +25,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Entry) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AgentEntry) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -149,13 +61,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Entry) Msgsize() (s int) {
+func (z *AgentEntry) Msgsize() (s int) {
 	s = 1 + z.At.Msgsize() + msgp.Uint16Size + msgp.Uint64Size + msgp.Uint64Size
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Evacuated) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *EvacuatedZones) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "r"
@@ -171,7 +83,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Evacuated) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *EvacuatedZones) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -226,7 +138,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Evacuated) Msgsize() (s int) {
+func (z *EvacuatedZones) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Zones {
 		s += msgp.StringPrefixSize + len(z.Zones[za0001])
@@ -234,6 +146,94 @@
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z *Heartbeat) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 5
+	// string "v"
+	o = append(o, 0x85, 0xa1, 0x76)
+	o = msgp.AppendUint64(o, z.Version)
+	// string "w"
+	o = append(o, 0xa1, 0x77)
+	o = msgp.AppendBool(o, z.WantTables)
+	// string "e"
+	o = append(o, 0xa1, 0x65)
+	o = msgp.AppendUint64(o, z.Epoch)
+	// string "n"
+	o = append(o, 0xa1, 0x6e)
+	o = msgp.AppendUint64(o, z.Number)
+	// string "x"
+	o = append(o, 0xa1, 0x78)
+	o = msgp.AppendUint64(o, z.Evacuations)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Heartbeat) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "v":
+			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Version")
+				return
+			}
+		case "w":
+			z.WantTables, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "WantTables")
+				return
+			}
+		case "e":
+			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Epoch")
+				return
+			}
+		case "n":
+			z.Number, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Number")
+				return
+			}
+		case "x":
+			z.Evacuations, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Evacuations")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *Heartbeat) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.BoolSize + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z *Hello) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -247,9 +247,9 @@
 	}
 	// string "b"
 	o = append(o, 0xa1, 0x62)
-	o, err = z.Beat.MarshalMsg(o)
+	o, err = z.Heartbeat.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Beat")
+		err = msgp.WrapError(err, "Heartbeat")
 		return
 	}
 	return
@@ -280,9 +280,9 @@
 				return
 			}
 		case "b":
-			bts, err = z.Beat.UnmarshalMsg(bts)
+			bts, err = z.Heartbeat.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Beat")
+				err = msgp.WrapError(err, "Heartbeat")
 				return
 			}
 		default:
@@ -299,12 +299,12 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Hello) Msgsize() (s int) {
-	s = 1 + 2 + z.Node.Msgsize() + 2 + z.Beat.Msgsize()
+	s = 1 + 2 + z.Node.Msgsize() + 2 + z.Heartbeat.Msgsize()
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Listing) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *ListUpdate) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 7
 	// string "e"
@@ -315,7 +315,7 @@
 	o = msgp.AppendUint64(o, z.Number)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendBool(o, z.Whole)
+	o = msgp.AppendBool(o, z.Full)
 	// string "z"
 	o = append(o, 0xa1, 0x7a)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Zones)))
@@ -356,7 +356,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Listing) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ListUpdate) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -386,9 +386,9 @@
 				return
 			}
 		case "w":
-			z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+			z.Full, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Whole")
+				err = msgp.WrapError(err, "Full")
 				return
 			}
 		case "z":
@@ -420,7 +420,7 @@
 			if cap(z.Present) >= int(zb0003) {
 				z.Present = (z.Present)[:zb0003]
 			} else {
-				z.Present = make([]Entry, zb0003)
+				z.Present = make([]AgentEntry, zb0003)
 			}
 			for za0002 := range z.Present {
 				bts, err = z.Present[za0002].UnmarshalMsg(bts)
@@ -480,7 +480,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Listing) Msgsize() (s int) {
+func (z *ListUpdate) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Zones {
 		s += msgp.StringPrefixSize + len(z.Zones[za0001])
@@ -684,7 +684,7 @@
 	o = msgp.AppendBool(o, z.Confirmed)
 	// string "l"
 	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendBytes(o, z.Lean)
+	o = msgp.AppendBytes(o, z.Table)
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
 	if z.List == nil {
@@ -755,9 +755,9 @@
 				return
 			}
 		case "l":
-			z.Lean, bts, err = msgp.ReadBytesBytes(bts, z.Lean)
+			z.Table, bts, err = msgp.ReadBytesBytes(bts, z.Table)
 			if err != nil {
-				err = msgp.WrapError(err, "Lean")
+				err = msgp.WrapError(err, "Table")
 				return
 			}
 		case "n":
@@ -769,7 +769,7 @@
 				z.List = nil
 			} else {
 				if z.List == nil {
-					z.List = new(Listing)
+					z.List = new(ListUpdate)
 				}
 				bts, err = z.List.UnmarshalMsg(bts)
 				if err != nil {
@@ -786,7 +786,7 @@
 				z.Evacuated = nil
 			} else {
 				if z.Evacuated == nil {
-					z.Evacuated = new(Evacuated)
+					z.Evacuated = new(EvacuatedZones)
 				}
 				var zb0002 uint32
 				zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
@@ -875,7 +875,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Update) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.BoolSize + 2 + msgp.BytesPrefixSize + len(z.Lean) + 2
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.BoolSize + 2 + msgp.BytesPrefixSize + len(z.Table) + 2
 	if z.List == nil {
 		s += msgp.NilSize
 	} else {
--- a/internal/passthrough/membership/server.go
+++ b/internal/passthrough/membership/server.go
@@ -1,12 +1,12 @@
-// Package membership is the stream between the nodes that carry pass-through flows
-// and the control VMs: which definition is in force, which nodes there are, and
-// which control VMs.
+// Package membership implements the streams between the nodes that carry pass-through
+// flows and the control VMs. They tell nodes which definition is in force, which nodes
+// exist, and which control VMs.
 //
-// A balancer keeps a stream to every control VM, an agent to two that it chooses by a
-// hash, and to others while these aren't heard. A VM that is cut off, frozen or behind
-// then costs nothing: nodes take the highest version that any of them has, and the list
-// of agents is the union of what they say. The table itself is sent on one stream only,
-// and of the list only what changed.
+// A balancer keeps a stream to every control VM. An agent keeps streams to two, chosen by
+// rendezvous hashing, and to further ones while these aren't heard. A VM that is cut off,
+// frozen or behind does no harm: nodes use the highest version that any VM has, and the
+// list of agents is the union of the VMs' lists. The table is sent over one stream only,
+// and the list as changes.
 package membership
 
 import (
@@ -27,78 +27,78 @@
 )
 
 const (
-	// BeatInterval is the time between a node's beats. A node that fell silent
-	// is noticed after beatPatience.
-	BeatInterval = 400 * time.Millisecond
-	// beatPatience ends a stream over which nothing came; a stream that went
-	// silent without a reset is otherwise kept for the kernel's retransmission
-	// time, a quarter of an hour.
-	beatPatience = 2 * time.Second
-	writeTimeout = time.Second
-	// pushPause is the least time between two updates sent unasked, so that a
-	// storm of versions costs ten tables a second and not one for each.
-	pushPause = 100 * time.Millisecond
-	// frameLimit bounds an update; 2,100 routes take 200 kB.
-	frameLimit = 8 << 20
-	// lingering is how long a node whose streams ended stays listed. An agent that is
-	// cut off from control but not from clients goes on holding flows, and a balancer
-	// that starts meanwhile must ask it.
-	lingering = 12 * time.Second
-	// maxStreams bounds the nodes of one control VM.
+	// HeartbeatInterval is the time between a node's heartbeats. A silent node is
+	// detected after streamTimeout.
+	HeartbeatInterval = 400 * time.Millisecond
+	// streamTimeout ends a stream that delivers nothing. A stream that fell silent
+	// without a reset would otherwise stay open for the kernel's retransmission timeout,
+	// a quarter of an hour.
+	streamTimeout = 2 * time.Second
+	writeTimeout  = time.Second
+	// pushInterval is the minimum time between two unsolicited updates, so that a burst
+	// of versions costs ten tables a second instead of one for each version.
+	pushInterval = 100 * time.Millisecond
+	// maxFrameBytes bounds an update; 2,100 routes take 200 kB.
+	maxFrameBytes = 8 << 20
+	// delistDelay is how long a node stays listed after its last stream ended. An agent
+	// that is cut off from the control VMs but not from clients still holds flows, and a
+	// balancer that starts meanwhile must query it.
+	delistDelay = 12 * time.Second
+	// maxStreams bounds the streams of one control VM.
 	maxStreams = 3_000
-	// confirmPatience bounds one question whether the VM is current.
-	confirmPatience = time.Second
+	// barrierTimeout bounds one check that the VM is up to date.
+	barrierTimeout = time.Second
 )
 
-// Source is what a server tells nodes of.
+// Source is the control VM's state that a server reports to nodes.
 type Source interface {
-	// Barrier returns nil once the store is as new as every accepted version.
+	// Barrier returns nil once the store holds every accepted version.
 	Barrier(ctx context.Context) error
-	// ContactAge is how long ago this VM was in touch with a quorum.
+	// ContactAge returns the time since this VM's last contact with a quorum.
 	ContactAge() time.Duration
-	// Controls returns the IP numbers of all control VMs.
+	// Controls returns the IP addresses of all control VMs.
 	Controls() []string
 }
 
-// FlowKeeper remembers the flows that agents tell of.
-type FlowKeeper interface {
+// FlowStore stores the flows that agents report.
+type FlowStore interface {
 	Apply(u flowlog.Update)
 	Recall(agent string) (flowlog.Update, bool)
 }
 
-// ServerConfig sets a server up.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	Store   *route.Store
 	Source  Source
-	Flows   FlowKeeper
+	Flows   FlowStore
 	Log     logrus.FieldLogger
 	Metrics *metrics.Set
 }
 
-// Server serves nodes' streams.
+// Server serves the nodes' streams.
 type Server struct {
 	cfg ServerConfig
 
 	mu        sync.Mutex
-	nodes     map[string]*listed
+	nodes     map[string]*member
 	directory *directory
 	changed   chan struct{}
 	streams   int
 }
 
-// listed is a node with its streams' state.
-type listed struct {
+// member is a listed node with the state of its streams.
+type member struct {
 	node    Node
 	streams int
-	// goneAt is when its last stream ended.
-	goneAt time.Time
-	// retired says that the node ends with its target, or has gone over to other VMs.
+	// lastStreamEnd is when a stream last ended.
+	lastStreamEnd time.Time
+	// retired means that the node ended together with its target, or moved to other VMs.
 	retired bool
 }
 
 // NewServer returns a server without nodes.
 func NewServer(cfg ServerConfig) *Server {
-	s := &Server{cfg: cfg, nodes: map[string]*listed{}, directory: newDirectory(), changed: make(chan struct{})}
+	s := &Server{cfg: cfg, nodes: map[string]*member{}, directory: newDirectory(), changed: make(chan struct{})}
 	cfg.Metrics.Gauge("nodes_listed", func() int64 {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -107,11 +107,11 @@
 	return s
 }
 
-// Serve takes streams until ctx is done.
+// Serve accepts streams until ctx is done.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() })
 	defer stop()
-	go s.forgetGone(ctx)
+	go s.expireNodes(ctx)
 	var streams sync.WaitGroup
 	defer streams.Wait()
 	for {
@@ -123,8 +123,8 @@
 			if errors.Is(err, net.ErrClosed) {
 				return errors.Wrap(err, "membership: accept")
 			}
-			s.cfg.Log.WithError(err).Warn("membership: accept")
-			time.Sleep(pushPause) // out of file descriptors, most likely
+			s.cfg.Log.WithError(err).Warn("membership: accept failed; retrying")
+			time.Sleep(pushInterval) // most likely out of file descriptors
 			continue
 		}
 		streams.Add(1)
@@ -140,39 +140,39 @@
 	defer raw.Close()
 	stop := context.AfterFunc(ctx, func() { _ = raw.Close() })
 	defer stop()
-	conn := framing.NewConn(raw, frameLimit, writeTimeout)
+	conn := framing.NewConn(raw, maxFrameBytes, writeTimeout)
 	hello, err := readHello(conn)
 	if err != nil {
-		s.cfg.Log.WithError(err).WithField("address", raw.RemoteAddr().String()).Debug("membership: no hello")
+		s.cfg.Log.WithError(err).WithField("address", raw.RemoteAddr().String()).Debug("membership: stream closed: no valid hello")
 		return
 	}
-	if !s.enter(hello.Node) {
+	if !s.streamStarted(hello.Node) {
 		s.cfg.Metrics.Counter("streams_refused").Add(1)
 		return
 	}
-	defer s.leave(hello.Node)
+	defer s.streamEnded(hello.Node)
 	if err := s.recall(conn, hello.Node); err != nil {
 		return
 	}
-	p := &pusher{server: s, conn: conn, role: hello.Node.Role, beats: make(chan Beat, 1), beat: hello.Beat}
+	p := &pusher{server: s, conn: conn, role: hello.Node.Role, heartbeats: make(chan Heartbeat, 1), heartbeat: hello.Heartbeat}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go p.run(ctx, raw)
 	for {
-		beat, err := s.nextBeat(conn, hello.Node)
+		heartbeat, err := s.nextHeartbeat(conn, hello.Node)
 		if err != nil {
 			return
 		}
 		select {
-		case p.beats <- beat:
+		case p.heartbeats <- heartbeat:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// recall tells an agent which flows were held at its address when it was last
-// heard, before anything that it tells replaces them.
+// recall sends an agent the flows that were last reported for its address, before the
+// agent's own reports replace them.
 func (s *Server) recall(conn *framing.Conn, n Node) error {
 	if n.Role != Agent {
 		return nil
@@ -185,32 +185,33 @@
 	return err
 }
 
-// nextBeat waits for a beat; flows that come before it are noted.
-func (s *Server) nextBeat(conn *framing.Conn, n Node) (Beat, error) {
+// nextHeartbeat waits for a heartbeat. Flow reports and retirements that arrive first are
+// processed.
+func (s *Server) nextHeartbeat(conn *framing.Conn, n Node) (Heartbeat, error) {
 	for {
 		f, err := read(conn)
 		if err != nil {
-			return Beat{}, err
+			return Heartbeat{}, err
 		}
 		switch f.Kind {
-		case kindBeat:
-			var b Beat
+		case kindHeartbeat:
+			var b Heartbeat
 			return b, f.Decode(&b)
 		case kindFlows:
 			var u flowlog.Update
 			if err := f.Decode(&u); err != nil {
-				return Beat{}, err
+				return Heartbeat{}, err
 			}
-			u.Agent = n.Address // an agent speaks for itself
+			u.Agent = n.Address // an agent reports only its own flows
 			s.cfg.Flows.Apply(u)
 		case kindRetire:
 			var x Retire
 			if err := f.Decode(&x); err != nil {
-				return Beat{}, err
+				return Heartbeat{}, err
 			}
 			s.retire(n, x.Moved)
 		default:
-			return Beat{}, errors.Errorf("membership: frame kind %d", f.Kind)
+			return Heartbeat{}, errors.Errorf("membership: unexpected frame kind %d", f.Kind)
 		}
 	}
 }
@@ -222,20 +223,22 @@
 		return h, err
 	}
 	if f.Kind != kindHello {
-		return h, errors.Errorf("membership: frame kind %d", f.Kind)
+		return h, errors.Errorf("membership: unexpected frame kind %d", f.Kind)
 	}
 	return h, f.Decode(&h)
 }
 
-// read waits for one frame; a stream over which nothing comes fails.
+// read waits for one frame; it fails if nothing arrives within streamTimeout.
 func read(conn *framing.Conn) (framing.Frame, error) {
-	if err := conn.Raw().SetReadDeadline(time.Now().Add(beatPatience)); err != nil {
+	if err := conn.Raw().SetReadDeadline(time.Now().Add(streamTimeout)); err != nil {
 		return framing.Frame{}, errors.Wrap(err, "membership: read deadline")
 	}
 	return conn.Read()
 }
 
-func (s *Server) enter(n Node) bool {
+// streamStarted registers a stream and lists its node. It returns false if the limit on
+// streams is reached.
+func (s *Server) streamStarted(n Node) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.streams >= maxStreams {
@@ -244,7 +247,7 @@
 	s.streams++
 	l := s.nodes[n.Address]
 	if l == nil {
-		l = &listed{}
+		l = &member{}
 		s.nodes[n.Address] = l
 	}
 	l.streams++
@@ -257,72 +260,72 @@
 	return true
 }
 
-func (s *Server) leave(n Node) {
+func (s *Server) streamEnded(n Node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.streams--
 	if l := s.nodes[n.Address]; l != nil {
 		l.streams--
-		l.goneAt = time.Now()
+		l.lastStreamEnd = time.Now()
 	}
 }
 
-// forgetGone takes nodes off the list whose streams ended a while ago.
-func (s *Server) forgetGone(ctx context.Context) {
-	ticker := time.NewTicker(BeatInterval)
+// expireNodes periodically removes nodes whose streams have ended.
+func (s *Server) expireNodes(ctx context.Context) {
+	ticker := time.NewTicker(HeartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			s.dropGone()
+			s.dropExpired()
 		}
 	}
 }
 
-func (s *Server) dropGone() {
+func (s *Server) dropExpired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for address, l := range s.nodes {
-		if l.streams == 0 && (l.retired || time.Since(l.goneAt) > lingering) {
+		if l.streams == 0 && (l.retired || time.Since(l.lastStreamEnd) > delistDelay) {
 			delete(s.nodes, address)
 			if !l.retired {
 				s.unlist(l.node, false)
 			}
-			events.Log(s.cfg.Log, events.NodeDelisted, logrus.Fields{"node": address, "role": l.node.Role.String(), "silent": time.Since(l.goneAt).String()})
+			events.Log(s.cfg.Log, events.NodeDelisted, logrus.Fields{"node": address, "role": l.node.Role.String(), "silent": time.Since(l.lastStreamEnd).String()})
 		}
 	}
 }
 
-// list puts an agent on the list and wakes the balancers' streams; the lock is held.
+// list adds an agent to the list and notifies the balancers' streams; the lock is held.
 func (s *Server) list(n Node) {
 	if n.Role != Agent {
 		return
 	}
 	address, err := netip.ParseAddrPort(n.Address)
 	if err != nil {
-		s.cfg.Log.WithError(err).Warn("membership: a node's address can't be read")
+		s.cfg.Log.WithError(err).Warn("membership: node not listed: invalid address")
 		return
 	}
 	s.directory.put(address, n)
-	s.wake()
+	s.notifyListChanged()
 }
 
-// unlist takes an agent off the list; retired says that its target is gone. The lock is
-// held.
+// unlist removes an agent from the list; retired means that it ended together with its
+// target. The lock is held.
 func (s *Server) unlist(n Node, retired bool) {
 	if n.Role != Agent {
 		return
 	}
 	if address, err := netip.ParseAddrPort(n.Address); err == nil {
 		s.directory.remove(address, retired)
-		s.wake()
+		s.notifyListChanged()
 	}
 }
 
-// retire takes an agent off the list whose target is gone, or that goes over to other
-// control VMs, before its stream ends.
+// retire removes an agent from the list before its stream ends, because it ends together
+// with its target or moves to other control VMs.
 func (s *Server) retire(n Node, moved bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -334,8 +337,8 @@
 	s.unlist(n, !moved)
 }
 
-// wake has the balancers' streams look at the list; the lock is held.
-func (s *Server) wake() {
+// notifyListChanged notifies the balancers' streams; the lock is held.
+func (s *Server) notifyListChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -346,21 +349,21 @@
 	return s.changed
 }
 
-// listing is what a balancer lacks of the list.
-func (s *Server) listing(b Beat) *Listing {
+// listUpdate returns the changes of the list that a balancer lacks.
+func (s *Server) listUpdate(b Heartbeat) *ListUpdate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.directory.since(b.Epoch, b.Number)
 }
 
-// pusher sends one node its updates.
+// pusher sends updates to one node.
 type pusher struct {
-	server *Server
-	conn   *framing.Conn
-	role   Role
-	beats  chan Beat
-	// beat is the node's last, with what was sent since.
-	beat      Beat
+	server     *Server
+	conn       *framing.Conn
+	role       Role
+	heartbeats chan Heartbeat
+	// heartbeat is the node's last, updated with what was sent since.
+	heartbeat Heartbeat
 	confirmed bool
 }
 
@@ -368,18 +371,18 @@
 	defer raw.Close()
 	confirmed := make(chan struct{})
 	go p.server.confirm(ctx, confirmed)
-	// A VM in touch with a quorum is confirmed within a round trip, and its first
-	// update then has the table.
+	// A VM in contact with a quorum is confirmed within a round trip, so that its first
+	// update contains the table.
 	select {
 	case <-confirmed:
 		p.confirmed = true
 		confirmed = nil
-	case <-time.After(pushPause):
+	case <-time.After(pushInterval):
 	case <-ctx.Done():
 		return
 	}
 	for {
-		var listChanged <-chan struct{} // agents aren't woken by it
+		var listChanged <-chan struct{} // nil for agents: they don't get the list
 		if p.role == Balancer {
 			listChanged = p.server.listChanged()
 		}
@@ -387,11 +390,11 @@
 		if err := p.push(); err != nil {
 			return
 		}
-		// A storm's versions are gathered; a beat is answered at once.
+		// Versions of a burst are combined; a heartbeat is answered at once.
 		select {
-		case <-time.After(pushPause):
-		case b := <-p.beats:
-			p.beat = b
+		case <-time.After(pushInterval):
+		case b := <-p.heartbeats:
+			p.heartbeat = b
 			continue
 		case <-confirmed:
 			p.confirmed = true
@@ -401,8 +404,8 @@
 			return
 		}
 		select {
-		case b := <-p.beats:
-			p.beat = b
+		case b := <-p.heartbeats:
+			p.heartbeat = b
 		case <-confirmed:
 			p.confirmed = true
 			confirmed = nil
@@ -414,55 +417,55 @@
 	}
 }
 
-// confirm closes done once the VM has been in touch with a quorum. A node that
-// starts must not serve by an older definition than one that was in force
-// before, and a VM that is cut off doesn't know whether it has one.
+// confirm closes done once the VM has had contact with a quorum. A node that starts must
+// not serve by an older definition than one that was in force before, and a VM that is
+// cut off can't know whether its definition is the newest.
 func (s *Server) confirm(ctx context.Context, done chan<- struct{}) {
 	for ctx.Err() == nil {
-		once, cancel := context.WithTimeout(ctx, confirmPatience)
+		once, cancel := context.WithTimeout(ctx, barrierTimeout)
 		err := s.cfg.Source.Barrier(once)
 		cancel()
 		if err == nil {
 			close(done)
 			return
 		}
-		time.Sleep(pushPause)
+		time.Sleep(pushInterval)
 	}
 }
 
-// push sends what the node lacks.
+// push sends the node what it lacks.
 func (p *pusher) push() error {
 	u := Update{
 		Confirmed: p.confirmed, Controls: p.server.cfg.Source.Controls(),
 		ContactAgeMS: p.server.cfg.Source.ContactAge().Milliseconds(),
 	}
 	if p.role == Balancer {
-		u.List = p.server.listing(p.beat)
+		u.List = p.server.listUpdate(p.heartbeat)
 	}
 	if state := p.server.cfg.Store.Current(); state != nil && p.confirmed {
 		u.Version = uint64(state.Definition.Version)
-		if p.beat.Want && u.Version > p.beat.Version {
-			lean, err := state.Since(route.Version(p.beat.Version))
+		if p.heartbeat.WantTables && u.Version > p.heartbeat.Version {
+			update, err := state.Since(route.Version(p.heartbeat.Version))
 			if err != nil {
 				return err
 			}
-			u.Lean = lean
+			u.Table = update
 		}
 	}
-	if e := p.server.cfg.Store.Evacuations(); p.confirmed && e.Revision > p.beat.Evacuations {
-		u.Evacuated = &Evacuated{Revision: e.Revision, Zones: e.Evacuated()}
+	if e := p.server.cfg.Store.Evacuations(); p.confirmed && e.Revision > p.heartbeat.Evacuations {
+		u.Evacuated = &EvacuatedZones{Revision: e.Revision, Zones: e.Evacuated()}
 	}
 	if _, err := p.conn.Write(kindUpdate, &u); err != nil {
 		return err
 	}
 	if u.List != nil {
-		p.beat.Epoch, p.beat.Number = u.List.Epoch, u.List.Number
+		p.heartbeat.Epoch, p.heartbeat.Number = u.List.Epoch, u.List.Number
 	}
-	if u.Lean != nil {
-		p.beat.Version = u.Version
+	if u.Table != nil {
+		p.heartbeat.Version = u.Version
 	}
 	if u.Evacuated != nil {
-		p.beat.Evacuations = u.Evacuated.Revision
+		p.heartbeat.Evacuations = u.Evacuated.Revision
 	}
 	return nil
 }
