--- a/internal/passthrough/control/control.go
+++ b/internal/passthrough/control/control.go
@@ -1,10 +1,9 @@
-// Package control runs a control VM for pass-through traffic: a replica of the
-// log that holds the definition with the highest version, what operators ask of
-// it, and the nodes' streams.
+// Package control runs a control VM for pass-through traffic: a replica of the log that
+// holds the definition with the highest version, the operators' requests, and the nodes'
+// streams.
 //
-// A replica that has failed, as when its disk was full, is opened anew without
-// ending the process: streams stay open meanwhile, and operators are told to try
-// another VM.
+// A replica that fails, for example because its disk is full, is reopened without ending
+// the process. Meanwhile streams stay open, and operators are told to try another VM.
 package control
 
 import (
@@ -33,55 +32,54 @@
 )
 
 const (
-	// reopenPause is the wait before a failed replica is opened anew. A full
-	// disk stays full for seconds, and each try costs a few writes.
-	reopenPause = 300 * time.Millisecond
-	// commandLimit bounds a definition with its document. 2,100 routes take
-	// about 1 MB.
-	commandLimit = 8 << 20
-	// snapshotEvery and keepEntries bound the log. An entry holds a whole
-	// definition, 200 kB at 600 routes, and all are read and written anew at a
-	// start, while nodes wait for their table.
+	// reopenDelay is the delay before a failed replica is reopened. A full disk stays
+	// full for seconds, and each attempt costs a few writes.
+	reopenDelay = 300 * time.Millisecond
+	// maxCommandBytes bounds a definition with its document, which is about 1 MB for 2,100
+	// routes.
+	maxCommandBytes = 8 << 20
+	// snapshotEvery and keepEntries bound the log, in entries. An entry holds a whole
+	// definition, 200 kB at 600 routes, and at a start all entries are read and rewritten
+	// while nodes wait for their table.
 	snapshotEvery = 8
 	keepEntries   = 4
-	// replaceAfter is the silence after which a control VM that comes back with
-	// an empty disk takes its old place. Ten heartbeats; see replica.Upkeep.
+	// replaceAfter is the silence after which a control VM that returns with an empty
+	// disk may replace its former member. It is ten heartbeats; see replica.Upkeep.
 	replaceAfter = time.Second
-	// contactWait bounds how long a starting VM lets nodes wait until it is in touch
-	// with a quorum; contactPoll is how often it looks. Past it nodes are served all
-	// the same: a VM that is cut off still lists the agents that it hears.
-	contactWait = time.Second
-	contactPoll = 5 * time.Millisecond
-	// evictAfter is the silence after which a VM stops counting where more than
-	// three others vote: a VM whose successor came first and that then went for
-	// good. The platform lets the next loss come four seconds after.
+	// maxContactWait bounds how long nodes wait until a starting VM has contact with a
+	// quorum, and contactPollInterval is how often that is checked. Afterwards nodes are
+	// served in any case: a VM that is cut off still lists the agents that reach it.
+	maxContactWait      = time.Second
+	contactPollInterval = 5 * time.Millisecond
+	// evictAfter is the silence after which a VM is removed from the members if more than
+	// three others vote. It covers a VM that fails for good after its successor has
+	// joined. On the platform, the next VM may fail four seconds later.
 	evictAfter = 3500 * time.Millisecond
 )
 
-// Errors for operators.
+// Errors returned to operators.
 var (
-	// ErrUnavailable means that this VM can't tell or do it now; another may.
+	// ErrUnavailable means that this VM can't answer or act now; another one may.
 	ErrUnavailable = errors.New("control: no contact with a quorum")
-	// ErrNone means that no definition has been accepted yet.
-	ErrNone = errors.New("control: no definition yet")
+	// ErrNoDefinition means that no definition has been accepted yet.
+	ErrNoDefinition = errors.New("control: no definition yet")
 )
 
-// Config sets a control VM up.
+// Config configures a Control.
 type Config struct {
 	Name string
-	// IP is the VM's own.
+	// IP is the VM's own address.
 	IP netip.Addr
-	// Folder holds the VM's durable state.
+	// Folder is the directory of the VM's durable state.
 	Folder string
-	// ReplicaPort and StreamPort are where replicas and nodes connect, the same
-	// at every control VM.
+	// ReplicaPort and StreamPort are the TCP ports for replicas and nodes, the same at
+	// every control VM.
 	ReplicaPort, StreamPort uint16
-	// Seeds returns the IP numbers of control VMs that settings tell of now.
+	// Seeds returns the IP addresses of the control VMs in the current settings.
 	Seeds func() []string
-	// FirstStart is set when the whole system starts for the first time.
+	// FirstStart is set if the whole system starts for the first time.
 	FirstStart bool
-	// ResendWindow is how long operators send an evacuation order again whose answer
-	// they lack.
+	// ResendWindow is how long operators resend an evacuation order that got no answer.
 	ResendWindow time.Duration
 	Log          logrus.FieldLogger
 	Metrics      *metrics.Set
@@ -92,7 +90,8 @@
 	cfg     Config
 	store   *route.Store
 	replica atomic.Pointer[replica.Replica]
-	opened  int
+	// openCount counts the attempts to open a replica.
+	openCount int
 }
 
 // New returns a control VM; Run starts it.
@@ -115,10 +114,10 @@
 	c.cfg.Metrics.Gauge("definition_version", func() int64 { return int64(c.store.Version()) })
 	c.cfg.Metrics.Gauge("evacuated_zones", func() int64 { return int64(len(c.Evacuated())) })
 	group, ctx := errgroup.WithContext(ctx)
-	tried := make(chan struct{})
-	group.Go(func() error { return c.keepReplica(ctx, tried) })
+	attempted := make(chan struct{})
+	group.Go(func() error { return c.keepReplica(ctx, attempted) })
 	group.Go(func() error {
-		<-tried
+		<-attempted
 		c.awaitContact(ctx)
 		return server.Serve(ctx, streams)
 	})
@@ -129,47 +128,47 @@
 	return group.Wait()
 }
 
-// awaitContact waits until this VM is in touch with a quorum, but not for long. After
-// all lost power every node attaches to every control VM at once; served first, they
-// take the processor time that the election needs, and can be told of no table before
-// it. Their connections wait in the listener's queue.
+// awaitContact waits until this VM has contact with a quorum, for at most maxContactWait.
+// After a full power failure every node attaches to every control VM at once. Serving
+// them first takes processor time from the election, and no table can be sent before it
+// ends. Their connections wait in the listener's queue.
 func (c *Control) awaitContact(ctx context.Context) {
-	for end := time.Now().Add(contactWait); time.Now().Before(end) && ctx.Err() == nil; {
-		if c.ContactAge() < contactWait {
+	for end := time.Now().Add(maxContactWait); time.Now().Before(end) && ctx.Err() == nil; {
+		if c.ContactAge() < maxContactWait {
 			return
 		}
-		wait.For(ctx, contactPoll)
+		wait.For(ctx, contactPollInterval)
 	}
 }
 
-// keepReplica keeps a replica open until ctx is done; tried is closed once it was
-// opened, or couldn't be.
-func (c *Control) keepReplica(ctx context.Context, tried chan<- struct{}) error {
-	first := sync.OnceFunc(func() { close(tried) })
-	defer first()
+// keepReplica keeps a replica open until ctx is done. attempted is closed after the first
+// attempt to open one.
+func (c *Control) keepReplica(ctx context.Context, attempted chan<- struct{}) error {
+	reportAttempt := sync.OnceFunc(func() { close(attempted) })
+	defer reportAttempt()
 	for ctx.Err() == nil {
 		r, err := c.open()
-		first()
+		reportAttempt()
 		if err != nil {
-			c.cfg.Log.WithError(err).Error("control: open replica")
-			wait.For(ctx, reopenPause)
+			c.cfg.Log.WithError(err).Error("control: opening the replica failed; retrying")
+			wait.For(ctx, reopenDelay)
 			continue
 		}
 		c.replica.Store(r)
 		c.watch(ctx, r)
 		c.replica.Store(nil)
 		if err := r.Close(); err != nil {
-			c.cfg.Log.WithError(err).Error("control: close replica")
+			c.cfg.Log.WithError(err).Error("control: closing the replica failed")
 		}
 		if ctx.Err() == nil {
-			c.afterFailure(r.Err())
-			wait.For(ctx, reopenPause)
+			c.handleFailure(r.Err())
+			wait.For(ctx, reopenDelay)
 		}
 	}
 	return nil
 }
 
-// watch waits for the replica's end and keeps its seeds up to date.
+// watch updates the replica's peers from the seeds until the replica ends or ctx is done.
 func (c *Control) watch(ctx context.Context, r *replica.Replica) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -187,22 +186,22 @@
 
 func (c *Control) open() (*replica.Replica, error) {
 	address := netip.AddrPortFrom(c.cfg.IP, c.cfg.ReplicaPort).String()
-	c.opened++
+	c.openCount++
 	return replica.Open(replica.Config{
 		Folder: c.folder(), Name: c.cfg.Name, Listen: address, Advertise: address, Peers: c.peers(),
-		Bootstrap: c.bootstraps() && c.opened == 1,
+		Bootstrap: c.bootstraps() && c.openCount == 1,
 		Upkeep:    replica.Upkeep{ReplaceAfter: replaceAfter, EvictAfter: evictAfter},
-		// A log of whole definitions is short.
-		SnapshotEvery: snapshotEvery, KeepEntries: keepEntries, CommandLimit: commandLimit,
+		// The log is kept short because its entries are whole definitions.
+		SnapshotEvery: snapshotEvery, KeepEntries: keepEntries, CommandLimit: maxCommandBytes,
 		Log: c.cfg.Log, Metrics: c.cfg.Metrics,
 	}, c.store)
 }
 
 func (c *Control) folder() string { return filepath.Join(c.cfg.Folder, "replica") }
 
-// bootstraps tells whether this VM makes the cluster: at the very first start,
-// the seed with the lowest address, which all seeds agree on without a word.
-// The others join it.
+// bootstraps reports whether this VM creates the cluster: at the very first start, the
+// seed with the lowest address does. All seeds agree on it without communication, and the
+// others join.
 func (c *Control) bootstraps() bool {
 	if !c.cfg.FirstStart {
 		return false
@@ -225,21 +224,21 @@
 	return out
 }
 
-// afterFailure sets the folder of a replica aside that the others have removed,
-// or that lacks what it once acknowledged. Its word counts for nothing any more,
-// as if the disk were lost, and the VM comes back as a fresh replica.
-func (c *Control) afterFailure(cause error) {
+// handleFailure logs why a replica ended. If the others removed the replica, or it lacks
+// entries that it once acknowledged, its folder is moved aside. Its state isn't valid any
+// more, as after the loss of the disk, and the VM returns as a new replica.
+func (c *Control) handleFailure(cause error) {
 	events.Log(c.cfg.Log, events.ReplicaReopened, logrus.Fields{"cause": events.ErrorText(cause)})
 	if !errors.Is(cause, raft.ErrRemoved) && !errors.Is(cause, raft.ErrRegressed) {
 		return
 	}
 	aside := c.folder() + ".aside"
 	if err := os.RemoveAll(aside); err != nil {
-		c.cfg.Log.WithError(err).Error("control: remove the folder set aside before")
+		c.cfg.Log.WithError(err).Error("control: removing the previous .aside folder failed; replica folder kept")
 		return
 	}
 	if err := os.Rename(c.folder(), aside); err != nil {
-		c.cfg.Log.WithError(err).Error("control: set the folder aside")
+		c.cfg.Log.WithError(err).Error("control: renaming the replica folder to .aside failed")
 		return
 	}
 	events.Log(c.cfg.Log, events.FolderAbandoned, logrus.Fields{"folder": aside})
@@ -254,14 +253,14 @@
 	return r.Barrier(ctx)
 }
 
-// notOpen is the contact age told while no replica is open.
-const notOpen = time.Hour
+// noReplicaContactAge is the contact age reported while no replica is open.
+const noReplicaContactAge = time.Hour
 
 // ContactAge implements membership.Source.
 func (c *Control) ContactAge() time.Duration {
 	r := c.replica.Load()
 	if r == nil {
-		return notOpen
+		return noReplicaContactAge
 	}
 	return r.ContactAge()
 }
--- a/internal/passthrough/control/control_test.go
+++ b/internal/passthrough/control/control_test.go
@@ -20,7 +20,7 @@
 	"bergamotstall/internal/raft"
 )
 
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 func start(t *testing.T, net byte, n int) []*Control {
 	t.Helper()
@@ -28,7 +28,7 @@
 	return vms
 }
 
-// startIn starts control VMs with disks under a folder; stop ends them all.
+// startIn starts control VMs with their disks under a folder; stop ends them all.
 func startIn(t *testing.T, folder string, net byte, n int) (vms []*Control, stop func()) {
 	t.Helper()
 	log := logrus.New()
@@ -69,11 +69,11 @@
 	return &route.Definition{Version: v, Document: []byte(fmt.Sprintf(`{"version":%d}`, v))}
 }
 
-// eventually repeats what operators repeat until it is acknowledged.
+// eventually repeats an operator's request until it is acknowledged.
 func eventually(t *testing.T, do func() error) {
 	t.Helper()
 	var err error
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if err = do(); err == nil {
 			return
 		}
@@ -81,10 +81,10 @@
 	t.Fatal(err)
 }
 
-// All seeds start at the same moment, and none knows which others run. One
-// cluster comes of it; operators at any VM agree on the highest version, and an
-// invalid one changes nothing.
-func TestSeedsMakeOneCluster(t *testing.T) {
+// Guards against several clusters, or none, when all seeds start at once. Operators at
+// any VM must then read the highest version, and an invalid definition must change
+// nothing.
+func TestSeedsFormOneCluster(t *testing.T) {
 	is := is.New(t)
 	vms := start(t, 51, 3)
 	eventually(t, func() error { return vms[2].Put(t.Context(), definition(5)) })
@@ -103,7 +103,7 @@
 			return err
 		})
 	}
-	is.NoErr(vms[1].Put(t.Context(), definition(3))) // acknowledged, changes nothing
+	is.NoErr(vms[1].Put(t.Context(), definition(3))) // acknowledged; changes nothing
 	bad := definition(9)
 	bad.Routes = []route.Route{{Name: "r", TimeoutMS: 0}}
 	is.True(errors.Is(vms[0].Put(t.Context(), bad), route.ErrNoTimeout))
@@ -112,9 +112,9 @@
 	is.Equal(string(document), `{"version":5}`)
 }
 
-// A VM without its quorum answers neither reads nor writes as current: what it
-// has may be old, and what it takes may never be agreed on.
-func TestMinorityAnswersNothing(t *testing.T) {
+// Guards against a VM without a quorum that answers reads or writes as current: its state
+// may be old, and its writes may never be committed.
+func TestMinorityIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -129,14 +129,15 @@
 	_, err := c.Get(t.Context())
 	is.True(errors.Is(err, ErrUnavailable))
 	is.True(errors.Is(c.Put(t.Context(), definition(5)), ErrUnavailable))
-	is.True(time.Since(began) < patience)
+	is.True(time.Since(began) < testTimeout)
 	cancel()
 	is.NoErr(<-ended)
 }
 
-// The replica ends, as when the disk was full. The process goes on, opens it
-// again with what the folder holds, and operators read what was accepted.
-func TestReplicaIsOpenedAgain(t *testing.T) {
+// Guards against a control VM that stays without a replica after its replica ended, for
+// example on a full disk. The process must reopen it from the folder, and operators must
+// read what was accepted.
+func TestFailedReplicaIsReopened(t *testing.T) {
 	vms := start(t, 53, 1)
 	c := vms[0]
 	eventually(t, func() error { return c.Put(t.Context(), definition(5)) })
@@ -146,28 +147,28 @@
 	}
 	eventually(t, func() error {
 		if c.replica.Load() == first {
-			return errors.New("not opened again")
+			return errors.New("not reopened")
 		}
 		_, err := c.Get(t.Context())
 		return err
 	})
 }
 
-// A replica that the others removed is set aside, and the VM comes back as a
-// fresh one; one that ended for another reason keeps its folder.
-func TestRemovedReplicaIsSetAside(t *testing.T) {
+// Guards against a VM that can't rejoin because it kept the folder of a removed replica.
+// After any other failure the folder must be kept.
+func TestFolderOfRemovedReplicaIsMovedAside(t *testing.T) {
 	is := is.New(t)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	c := New(Config{Folder: t.TempDir(), Log: log, Metrics: metrics.New()})
 	keep := func() { is.NoErr(os.MkdirAll(c.folder(), 0o700)) }
 	keep()
-	c.afterFailure(errors.New("disk full"))
+	c.handleFailure(errors.New("disk full"))
 	_, err := os.Stat(c.folder())
 	is.NoErr(err)
-	for range 2 { // also where an older one stands aside
+	for range 2 { // also if an older .aside folder exists
 		keep()
-		c.afterFailure(raft.ErrRemoved)
+		c.handleFailure(raft.ErrRemoved)
 		_, err = os.Stat(c.folder())
 		is.True(os.IsNotExist(err))
 	}
--- a/internal/passthrough/control/evacuation.go
+++ b/internal/passthrough/control/evacuation.go
@@ -11,35 +11,36 @@
 	"bergamotstall/internal/passthrough/route"
 )
 
-// errOvertaken and errLateCopy say why an order isn't taken now.
+// errConflict and errDelayedCopy are the causes for which an order isn't accepted now.
 var (
-	errOvertaken = errors.New("control: another order for the data centre came first")
-	errLateCopy  = errors.New("control: may be a late copy of an order that was reversed")
+	errConflict    = errors.New("control: another order for the data centre was applied first")
+	errDelayedCopy = errors.New("control: order may be a delayed copy of one that was reversed")
 )
 
-// Evacuate has a data centre's targets get no new flows until Withdraw. nil means that the
-// order is on the disks of a majority; ErrUnavailable, that it may come into force, now or
-// later, and is to be sent again; any other error, that it is invalid and nothing changed.
+// Evacuate stops new flows to a data centre's targets until Withdraw is called. A nil
+// error means that the order is on the disks of a majority. ErrUnavailable means that it
+// may come into force, now or later, and must be resent. Any other error means that it is
+// invalid and nothing changed.
 func (c *Control) Evacuate(ctx context.Context, zone string) error {
 	return c.order(ctx, zone, true)
 }
 
-// Withdraw takes a data centre back, with the errors of Evacuate. One that isn't evacuated
-// stays as it is, without an error.
+// Withdraw ends the evacuation of a data centre, with the errors of Evacuate. It succeeds
+// if the data centre isn't evacuated.
 func (c *Control) Withdraw(ctx context.Context, zone string) error {
 	return c.order(ctx, zone, false)
 }
 
 func (c *Control) order(ctx context.Context, zone string, evacuate bool) error {
 	if err := route.ValidateZone(zone); err != nil {
-		c.orderDecided(zone, evacuate, "invalid", err)
+		c.logOrder(zone, evacuate, "invalid", err)
 		return err
 	}
 	held := c.store.Evacuations()
 	o := route.EvacuationOrder{Zone: zone, Evacuate: evacuate, SeenRevision: held.Revision, AtMS: time.Now().UnixMilli()}
 	if held.MayBeDelayedCopy(o, c.cfg.ResendWindow) {
-		c.orderDecided(zone, evacuate, "unavailable", errLateCopy)
-		return errors.Wrap(ErrUnavailable, errLateCopy.Error())
+		c.logOrder(zone, evacuate, "unavailable", errDelayedCopy)
+		return errors.Wrap(ErrUnavailable, errDelayedCopy.Error())
 	}
 	command, err := o.Command()
 	if err != nil {
@@ -47,29 +48,29 @@
 	}
 	outcome, err := c.propose(ctx, command)
 	if err != nil {
-		c.orderDecided(zone, evacuate, "unavailable", err)
+		c.logOrder(zone, evacuate, "unavailable", err)
 		return err
 	}
 	switch outcome {
 	case route.Accepted:
-		c.orderDecided(zone, evacuate, "accepted", nil)
+		c.logOrder(zone, evacuate, "accepted", nil)
 		return nil
 	case route.Redundant:
-		c.orderDecided(zone, evacuate, "unchanged", nil)
+		c.logOrder(zone, evacuate, "unchanged", nil)
 		return nil
 	case route.Conflict:
-		c.orderDecided(zone, evacuate, "unavailable", errOvertaken)
-		return errors.Wrap(ErrUnavailable, errOvertaken.Error())
+		c.logOrder(zone, evacuate, "unavailable", errConflict)
+		return errors.Wrap(ErrUnavailable, errConflict.Error())
 	case route.TooManyZones:
-		c.orderDecided(zone, evacuate, "invalid", route.ErrTooManyZones)
+		c.logOrder(zone, evacuate, "invalid", route.ErrTooManyZones)
 		return route.ErrTooManyZones
 	}
-	c.orderDecided(zone, evacuate, "unreadable", nil)
-	return errors.New("control: the log could not read the order")
+	c.logOrder(zone, evacuate, "unreadable", nil)
+	return errors.New("control: replica could not decode the order")
 }
 
-// orderDecided logs an operator's order with what decided on it.
-func (c *Control) orderDecided(zone string, evacuate bool, outcome string, cause error) {
+// logOrder logs and counts an operator's order with its outcome and cause.
+func (c *Control) logOrder(zone string, evacuate bool, outcome string, cause error) {
 	c.cfg.Metrics.Counter("evacuation_orders_" + outcome).Add(1)
 	events.Log(c.cfg.Log, events.EvacuationDecided, logrus.Fields{
 		"zone": zone, "evacuate": evacuate, "held": c.store.Evacuations().Revision, "outcome": outcome,
@@ -77,13 +78,13 @@
 	})
 }
 
-// Evacuated returns the data centres that are evacuated, as far as this VM knows.
+// Evacuated returns the evacuated data centres, as far as this VM knows.
 func (c *Control) Evacuated() []string { return c.store.Evacuations().Evacuated() }
 
-// Evacuations returns the orders in force. It fails with ErrUnavailable where this VM can't
-// be sure of them.
+// Evacuations returns the orders of the evacuated data centres. It fails with
+// ErrUnavailable if this VM can't confirm that they are current.
 func (c *Control) Evacuations(ctx context.Context) ([]route.ZoneOrder, error) {
-	ctx, cancel := context.WithTimeout(ctx, getPatience)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	if err := c.Barrier(ctx); err != nil {
 		c.cfg.Metrics.Counter("reads_unavailable").Add(1)
--- a/internal/passthrough/control/evacuation_test.go
+++ b/internal/passthrough/control/evacuation_test.go
@@ -12,7 +12,7 @@
 	"bergamotstall/internal/passthrough/route"
 )
 
-// awaitEvacuated waits until each VM knows the same evacuations.
+// awaitEvacuated waits until each VM knows the given evacuations.
 func awaitEvacuated(t *testing.T, vms []*Control, want ...string) {
 	t.Helper()
 	for _, c := range vms {
@@ -25,8 +25,8 @@
 	}
 }
 
-// Guards against evacuations that are acknowledged and gone after all control VMs were off.
-func TestEvacuationOutlivesAllVMs(t *testing.T) {
+// Guards against acknowledged evacuations that are lost when all control VMs restart.
+func TestEvacuationsSurviveARestartOfAllVMs(t *testing.T) {
 	folder := t.TempDir()
 	vms, stop := startIn(t, folder, 54, 3)
 	eventually(t, func() error { return vms[2].Put(t.Context(), definition(5)) })
@@ -41,8 +41,8 @@
 	awaitEvacuated(t, vms)
 }
 
-// Guards against a resend that is refused, and a late copy that is carried out: it is left
-// without a clear answer until no operator sends copies any more.
+// Guards against a resend that is refused, and against a delayed copy that is applied: it
+// gets no definite answer until operators have stopped resending.
 func TestEvacuationOrdersResent(t *testing.T) {
 	is := is.New(t)
 	c := start(t, 55, 1)[0]
--- a/internal/passthrough/control/operator.go
+++ b/internal/passthrough/control/operator.go
@@ -13,27 +13,26 @@
 )
 
 const (
-	// putPatience bounds how long an operator's order waits for a quorum.
-	// An election takes one to one and a half seconds.
-	putPatience = 2500 * time.Millisecond
-	// getPatience bounds how long a reader waits; readers ask another VM after
-	// a second.
-	getPatience = 800 * time.Millisecond
+	// proposeTimeout bounds how long an operator's order waits for a quorum. An election
+	// takes one to one and a half seconds.
+	proposeTimeout = 2500 * time.Millisecond
+	// readTimeout bounds how long a read waits; readers ask another VM after one second.
+	readTimeout = 800 * time.Millisecond
 )
 
-// Put has a definition agreed on. nil means that it, or one with the same or a
-// higher version, is on the disks of a majority; an error that matches
-// route.Problem's kinds, that it is invalid and nothing changed; ErrUnavailable,
-// that it may come into force, now or later.
+// Put commits a definition. A nil error means that it, or one with the same or a higher
+// version, is on the disks of a majority. An error of Definition.Validate means that it
+// is invalid and nothing changed. ErrUnavailable means that it may come into force, now
+// or later.
 func (c *Control) Put(ctx context.Context, d *route.Definition) error {
 	if err := d.Validate(); err != nil {
-		c.decided(d, "invalid", err)
+		c.logDefinition(d, "invalid", err)
 		return err
 	}
-	// What this replica has applied is agreed on, so a version that isn't higher
-	// needs no entry of its own: resends of a storm cost nothing.
+	// What this replica has applied is committed, so a version that isn't higher needs no
+	// log entry: resends during a burst cost nothing.
 	if d.Version <= c.store.Version() {
-		c.decided(d, "overtaken", nil)
+		c.logDefinition(d, "overtaken", nil)
 		return nil
 	}
 	command, err := route.Command(d)
@@ -42,25 +41,25 @@
 	}
 	outcome, err := c.propose(ctx, command)
 	if err != nil {
-		c.decided(d, "unavailable", err)
+		c.logDefinition(d, "unavailable", err)
 		return err
 	}
 	if outcome == route.Malformed {
-		c.decided(d, "unreadable", nil)
-		return errors.New("control: the log could not read the definition")
+		c.logDefinition(d, "unreadable", nil)
+		return errors.New("control: replica could not decode the definition")
 	}
-	c.decided(d, outcomeText(outcome), nil)
+	c.logDefinition(d, outcomeName(outcome), nil)
 	return nil
 }
 
-// propose has a command agreed on. ErrUnavailable means that it may come into force, now
-// or later.
+// propose commits a command. ErrUnavailable means that it may come into force, now or
+// later.
 func (c *Control) propose(ctx context.Context, command []byte) (route.Outcome, error) {
 	r := c.replica.Load()
 	if r == nil {
 		return 0, ErrUnavailable
 	}
-	ctx, cancel := context.WithTimeout(ctx, putPatience)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	began := time.Now()
 	out, err := r.Propose(ctx, command)
@@ -74,15 +73,15 @@
 	return route.Outcome(out[0]), nil
 }
 
-func outcomeText(o route.Outcome) string {
+func outcomeName(o route.Outcome) string {
 	if o == route.Accepted {
 		return "accepted"
 	}
 	return "overtaken"
 }
 
-// decided logs an operator's definition with what decided on it.
-func (c *Control) decided(d *route.Definition, outcome string, cause error) {
+// logDefinition logs and counts an operator's definition with its outcome and cause.
+func (c *Control) logDefinition(d *route.Definition, outcome string, cause error) {
 	c.cfg.Metrics.Counter("definitions_" + outcome).Add(1)
 	events.Log(c.cfg.Log, events.DefinitionDecided, logrus.Fields{
 		"version": uint64(d.Version), "held": uint64(c.store.Version()), "outcome": outcome, "cause": events.ErrorText(cause),
@@ -90,10 +89,10 @@
 	})
 }
 
-// Get returns the newest definition's document. It fails with ErrUnavailable
-// where this VM can't be sure that it is the newest.
+// Get returns the document of the newest definition. It fails with ErrUnavailable if this
+// VM can't confirm that it is the newest.
 func (c *Control) Get(ctx context.Context) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, getPatience)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	if err := c.Barrier(ctx); err != nil {
 		c.cfg.Metrics.Counter("reads_unavailable").Add(1)
@@ -101,7 +100,7 @@
 	}
 	state := c.store.Current()
 	if state == nil {
-		return nil, ErrNone
+		return nil, ErrNoDefinition
 	}
 	events.Log(c.cfg.Log, events.DefinitionRead, logrus.Fields{"version": uint64(state.Definition.Version)})
 	return state.Definition.Document, nil
