--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -1,21 +1,20 @@
-// Package liveness decides when a control VM tells the replicated state that a
-// subscriber is gone, and how soon one that keeps coming and going is let back.
-// It has no clock and no network: time comes in as an argument.
+// Package liveness decides when a control VM reports a subscriber as silent to the
+// replicated state, and how long the announcements of a subscriber that keeps
+// reconnecting are delayed. It uses no clock and no network: the time is an argument.
 //
-// The load patterns it answers are a control VM that dies or is cut off, whose
-// subscribers all lose their streams at once, and a process in a crash loop.
-// Without it the first would empty every service of targets that are alive, and
-// the second would put two table changes through the log and onto thousands of
-// links every few seconds.
+// It handles two load patterns: a control VM that fails or is cut off, so that all its
+// subscribers lose their streams at once, and a process in a crash loop. Without it, the
+// first would remove live targets from every service. The second would send two table
+// changes through the log and over thousands of links every few seconds.
 //
-// Four rules. A stream that ends starts a grace; a subscriber back within it
-// was never gone. A VM whose own quorum contact is stale reports nothing, and
-// graces begin anew when contact returns, since the fault may have been its own.
-// Where a large share of a VM's streams ends at once, the VM's own link is the
-// likelier cause, so a longer grace holds: the subscribers attach elsewhere
-// meanwhile, and the attachment in a report makes it void. And each end of a
-// stream adds a penalty that halves with time; from the third in a minute on,
-// announcements wait, longer each time.
+// It follows four rules. The end of a stream starts a grace period, and a subscriber that
+// returns within it is never reported. A VM whose quorum contact is stale reports
+// nothing, and grace periods restart when contact returns, because the fault may have
+// been the VM's own. If a large share of a VM's streams ends at once, the VM's own link
+// is the likelier cause, and a longer grace period applies. Meanwhile the subscribers
+// attach elsewhere, and the attachment in a report makes that report void. Each end of a
+// stream adds a penalty that decays exponentially; from the third end within a minute on,
+// announcements are delayed, longer each time.
 package liveness
 
 import (
@@ -23,53 +22,54 @@
 	"time"
 )
 
-// Config holds the thresholds; DefaultConfig says why each has its value.
+// Config holds the thresholds; see DefaultConfig for the reasons behind the values.
 type Config struct {
-	// Grace runs from the end of a stream to the report.
+	// Grace is the time from the end of a stream to the report.
 	Grace time.Duration
-	// WaveGrace replaces Grace in a wave.
-	WaveGrace time.Duration
-	// WaveWindow is how close together the ends of a wave are.
-	WaveWindow time.Duration
-	// WaveShare of the subscribers, and no fewer than WaveMin, make a wave.
-	WaveShare float64
-	WaveMin   int
-	// AdoptGrace replaces Grace for subscribers taken over from a VM that died.
+	// MassDisconnectGrace replaces Grace in a mass disconnect.
+	MassDisconnectGrace time.Duration
+	// MassDisconnectWindow is the time within which the streams of a mass disconnect end.
+	MassDisconnectWindow time.Duration
+	// MassDisconnectShare is the share of the subscribers, and MassDisconnectMin the
+	// number, that make a mass disconnect if both are reached.
+	MassDisconnectShare float64
+	MassDisconnectMin   int
+	// AdoptGrace replaces Grace for subscribers taken over from a VM that failed.
 	AdoptGrace time.Duration
-	// StaleBound is the quorum contact age over which nothing is reported.
+	// StaleBound is the quorum contact age above which nothing is reported.
 	StaleBound time.Duration
-	// RetryAfter is the pause after a report that failed.
+	// RetryAfter is the delay after a failed report.
 	RetryAfter time.Duration
-	// HoldFrom is the penalty from which announcements wait, HoldBase the first
-	// wait, HoldCap the longest, HalfLife the time in which a penalty halves.
+	// HoldFrom is the penalty from which on announcements are delayed, HoldBase the first
+	// delay, HoldCap the longest, and HalfLife the time in which a penalty halves.
 	HoldFrom float64
 	HoldBase time.Duration
 	HoldCap  time.Duration
 	HalfLife time.Duration
 }
 
-// DefaultConfig returns the thresholds that the package is built around.
+// DefaultConfig returns the default thresholds.
 func DefaultConfig() Config {
 	return Config{
-		// A subscriber whose VM died is back elsewhere in well under a second
-		// (quarter of a second of jitter, a handshake, one commit). A dead agent
-		// must get no new work after a few seconds; heartbeats take up to three
-		// of them.
+		// A subscriber whose VM failed is attached elsewhere in well under a second: a
+		// quarter of a second of jitter, a handshake and one commit. A failed agent must
+		// get no new work after a few seconds, of which detection by heartbeats takes up
+		// to three.
 		Grace: time.Second,
-		// Long enough for a wave's reconnects with their back-off and queue.
-		WaveGrace:  5 * time.Second,
-		WaveWindow: 2 * time.Second,
-		// One data centre of 17 is 6 % of any VM's subscribers, one of three a
-		// third of them; both are real losses, but the second only costs seconds.
-		WaveShare: 0.25,
-		// Two of ten hosts may die together; they don't wait.
-		WaveMin: 3,
-		// Reconnects of a dead VM's subscribers back off to five seconds.
+		// Covers the reconnects of a mass disconnect, with their backoff and queueing.
+		MassDisconnectGrace:  5 * time.Second,
+		MassDisconnectWindow: 2 * time.Second,
+		// One data centre of 17 is 6 % of any VM's subscribers, one of three is a third.
+		// Both are real losses, but for the second the longer grace only costs seconds.
+		MassDisconnectShare: 0.25,
+		// Two of ten hosts may fail together; the longer grace doesn't apply to them.
+		MassDisconnectMin: 3,
+		// Reconnects of a failed VM's subscribers back off to five seconds.
 		AdoptGrace: 10 * time.Second,
-		// As for subscribers: a leader change takes about a second and a half.
+		// The same as for subscribers: a leader change takes about a second and a half.
 		StaleBound: 2 * time.Second,
 		RetryAfter: 500 * time.Millisecond,
-		// A rolling restart touches a process once or twice a minute.
+		// A rolling restart restarts a process once or twice a minute.
 		HoldFrom: 3,
 		HoldBase: 2 * time.Second,
 		HoldCap:  time.Minute,
@@ -83,33 +83,32 @@
 	Sequence    uint64
 }
 
-// Report is a subscriber to be declared silent.
+// Report is a subscriber to be reported as silent.
 type Report[K comparable] struct {
 	Subject    K
 	Attachment Attachment
 }
 
-// Tracker follows the subscribers of one control VM. It is not safe for
-// concurrent use.
+// Tracker tracks the subscribers of one control VM. It is not safe for concurrent use.
 type Tracker[K comparable] struct {
-	cfg      Config
-	subjects map[K]*subject
-	attached int
-	// quiet is set while contact is stale.
-	quiet bool
-	// lostAt are the latest ends of streams, oldest first.
-	lostAt []time.Time
+	cfg         Config
+	subscribers map[K]*subscriber
+	attached    int
+	// contactStale is set while the quorum contact is stale.
+	contactStale bool
+	// streamEnds holds the times of the latest ends of streams, oldest first.
+	streamEnds []time.Time
 }
 
-type subject struct {
+type subscriber struct {
 	at       Attachment
 	attached bool
-	// reported is set once a report went through.
+	// reported is set once Due has returned the subscriber; Failed clears it.
 	reported bool
 	adopted  bool
-	// since is when the grace began.
+	// since is when the grace period began.
 	since time.Time
-	// notBefore is when a failed report may be repeated.
+	// notBefore is the earliest time to repeat a failed report.
 	notBefore time.Time
 	penalty   float64
 	penaltyAt time.Time
@@ -117,63 +116,63 @@
 
 // New returns a tracker without subscribers.
 func New[K comparable](cfg Config) *Tracker[K] {
-	return &Tracker[K]{cfg: cfg, subjects: map[K]*subject{}}
+	return &Tracker[K]{cfg: cfg, subscribers: map[K]*subscriber{}}
 }
 
-// Attached notes an announcement and returns how long it must wait before it
-// goes to the replicated state.
+// Attached records an announcement. It returns how long the announcement must wait before
+// it goes to the replicated state.
 func (t *Tracker[K]) Attached(k K, at Attachment, now time.Time) time.Duration {
-	s, ok := t.subjects[k]
+	s, ok := t.subscribers[k]
 	if !ok {
-		s = &subject{penaltyAt: now}
-		t.subjects[k] = s
+		s = &subscriber{penaltyAt: now}
+		t.subscribers[k] = s
 	}
 	if !s.attached {
 		t.attached++
 	}
 	s.at, s.attached, s.reported, s.adopted = at, true, false, false
-	return t.hold(s, now)
+	return t.announcementDelay(s, now)
 }
 
-// Lost notes the end of the stream that made the given announcement. The end of
-// a stream that a newer one has replaced means nothing.
+// Lost records the end of the stream of the given announcement. It has no effect if a
+// newer announcement has replaced that one.
 func (t *Tracker[K]) Lost(k K, at Attachment, now time.Time) {
-	s, ok := t.subjects[k]
+	s, ok := t.subscribers[k]
 	if !ok || !s.attached || s.at != at {
 		return
 	}
 	s.attached = false
 	t.attached--
 	s.since, s.notBefore = now, time.Time{}
-	s.penalty = t.decayed(s, now) + 1
+	s.penalty = t.currentPenalty(s, now) + 1
 	s.penaltyAt = now
-	t.lostAt = append(t.lostAt, now)
+	t.streamEnds = append(t.streamEnds, now)
 }
 
-// Adopt takes over a subscriber that the state says was attached to a control
-// VM that died, or to this one before it restarted. It has AdoptGrace to come
-// back anywhere.
+// Adopt takes over a subscriber that, by the replicated state, was attached to a control
+// VM that failed, or to this one before it restarted. The subscriber has AdoptGrace to
+// attach to any VM.
 func (t *Tracker[K]) Adopt(k K, at Attachment, now time.Time) {
-	if _, ok := t.subjects[k]; ok {
+	if _, ok := t.subscribers[k]; ok {
 		return
 	}
-	t.subjects[k] = &subject{at: at, adopted: true, since: now, penaltyAt: now}
+	t.subscribers[k] = &subscriber{at: at, adopted: true, since: now, penaltyAt: now}
 }
 
-// Due returns the subscribers to be reported silent now. Each is returned once,
-// unless Failed is called for it.
+// Due returns the subscribers to report as silent now. Each is returned once, unless
+// Failed is called for it.
 func (t *Tracker[K]) Due(now time.Time, contactAge time.Duration) []Report[K] {
 	if contactAge > t.cfg.StaleBound {
-		t.quiet = true
+		t.contactStale = true
 		return nil
 	}
-	if t.quiet {
-		t.quiet = false
+	if t.contactStale {
+		t.contactStale = false
 		t.restartGraces(now)
 	}
-	wave := t.wave(now)
+	massDisconnect := t.massDisconnect(now)
 	var out []Report[K]
-	for k, s := range t.subjects {
+	for k, s := range t.subscribers {
 		if s.attached {
 			continue
 		}
@@ -181,7 +180,7 @@
 			t.forget(k, s, now)
 			continue
 		}
-		if now.Sub(s.since) < t.grace(s, wave) || now.Before(s.notBefore) {
+		if now.Sub(s.since) < t.grace(s, massDisconnect) || now.Before(s.notBefore) {
 			continue
 		}
 		s.reported = true
@@ -190,9 +189,9 @@
 	return out
 }
 
-// Failed says that a report didn't go through; Due returns it again later.
+// Failed records that a report failed; Due returns it again later.
 func (t *Tracker[K]) Failed(r Report[K], now time.Time) {
-	s, ok := t.subjects[r.Subject]
+	s, ok := t.subscribers[r.Subject]
 	if !ok || s.attached || s.at != r.Attachment {
 		return
 	}
@@ -200,65 +199,66 @@
 	s.notBefore = now.Add(t.cfg.RetryAfter)
 }
 
-func (t *Tracker[K]) grace(s *subject, wave bool) time.Duration {
+func (t *Tracker[K]) grace(s *subscriber, massDisconnect bool) time.Duration {
 	if s.adopted {
 		return t.cfg.AdoptGrace
 	}
-	if wave {
-		return t.cfg.WaveGrace
+	if massDisconnect {
+		return t.cfg.MassDisconnectGrace
 	}
 	return t.cfg.Grace
 }
 
-// restartGraces gives everyone a new grace: while this VM was cut off, nobody
-// could reach it.
+// restartGraces restarts the grace period of every subscriber without a stream: while
+// this VM was cut off, nobody could reach it.
 func (t *Tracker[K]) restartGraces(now time.Time) {
-	for _, s := range t.subjects {
+	for _, s := range t.subscribers {
 		if !s.attached {
 			s.since = now
 		}
 	}
 }
 
-// wave tells whether so many streams ended together that this VM is the likely
-// cause. Ends count for as long as the longer grace runs, so that a wave isn't
-// forgotten before those in it are judged.
-func (t *Tracker[K]) wave(now time.Time) bool {
-	keep := t.cfg.WaveGrace + t.cfg.WaveWindow
-	for len(t.lostAt) > 0 && now.Sub(t.lostAt[0]) > keep {
-		t.lostAt = t.lostAt[1:]
+// massDisconnect reports whether so many streams ended together that this VM is the
+// likely cause. Ends count for as long as the longer grace runs, so that the condition
+// lasts until Due has decided on every subscriber concerned.
+func (t *Tracker[K]) massDisconnect(now time.Time) bool {
+	keep := t.cfg.MassDisconnectGrace + t.cfg.MassDisconnectWindow
+	for len(t.streamEnds) > 0 && now.Sub(t.streamEnds[0]) > keep {
+		t.streamEnds = t.streamEnds[1:]
 	}
 	most, first := 0, 0
-	for i, at := range t.lostAt {
-		for at.Sub(t.lostAt[first]) > t.cfg.WaveWindow {
+	for i, at := range t.streamEnds {
+		for at.Sub(t.streamEnds[first]) > t.cfg.MassDisconnectWindow {
 			first++
 		}
 		most = max(most, i-first+1)
 	}
-	// Those that came back are in attached again; counting them twice only makes
-	// a wave harder to declare.
+	// Subscribers that came back are counted in attached again. Counting them twice only
+	// raises the threshold.
 	all := t.attached + most
-	return most >= t.cfg.WaveMin && float64(most) >= t.cfg.WaveShare*float64(all)
+	return most >= t.cfg.MassDisconnectMin && float64(most) >= t.cfg.MassDisconnectShare*float64(all)
 }
 
-// forget drops a subscriber that was reported, once its penalty is spent.
-func (t *Tracker[K]) forget(k K, s *subject, now time.Time) {
-	if t.decayed(s, now) < 0.5 {
-		delete(t.subjects, k)
+// forget drops a reported subscriber once its penalty has decayed.
+func (t *Tracker[K]) forget(k K, s *subscriber, now time.Time) {
+	if t.currentPenalty(s, now) < 0.5 {
+		delete(t.subscribers, k)
 	}
 }
 
-// hold returns the wait that a subscriber's penalty asks for.
-func (t *Tracker[K]) hold(s *subject, now time.Time) time.Duration {
-	over := t.decayed(s, now) - t.cfg.HoldFrom
-	// Half-life makes three quick ends a little less than three.
-	if over < -0.5 {
+// announcementDelay returns the delay of announcements at a subscriber's penalty.
+func (t *Tracker[K]) announcementDelay(s *subscriber, now time.Time) time.Duration {
+	excess := t.currentPenalty(s, now) - t.cfg.HoldFrom
+	// Because of the decay, three ends in quick succession add up to a little less than
+	// three.
+	if excess < -0.5 {
 		return 0
 	}
-	wait := float64(t.cfg.HoldBase) * math.Exp2(math.Round(over))
+	wait := float64(t.cfg.HoldBase) * math.Exp2(math.Round(excess))
 	return min(time.Duration(wait), t.cfg.HoldCap)
 }
 
-func (t *Tracker[K]) decayed(s *subject, now time.Time) float64 {
+func (t *Tracker[K]) currentPenalty(s *subscriber, now time.Time) float64 {
 	return s.penalty * math.Exp2(-float64(now.Sub(s.penaltyAt))/float64(t.cfg.HalfLife))
 }
