--- a/internal/passthrough/forward/agents.go
+++ b/internal/passthrough/forward/agents.go
@@ -8,44 +8,45 @@
 	"bergamotstall/internal/passthrough/route"
 )
 
-// noAgent is the number of no agent.
+// noAgent marks the absence of an agent number.
 const noAgent = ^uint32(0)
 
-// Listed is an agent that control tells of.
+// Listed is an entry of the agent list that control distributes.
 type Listed struct {
 	Address netip.AddrPort
 	Zone    string
-	// Service is the one that the agent's VM belongs to, 0 if any.
+	// Service is the one that the agent's VM belongs to, 0 if unknown.
 	Service route.ServiceID
-	// Process is random for each start of the agent.
+	// Process is a random number drawn at each start of the agent.
 	Process uint64
 }
 
-// agent is what a balancer knows of one agent: that it exists, by control's list,
-// and how its target fares, by the agent's own reports.
+// agent is a balancer's state for one agent: its entry in control's list, and its
+// target's load from the agent's own reports.
 type agent struct {
 	address netip.AddrPort
-	// listed says that control lists the agent; goneAt is since when not.
-	listed bool
-	entry  Listed
-	goneAt time.Duration
-	report peer.Report
-	// heardAt is the time of the report, aliveAt of the last datagram, probedAt of
-	// the last probe sent, askedAt of the last question.
-	heardAt  time.Duration
-	aliveAt  time.Duration
-	probedAt time.Duration
-	askedAt  time.Duration
-	// sent counts the flows sent since the last report.
-	sent       uint32
+	// listed says that control lists the agent; delistedAt is when it was removed from
+	// the list.
+	listed     bool
+	entry      Listed
+	delistedAt time.Duration
+	report     peer.Report
+	// reportedAt is the time of the last report, lastSeenAt of the last datagram,
+	// probedAt of the last probe sent, askedAt of the last question.
+	reportedAt time.Duration
+	lastSeenAt time.Duration
+	probedAt   time.Duration
+	askedAt    time.Duration
+	// flowsSent counts the flows sent since the last report.
+	flowsSent  uint32
 	avoidUntil time.Duration
-	// hash is that of the address; group is where the index holds the agent, nil
-	// once it was forgotten.
+	// hash is that of the address; group is the agent's group in the index, nil if it
+	// isn't indexed.
 	hash  uint64
 	group *group
 }
 
-// service is the target's by the last report, or else by control's list.
+// service returns the target's service from the last report, or else from control's list.
 func (a *agent) service() route.ServiceID {
 	if a.report.Service != 0 {
 		return route.ServiceID(a.report.Service)
@@ -54,69 +55,72 @@
 }
 
 func (a *agent) zone() string {
-	if a.heardAt > 0 {
+	if a.reportedAt > 0 {
 		return a.report.Zone
 	}
 	return a.entry.Zone
 }
 
-// asked tells whether the agent may hold flows. One that stops may: its target
-// lives, unless it says that there is none, and its next process goes on with the
-// flows.
-func (a *agent) asked(now time.Duration) bool {
-	if a.report.Empty && (a.report.Leaving || a.fresh(now)) {
+// mayHoldFlows tells whether the agent is asked for flows. A stopping agent is: its
+// target runs on, unless it reports that there is none, and its next process takes the
+// flows over.
+func (a *agent) mayHoldFlows(now time.Duration) bool {
+	if a.report.Empty && (a.report.Leaving || a.hasFreshReport(now)) {
 		return false
 	}
-	return a.listed || max(a.heardAt, a.goneAt) > 0 && now-max(a.heardAt, a.goneAt) < agentForgotten
+	return a.listed || max(a.reportedAt, a.delistedAt) > 0 && now-max(a.reportedAt, a.delistedAt) < delistedAgentTTL
 }
 
-// fresh tells whether the last report is as good as one asked for now.
-func (a *agent) fresh(now time.Duration) bool {
-	return a.heardAt > 0 && now-a.heardAt < loadFresh
+// hasFreshReport tells whether the last report is recent enough to be used without a
+// probe.
+func (a *agent) hasFreshReport(now time.Duration) bool {
+	return a.reportedAt > 0 && now-a.reportedAt < reportFreshFor
 }
 
-// unanswered tells whether the last probe should have been answered by now.
-func (a *agent) unanswered(now time.Duration) bool {
-	return a.probedAt > a.aliveAt && now-a.probedAt >= loadPatience
+// probeTimedOut tells whether the last probe has gone unanswered for probeTimeout.
+func (a *agent) probeTimedOut(now time.Duration) bool {
+	return a.probedAt > a.lastSeenAt && now-a.probedAt >= probeTimeout
 }
 
-// silent tells whether the agent left a probe unanswered a moment ago.
-func (a *agent) silent(now time.Duration) bool {
-	return a.unanswered(now) && now-a.probedAt < silentFor
+// unresponsive tells whether the agent failed to answer a probe sent less than
+// unresponsiveFor ago.
+func (a *agent) unresponsive(now time.Duration) bool {
+	return a.probeTimedOut(now) && now-a.probedAt < unresponsiveFor
 }
 
-// agents numbers addresses, so that an entry of the flow table is small. An
+// agentTable numbers agents by address, so that an entry of the flow table is small. An
 // address keeps its number for the life of the process.
-type agents struct {
+type agentTable struct {
 	list      []agent
 	byAddress map[netip.AddrPort]uint32
-	index     index
-	// addedAt is when an agent was last added to the index, aliveAt when any was
-	// last heard, listed how many control lists.
-	addedAt time.Duration
-	aliveAt time.Duration
-	listed  int
-	// watched is the agent that was probed last to see whether any can be reached.
-	watched int
-	watchAt time.Duration
+	index     agentIndex
+	// addedAt is when an agent was last added to the index, lastSeenAt when a datagram of
+	// any agent last arrived, listed how many agents control lists.
+	addedAt    time.Duration
+	lastSeenAt time.Duration
+	listed     int
+	// lastWatched is the agent that probeNextAgent probed last; nextWatchAt is when it
+	// probes the next one.
+	lastWatched int
+	nextWatchAt time.Duration
 }
 
-func newAgents() agents {
-	return agents{byAddress: map[netip.AddrPort]uint32{}, index: newIndex()}
+func newAgentTable() agentTable {
+	return agentTable{byAddress: map[netip.AddrPort]uint32{}, index: newAgentIndex()}
 }
 
-func (a *agents) number(address netip.AddrPort) uint32 {
+func (a *agentTable) number(address netip.AddrPort) uint32 {
 	if n, ok := a.byAddress[address]; ok {
 		return n
 	}
 	n := uint32(len(a.list))
-	a.list = append(a.list, agent{address: address, hash: hashOf(address)})
+	a.list = append(a.list, agent{address: address, hash: addressHash(address)})
 	a.byAddress[address] = n
 	return n
 }
 
-// regroup puts an agent where its service and data centre say.
-func (a *agents) regroup(now time.Duration, number uint32) {
+// updateGroup moves an agent to the group of its service and data centre.
+func (a *agentTable) updateGroup(now time.Duration, number uint32) {
 	x := &a.list[number]
 	key := groupKey{x.service(), x.zone()}
 	if x.group != nil && x.group.service == key.service && x.group.zone == key.zone {
@@ -125,12 +129,12 @@
 	if x.group == nil {
 		a.addedAt = now
 	}
-	a.forget(number)
+	a.unindex(number)
 	x.group = a.index.add(key, number)
 }
 
-// forget takes an agent out of the index.
-func (a *agents) forget(number uint32) {
+// unindex removes an agent from the index.
+func (a *agentTable) unindex(number uint32) {
 	x := &a.list[number]
 	if x.group == nil {
 		return
@@ -139,15 +143,15 @@
 	x.group = nil
 }
 
-// alive takes note that an agent has sent something.
-func (a *agents) alive(now time.Duration, from netip.AddrPort) uint32 {
+// markSeen records that a datagram arrived from an agent, and returns its number.
+func (a *agentTable) markSeen(now time.Duration, from netip.AddrPort) uint32 {
 	number := a.number(from)
-	a.list[number].aliveAt = now
-	a.aliveAt = now
+	a.list[number].lastSeenAt = now
+	a.lastSeenAt = now
 	return number
 }
 
-// List takes control's word that an agent exists.
+// List adds an agent that control lists, or updates its entry.
 func (e *Engine) List(now time.Duration, x Listed) {
 	number := e.agents.number(x.Address)
 	a := &e.agents.list[number]
@@ -155,64 +159,64 @@
 		e.agents.listed++
 	}
 	if a.report.Process != x.Process {
-		// Another process, maybe beside another service's target.
+		// The report of an earlier process may be of another service's target.
 		a.report = peer.Report{}
-		a.heardAt = 0
+		a.reportedAt = 0
 	}
 	a.listed = true
 	a.entry = x
-	e.agents.regroup(now, number)
+	e.agents.updateGroup(now, number)
 }
 
-// Delist takes control's word that an agent is gone. It is asked for flows some time
-// longer, since it may be cut off from control only.
+// Delist records that control no longer lists an agent. It is asked for flows for
+// delistedAgentTTL, since it may be cut off from control only.
 func (e *Engine) Delist(now time.Duration, at netip.AddrPort) {
 	a := &e.agents.list[e.agents.number(at)]
 	if !a.listed {
 		return
 	}
 	a.listed = false
-	a.goneAt = now
+	a.delistedAt = now
 	e.agents.listed--
 }
 
-// Retire takes control's word that an agent is gone with its target. It isn't asked any
-// more: no flow can be open there.
+// Retire records that an agent is gone together with its target. It isn't asked any more,
+// since no flow can be open there.
 func (e *Engine) Retire(at netip.AddrPort) {
 	a := &e.agents.list[e.agents.number(at)]
 	if a.listed {
 		e.agents.listed--
 	}
 	a.listed = false
-	a.goneAt, a.heardAt = 0, 0
+	a.delistedAt, a.reportedAt = 0, 0
 	a.report = peer.Report{}
 }
 
-// Reported takes an agent's report. Those of one process that come late are
-// ignored; a new process of the same address starts anew.
+// Reported handles an agent's report. Reports of one process that arrive out of order are
+// ignored; the first report of a new process at the address replaces the old state.
 func (e *Engine) Reported(now time.Duration, from netip.AddrPort, r peer.Report) {
-	number := e.agents.alive(now, from)
+	number := e.agents.markSeen(now, from)
 	a := &e.agents.list[number]
 	if a.report.Process == r.Process && a.report.Number >= r.Number {
 		return
 	}
 	a.report = r
-	a.heardAt = now
-	a.sent = 0
-	e.agents.regroup(now, number)
-	e.resumeAfter(now, number)
+	a.reportedAt = now
+	a.flowsSent = 0
+	e.agents.updateGroup(now, number)
+	e.resumePlacements(now, number)
 }
 
-// sweepAgents takes agents out of the index that are no longer asked.
+// sweepAgents removes agents from the index that are no longer asked.
 func (e *Engine) sweepAgents(now time.Duration) {
 	for i := range e.agents.list {
-		if !e.agents.list[i].asked(now) {
-			e.agents.forget(uint32(i))
+		if !e.agents.list[i].mayHoldFlows(now) {
+			e.agents.unindex(uint32(i))
 		}
 	}
 }
 
-// Known counts the agents that flows are placed at or asked for.
+// Known returns the number of agents that flows are placed at or asked for.
 func (e *Engine) Known() int {
 	n := 0
 	for _, g := range e.agents.index.groups {
@@ -221,33 +225,33 @@
 	return n
 }
 
-// Isolated tells whether the balancer hears none of the agents that there are, as
-// when it is cut off from them. It can place nothing then, and the fabric does
-// better without it.
+// Isolated tells whether the balancer receives nothing from any listed agent, as in a
+// network partition. It can't place flows then, so the fabric should send packets to
+// other balancers.
 func (e *Engine) Isolated(now time.Duration) bool {
-	return e.agents.listed > 0 && (e.agents.aliveAt == 0 || now-e.agents.aliveAt > isolatedAfter)
+	return e.agents.listed > 0 && (e.agents.lastSeenAt == 0 || now-e.agents.lastSeenAt > isolationTimeout)
 }
 
-// watch probes one agent after the other, so that a balancer without new flows knows
-// whether it can be reached.
-func (e *Engine) watch(now time.Duration) {
-	if now < e.agents.watchAt || len(e.agents.list) == 0 {
+// probeNextAgent probes the agents in turn, so that a balancer without new flows detects
+// isolation too.
+func (e *Engine) probeNextAgent(now time.Duration) {
+	if now < e.agents.nextWatchAt || len(e.agents.list) == 0 {
 		return
 	}
-	e.agents.watchAt = now + watchInterval
+	e.agents.nextWatchAt = now + watchProbeInterval
 	for range e.agents.list {
-		e.agents.watched = (e.agents.watched + 1) % len(e.agents.list)
-		if e.agents.list[e.agents.watched].asked(now) {
-			e.probe(now, uint32(e.agents.watched))
+		e.agents.lastWatched = (e.agents.lastWatched + 1) % len(e.agents.list)
+		if e.agents.list[e.agents.lastWatched].mayHoldFlows(now) {
+			e.probe(now, uint32(e.agents.lastWatched))
 			return
 		}
 	}
 }
 
-// probe asks an agent for a report, unless an answer is under way.
+// probe asks an agent for a report, unless a probe is already outstanding.
 func (e *Engine) probe(now time.Duration, number uint32) {
 	a := &e.agents.list[number]
-	if a.probedAt > a.aliveAt && now-a.probedAt < loadPatience {
+	if a.probedAt > a.lastSeenAt && now-a.probedAt < probeTimeout {
 		return
 	}
 	a.probedAt = now
--- a/internal/passthrough/forward/budget.go
+++ b/internal/passthrough/forward/budget.go
@@ -7,51 +7,51 @@
 )
 
 const (
-	// burstShare is how much of a second's budget may be spent at once.
-	burstShare = 0.25
-	// wideReserve is the part of a burst that wide rounds leave to first ones, which
-	// find nearly all flows and cost little.
-	wideReserve = 0.5
+	// burstSeconds is the size of the token bucket, in seconds of its rate.
+	burstSeconds = 0.25
+	// wideReserveShare is the part of a full bucket that questions to all agents leave to
+	// first rounds, which find nearly all flows at little cost.
+	wideReserveShare = 0.5
 )
 
-// budget bounds the bytes of questions a second. A fleet that comes back from an outage
-// is asked for all its flows at once; unbounded, the questions fill the link, answers
-// come too late, callers send their packets again, and no flow gets through any more.
-type budget struct {
-	// rate is the bytes a second, 0 for no bound.
-	rate     float64
-	left     float64
-	filledAt time.Duration
+// questionBudget is a token bucket that bounds the bytes of questions a second. After an
+// outage all flows of a fleet are searched at once; unbounded, the questions fill the
+// link, answers come too late, callers retransmit, and no flow gets through any more.
+type questionBudget struct {
+	// rate is in bytes a second, 0 for no bound.
+	rate      float64
+	available float64
+	filledAt  time.Duration
 }
 
-// refill lets time pass.
-func (b *budget) refill(now time.Duration) {
-	full := b.rate * burstShare
+// refill adds the tokens for the time since the last call.
+func (b *questionBudget) refill(now time.Duration) {
+	full := b.rate * burstSeconds
 	if b.filledAt == 0 {
-		b.left = full
+		b.available = full
 	}
-	b.left = min(full, b.left+b.rate*(now-b.filledAt).Seconds())
+	b.available = min(full, b.available+b.rate*(now-b.filledAt).Seconds())
 	b.filledAt = now
 }
 
-// allows tells whether a question of a first round, or of a wide one, may be asked now.
-func (b *budget) allows(wide bool) bool {
+// allows tells whether a question of a first round, or of a wide search, may be sent now.
+func (b *questionBudget) allows(wide bool) bool {
 	if b.rate == 0 {
 		return true
 	}
-	reserve := float64(firstRound * peer.QuestionCost)
+	reserve := float64(firstRoundSize * peer.QuestionCost)
 	if wide {
-		reserve = b.rate * burstShare * wideReserve
+		reserve = b.rate * burstSeconds * wideReserveShare
 	}
-	return b.left >= reserve
+	return b.available >= reserve
 }
 
-// spend takes the cost of a question off. Questions to one agent at one moment share a
+// spend takes the cost of a question. Questions to one agent at the same time share a
 // datagram.
-func (b *budget) spend(shared bool) {
+func (b *questionBudget) spend(shared bool) {
 	if shared {
-		b.left -= peer.SharedQuestionCost
+		b.available -= peer.SharedQuestionCost
 		return
 	}
-	b.left -= peer.QuestionCost
+	b.available -= peer.QuestionCost
 }
--- a/internal/passthrough/forward/decision.go
+++ b/internal/passthrough/forward/decision.go
@@ -9,17 +9,17 @@
 	"bergamotstall/internal/passthrough/route"
 )
 
-// Output takes what the engine decides. Slices are valid during the call.
+// Output carries out the engine's decisions. Slices are valid only during the call.
 type Output interface {
-	// Deliver sends a client's packet to an agent; age is how long it waited here.
+	// Deliver sends a client's packet to an agent; age is how long it was held here.
 	Deliver(to netip.AddrPort, service route.ServiceID, age time.Duration, raw []byte)
-	// Ask sends a question to an agent; questions may be batched.
+	// Ask sends a question to an agent. Questions may be batched.
 	Ask(to netip.AddrPort, q peer.Question)
 	// Probe asks an agent for a report.
 	Probe(to netip.AddrPort)
-	// Reset tells the client that the flow is over.
+	// Reset sends a reset for the flow to its client.
 	Reset(f packet.Flow, seq uint32)
-	// Note tells of a decision, for the log.
+	// Note records a decision in the log.
 	Note(d Decision)
 }
 
@@ -27,25 +27,26 @@
 type Verdict uint8
 
 const (
-	// Placed: a first packet went to an agent.
+	// Placed: a first packet was sent to an agent.
 	Placed Verdict = iota + 1
-	// Moved: a first packet that one agent handed back went to another.
+	// Moved: a first packet that an agent handed back was sent to another one.
 	Moved
 	// RefusedNoRoute: a first packet to an address without a route was reset.
 	RefusedNoRoute
-	// RefusedNoTarget: a first packet that no target takes was reset.
+	// RefusedNoTarget: a first packet that no target accepts was reset.
 	RefusedNoTarget
-	// Found: an agent that holds the flow was found.
+	// Found: the agent that holds the flow was found.
 	Found
-	// ResetRouteGone: a flow whose route was dropped was reset.
+	// ResetRouteGone: a flow whose route was removed was reset.
 	ResetRouteGone
-	// ResetNowhere: a flow that every agent lacks was reset.
+	// ResetNowhere: a flow that no agent holds was reset.
 	ResetNowhere
-	// DroppedUnfound: a packet was dropped because not all agents answered.
+	// DroppedUnfound: a packet was dropped because the search ended without answers from
+	// all agents.
 	DroppedUnfound
-	// HeldEarly: a packet came before the table or the first reports, and waits.
+	// HeldEarly: a packet that arrived before the table or the first reports is held.
 	HeldEarly
-	// DroppedBusy: a packet was dropped because too many wait.
+	// DroppedBusy: a packet was dropped because too many packets or searches are pending.
 	DroppedBusy
 )
 
@@ -59,23 +60,24 @@
 	return "unknown"
 }
 
-// Decision is one decision with the inputs that decided it.
+// Decision is one decision with the inputs that led to it.
 type Decision struct {
 	Flow    packet.Flow
 	Verdict Verdict
-	// Version is the table's.
+	// Version is the routing table's version.
 	Version route.Version
-	// Overflow says that the agent is of another service of the route than the
-	// weights picked, since that one has no free slot.
+	// Overflow says that the agent belongs to another service of the route than the
+	// weights selected, because that one has no free slot.
 	Overflow bool
-	// Agent is the agent chosen or found, if any.
+	// Agent is the chosen or found agent, if any.
 	Agent netip.AddrPort
-	// Reason is why the agent before handed the packet back, if one did.
+	// Reason is why the previous agent handed the packet back, if one did.
 	Reason peer.Reason
-	// ReportAge is how old the chosen agent's report was.
+	// ReportAge is the age of the agent's last report.
 	ReportAge time.Duration
-	// Waited is how long the packet was held back, in a search or before it.
+	// Waited is how long the packet was held.
 	Waited time.Duration
-	// Asked and Silent count the agents asked, and those without an answer.
+	// Asked is the number of agents asked (of attempts, with RefusedNoTarget), Silent the
+	// number that didn't answer.
 	Asked, Silent int
 }
--- a/internal/passthrough/forward/early.go
+++ b/internal/passthrough/forward/early.go
@@ -8,61 +8,62 @@
 	"bergamotstall/internal/passthrough/packet"
 )
 
-// A balancer that has just started gets packets before it knows the table and
-// the agents: after all VMs lost power at once the fabric has no other to send
-// them to. Callers send a packet again after 200 ms, then after 600 ms, so that
-// one dropped in the last moments costs the aim of its request. The newest
-// packet of each flow waits instead, and is handled once the engine can.
+// A balancer that has just started receives packets before it has the routing table and
+// the agents' reports: after a power outage of all VMs the fabric has no other balancer to
+// send them to. Callers retransmit 200 ms and 600 ms after the first packet, so a drop
+// shortly before the balancer is ready makes the request miss its latency goal. The newest
+// packet of each flow is held instead, and handled once the engine can.
 
 const (
-	// earlyKept is how long a packet waits.
-	earlyKept = packet.OpenPatience
-	// maxEarly bounds the packets that wait, 1.3 kB each.
-	maxEarly = 4_096
+	// earlyPacketTTL is how long a packet is held.
+	earlyPacketTTL = packet.OpenPatience
+	// maxEarlyPackets bounds the packets held, 1.3 kB each.
+	maxEarlyPackets = 4_096
 )
 
-// earlyPacket is the newest packet of a flow that came too early.
+// earlyPacket is the newest packet of a flow that arrived before the engine could handle
+// it.
 type earlyPacket struct {
 	arrival
-	// searched says that its flow was searched in vain among the agents that had
-	// reported by then.
-	searched bool
+	// searchFailed says that the agents known by then were searched for the flow without
+	// success.
+	searchFailed bool
 }
 
-// young tells whether agents may still be missing because the balancer has just
+// startingUp tells whether agents may still be missing because the balancer has just
 // started.
-func (e *Engine) young(now time.Duration) bool { return now-e.tabledAt < e.cfg.Policy.Youth }
+func (e *Engine) startingUp(now time.Duration) bool { return now-e.firstTableAt < e.cfg.Policy.Youth }
 
-func (e *Engine) keepEarly(f packet.Flow, a arrival, searched bool) {
+func (e *Engine) holdEarly(f packet.Flow, a arrival, searchFailed bool) {
 	if e.cfg.Policy.DropEarly {
 		return
 	}
-	if _, ok := e.early[f]; !ok && len(e.early) >= maxEarly {
-		e.note(Decision{Flow: f, Verdict: DroppedBusy})
+	if _, ok := e.earlyPackets[f]; !ok && len(e.earlyPackets) >= maxEarlyPackets {
+		e.logDecision(Decision{Flow: f, Verdict: DroppedBusy})
 		return
 	}
-	if _, ok := e.early[f]; !ok {
-		e.note(Decision{Flow: f, Verdict: HeldEarly})
+	if _, ok := e.earlyPackets[f]; !ok {
+		e.logDecision(Decision{Flow: f, Verdict: HeldEarly})
 	}
 	a.raw = append([]byte(nil), a.raw...)
-	e.early[f] = earlyPacket{arrival: a, searched: searched}
+	e.earlyPackets[f] = earlyPacket{arrival: a, searchFailed: searchFailed}
 }
 
-// replayEarly handles what waits once there is a table and an agent, the newest
-// first: the targets admit what comes first while they have room, and only the
-// newest callers can still be answered in time.
+// replayEarly handles held packets once there is a table and an agent, the newest first:
+// targets admit flows in order of arrival while they have free slots, and only the newest
+// callers can still be answered in time.
 func (e *Engine) replayEarly(now time.Duration) {
-	if len(e.early) == 0 {
+	if len(e.earlyPackets) == 0 {
 		return
 	}
 	var ready []earlyPacket
-	for f, x := range e.early {
-		if x.age(now) > earlyKept {
-			delete(e.early, f)
+	for f, x := range e.earlyPackets {
+		if x.age(now) > earlyPacketTTL {
+			delete(e.earlyPackets, f)
 			continue
 		}
-		if e.able(now, x) {
-			delete(e.early, f)
+		if e.canHandle(now, x) {
+			delete(e.earlyPackets, f)
 			ready = append(ready, x)
 		}
 	}
@@ -75,12 +76,12 @@
 	}
 }
 
-// able tells whether a packet that waits can be handled: it takes an agent to ask
-// or to send it to, and after a search in vain all of them, or an agent that is
-// listed late would be taken for none.
-func (e *Engine) able(now time.Duration, x earlyPacket) bool {
+// canHandle tells whether a held packet can be handled. That takes an agent to ask or to
+// send it to. After a failed search it takes the end of the start-up time, or else the
+// flow of an agent that is listed late would be taken for one without a holder.
+func (e *Engine) canHandle(now time.Duration, x earlyPacket) bool {
 	if e.table == nil {
 		return false
 	}
-	return !e.young(now) || !x.searched && e.Known() > 0
+	return !e.startingUp(now) || !x.searchFailed && e.Known() > 0
 }
--- a/internal/passthrough/forward/fleet_test.go
+++ b/internal/passthrough/forward/fleet_test.go
@@ -12,33 +12,34 @@
 	"bergamotstall/internal/passthrough/route"
 )
 
-// A fleet of balancers with thin links, played without a network: engines, agents that
-// know the flows which they hold, and callers that send a packet over an open flow twice
-// a second and send it again until it arrives.
+// A simulated fleet of balancers with thin links: real engines, agents that know which flows
+// they hold, and callers that send a packet over an open flow twice a second and retransmit
+// it until it arrives.
 
 const (
 	fleetBalancers = 87
 	fleetAgents    = 204
-	// fleetFlows are 50 a balancer.
+	// fleetFlows are 50 for each balancer.
 	fleetFlows = 50 * fleetBalancers
-	// fleetLink is a link's bytes a second each way, fleetQueue the longest that a
-	// datagram waits for it before it is dropped.
-	fleetLink  = 262_500
-	fleetQueue = 100 * time.Millisecond
-	fleetDelay = 1400 * time.Microsecond
-	// askEvery is the time between two packets of a caller, inTime when one must have
-	// arrived, callerPatience when the caller gives its flow up and opens another.
-	askEvery       = 500 * time.Millisecond
-	inTime         = 500 * time.Millisecond
-	callerPatience = 2500 * time.Millisecond
-	packetBytes    = 200
-	reportBytes    = 113
+	// fleetLinkBytesPerSecond is a link's capacity each way, fleetMaxQueueDelay the
+	// queueing delay beyond which a datagram is dropped.
+	fleetLinkBytesPerSecond = 262_500
+	fleetMaxQueueDelay      = 100 * time.Millisecond
+	fleetLinkDelay          = 1400 * time.Microsecond
+	// sendInterval is the time between two packets of a caller, onTimeLimit the delay
+	// within which one must arrive, callerTimeout when the caller abandons its flow and
+	// opens another.
+	sendInterval  = 500 * time.Millisecond
+	onTimeLimit   = 500 * time.Millisecond
+	callerTimeout = 2500 * time.Millisecond
+	packetBytes   = 200
+	reportBytes   = 113
 )
 
 type fleetEvent struct {
-	at   time.Duration
-	seq  int
-	step func()
+	at  time.Duration
+	seq int
+	run func()
 }
 
 type fleetEvents []fleetEvent
@@ -56,21 +57,21 @@
 	return x
 }
 
-// fleet is one run.
+// fleet is one simulation.
 type fleet struct {
 	rng       *rand.Rand
 	now       time.Duration
 	queue     fleetEvents
 	seq       int
-	mod       bool
+	byModulo  bool
 	balancers []*fleetBalancer
 	agents    []*fleetAgent
 	callers   []*fleetCaller
-	// sent and served count, for each second, the packets that callers began to send
-	// and those that arrived in time.
+	// sent and served count, for each second, the packets that callers started to send
+	// and those that arrived on time.
 	sent, served map[int]int
-	// ownBytes are the questions and probes that balancers sent.
-	ownBytes int
+	// controlBytes counts the questions and probes that balancers sent.
+	controlBytes int
 }
 
 type fleetBalancer struct {
@@ -79,8 +80,9 @@
 	engine  *Engine
 	up      bool
 	process int
-	// outFree and inFree are when the link has sent and received what it has.
-	outFree, inFree time.Duration
+	// outBusyUntil and inBusyUntil are when the link's queues of each direction are
+	// empty.
+	outBusyUntil, inBusyUntil time.Duration
 }
 
 type fleetAgent struct {
@@ -101,7 +103,7 @@
 }
 
 func newFleet(mod bool) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(1, 2)), now: time.Hour, mod: mod, sent: map[int]int{}, served: map[int]int{}}
+	f := &fleet{rng: rand.New(rand.NewPCG(1, 2)), now: time.Hour, byModulo: mod, sent: map[int]int{}, served: map[int]int{}}
 	for n := range fleetAgents {
 		f.agents = append(f.agents, &fleetAgent{address: fleetAddress(n), held: map[packet.Flow]bool{}, up: true})
 	}
@@ -113,7 +115,7 @@
 	for n := range fleetFlows {
 		c := &fleetCaller{zone: n % len(fleetZones), port: n}
 		f.callers = append(f.callers, c)
-		f.after(time.Duration(f.rng.Int64N(int64(askEvery))), func() { f.ask(c) })
+		f.after(time.Duration(f.rng.Int64N(int64(sendInterval))), func() { f.startPacket(c) })
 	}
 	return f
 }
@@ -127,7 +129,7 @@
 	for end := f.now + d; len(f.queue) > 0 && f.queue[0].at < end; {
 		e := heap.Pop(&f.queue).(fleetEvent)
 		f.now = e.at
-		e.step()
+		e.run()
 	}
 }
 
@@ -138,14 +140,14 @@
 	b.process++
 	b.engine = New(Config{
 		Zone: fleetZones[b.n%len(fleetZones)], Rand: rand.New(rand.NewPCG(uint64(b.n), 9)), Policy: DefaultPolicy(),
-		QuestionBudget: 0.2 * fleetLink, Out: b,
+		QuestionBudget: 0.2 * fleetLinkBytesPerSecond, Out: b,
 	})
 	d := &route.Definition{Version: 1, Routes: []route.Route{{
-		IP: service.IP, Port: service.Port, TimeoutMS: 1000, Backends: []route.Backed{{Service: desk, Weight: 1}},
+		IP: service.IP, Port: service.Port, TimeoutMS: 1000, Backends: []route.Backed{{Service: casework, Weight: 1}},
 	}}}
 	b.engine.SetTable(b.f.now, route.NewTable(d))
 	for n, a := range b.f.agents {
-		b.engine.List(b.f.now, Listed{Address: a.address, Zone: fleetZones[n%len(fleetZones)], Service: route.IDOf(desk)})
+		b.engine.List(b.f.now, Listed{Address: a.address, Zone: fleetZones[n%len(fleetZones)], Service: route.IDOf(casework)})
 	}
 	b.tick(b.process)
 }
@@ -158,19 +160,20 @@
 	b.f.after(20*time.Millisecond, func() { b.tick(process) })
 }
 
-// transmit takes a datagram over a direction of the link; false if its queue is full.
+// transmit sends a datagram over one direction of the link; ok is false if its queue is
+// full.
 func (b *fleetBalancer) transmit(free *time.Duration, bytes int) (arrives time.Duration, ok bool) {
 	now := b.f.now
-	if *free-now > fleetQueue {
+	if *free-now > fleetMaxQueueDelay {
 		return 0, false
 	}
-	*free = max(*free, now) + time.Duration(bytes)*time.Second/fleetLink
-	return *free - now + fleetDelay, true
+	*free = max(*free, now) + time.Duration(bytes)*time.Second/fleetLinkBytesPerSecond
+	return *free - now + fleetLinkDelay, true
 }
 
-// send has an agent take something that the balancer sends.
+// send carries a datagram to an agent, which handles it with take.
 func (b *fleetBalancer) send(to netip.AddrPort, bytes int, take func(a *fleetAgent)) {
-	arrives, ok := b.transmit(&b.outFree, bytes)
+	arrives, ok := b.transmit(&b.outBusyUntil, bytes)
 	if !ok {
 		return
 	}
@@ -183,13 +186,13 @@
 	})
 }
 
-// receive has the balancer take something that comes from an agent or a caller.
+// receive carries a datagram to the balancer, which handles it with take.
 func (b *fleetBalancer) receive(bytes int, take func()) {
 	process := b.process
 	if !b.up {
 		return
 	}
-	arrives, ok := b.transmit(&b.inFree, bytes)
+	arrives, ok := b.transmit(&b.inBusyUntil, bytes)
 	if !ok {
 		return
 	}
@@ -202,11 +205,11 @@
 
 func (b *fleetBalancer) Deliver(to netip.AddrPort, _ route.ServiceID, _ time.Duration, raw []byte) {
 	raw = append([]byte(nil), raw...)
-	b.send(to, packetBytes, func(a *fleetAgent) { b.f.arrived(b, a, raw) })
+	b.send(to, packetBytes, func(a *fleetAgent) { b.f.receiveAtAgent(b, a, raw) })
 }
 
 func (b *fleetBalancer) Ask(to netip.AddrPort, q peer.Question) {
-	b.f.ownBytes += peer.QuestionCost
+	b.f.controlBytes += peer.QuestionCost
 	b.send(to, peer.QuestionCost, func(a *fleetAgent) {
 		v := peer.Lacks
 		if a.held[q.Flow] {
@@ -219,12 +222,12 @@
 }
 
 func (b *fleetBalancer) Probe(to netip.AddrPort) {
-	b.f.ownBytes += 29
+	b.f.controlBytes += 29
 	b.send(to, 29, func(a *fleetAgent) {
 		a.number++
 		ip := a.address.Addr().As4()
 		r := peer.Report{
-			Number: a.number, Service: uint64(route.IDOf(desk)), Zone: fleetZones[(int(ip[2])<<8|int(ip[3]))%len(fleetZones)], Open: true, Slots: 2,
+			Number: a.number, Service: uint64(route.IDOf(casework)), Zone: fleetZones[(int(ip[2])<<8|int(ip[3]))%len(fleetZones)], Open: true, Slots: 2,
 		}
 		b.receive(reportBytes, func() { b.engine.Reported(b.f.now, a.address, r) })
 	})
@@ -233,7 +236,7 @@
 func (b *fleetBalancer) Reset(x packet.Flow, _ uint32) { b.f.reset(x) }
 func (b *fleetBalancer) Note(Decision)                 {}
 
-// callerOf is the caller of a flow; nil if it has given the flow up.
+// callerOf returns the caller of a flow, nil if it has abandoned the flow.
 func (f *fleet) callerOf(x packet.Flow) *fleetCaller {
 	n := int(x.Client.IP[2])<<8 | int(x.Client.IP[3])
 	if c := f.callers[n]; c.flow == x {
@@ -242,8 +245,8 @@
 	return nil
 }
 
-// arrived is a packet at an agent.
-func (f *fleet) arrived(b *fleetBalancer, a *fleetAgent, raw []byte) {
+// receiveAtAgent handles a packet that arrives at an agent.
+func (f *fleet) receiveAtAgent(b *fleetBalancer, a *fleetAgent, raw []byte) {
 	opens := raw[0] == 1
 	x := packet.Flow{Client: packet.Endpoint{IP: [4]byte(raw[1:]), Port: uint16(raw[5])<<8 | uint16(raw[6])}, Service: service}
 	c := f.callerOf(x)
@@ -259,7 +262,7 @@
 		b.receive(packetBytes, func() { b.engine.Refused(f.now, a.address, peer.Head{Reason: peer.NotHeld}, p, raw) })
 	case c != nil && c.waiting:
 		c.waiting = false
-		if f.now-c.sentAt <= inTime {
+		if f.now-c.sentAt <= onTimeLimit {
 			f.served[int((c.sentAt-time.Hour)/time.Second)]++
 		}
 	}
@@ -273,11 +276,12 @@
 	}
 }
 
-// ask begins a packet of a caller, unless the one before is under way.
-func (f *fleet) ask(c *fleetCaller) {
-	f.after(askEvery, func() { f.ask(c) })
+// startPacket starts a caller's next packet, unless the previous one is still
+// outstanding.
+func (f *fleet) startPacket(c *fleetCaller) {
+	f.after(sendInterval, func() { f.startPacket(c) })
 	if c.waiting {
-		if f.now-c.sentAt < callerPatience {
+		if f.now-c.sentAt < callerTimeout {
 			return
 		}
 		c.open = false
@@ -289,7 +293,8 @@
 	f.send(c)
 }
 
-// send sends the caller's packet, or the first one of a new flow, and copies of it.
+// send sends the caller's packet, or the first packet of a new flow, and schedules its
+// retransmits.
 func (f *fleet) send(c *fleetCaller) {
 	c.epoch++
 	c.tries = 0
@@ -324,8 +329,8 @@
 	f.after(wait, func() { f.sendCopy(c, epoch) })
 }
 
-// pick is the fabric's choice among the balancers of the caller's data centre that are
-// up: by modulo, or so that only the flows of one that left move.
+// pick is the fabric's choice among the running balancers of the caller's data centre: by
+// modulo, or by rendezvous hashing, so that only the flows of a failed balancer move.
 func (f *fleet) pick(c *fleetCaller) *fleetBalancer {
 	var up []*fleetBalancer
 	for _, b := range f.balancers {
@@ -337,54 +342,57 @@
 		return nil
 	}
 	h := route.Hash(c.flow)
-	if f.mod {
+	if f.byModulo {
 		return up[h%uint64(len(up))]
 	}
 	chosen := up[0]
 	for _, b := range up {
-		if affinity(h, uint64(b.n)*0x9e3779b97f4a7c15) > affinity(h, uint64(chosen.n)*0x9e3779b97f4a7c15) {
+		if rendezvousWeight(h, uint64(b.n)*0x9e3779b97f4a7c15) > rendezvousWeight(h, uint64(chosen.n)*0x9e3779b97f4a7c15) {
 			chosen = b
 		}
 	}
 	return chosen
 }
 
-// share is the part of a second's packets that arrived in time.
-func (f *fleet) share(second int) float64 {
+// onTimeShare is the part of a second's packets that arrived on time.
+func (f *fleet) onTimeShare(second int) float64 {
 	return float64(f.served[second]) / float64(max(1, f.sent[second]))
 }
 
-// killSome ends every twelfth balancer; they are back without a memory after a while.
-func (f *fleet) killSome(from int, back time.Duration) {
+// killEveryTwelfth stops every twelfth balancer; each restarts without state after the
+// downtime.
+func (f *fleet) killEveryTwelfth(from int, downtime time.Duration) {
 	for n := from; n < fleetBalancers; n += 12 {
 		b := f.balancers[n]
 		b.up = false
-		f.after(back, b.start)
+		f.after(downtime, b.start)
 	}
 }
 
-// Guards against a fleet that never comes back after a twelfth of its balancers dies, three times in six seconds.
-func TestFleetComesBackAfterBalancersDie(t *testing.T) {
+// Guards against a fleet that never recovers after a twelfth of its balancers fails,
+// three times within six seconds.
+func TestFleetRecoversFromBalancerFailures(t *testing.T) {
 	for _, mod := range []bool{false, true} {
 		f := newFleet(mod)
 		f.run(5 * time.Second)
-		for blow := range 3 {
-			f.killSome(blow, 2*time.Second)
+		for failure := range 3 {
+			f.killEveryTwelfth(failure, 2*time.Second)
 			f.run(3 * time.Second)
 		}
 		f.run(5 * time.Second)
-		// Each survivor searches five flows, by modulo all of its fifty: 18 KB of questions
-		// within 52 KB a second. A second after a blow all must be in time.
+		// Each survivor searches five flows, with modulo all of its fifty: 18 KB of questions
+		// within 52 KB a second. A second after a failure all packets must be on time.
 		for _, second := range []int{4, 6, 9, 12, 15, 17} {
-			if got := f.share(second); got < 0.999 {
-				t.Errorf("mod %v: second %d: %.3f in time", mod, second, got)
+			if got := f.onTimeShare(second); got < 0.999 {
+				t.Errorf("mod %v: second %d: %.3f on time", mod, second, got)
 			}
 		}
 	}
 }
 
-// Guards against a fleet that never comes back after all, targets included, lost power for 1.3 s.
-func TestFleetComesBackAfterAPowerCut(t *testing.T) {
+// Guards against a fleet that never recovers after all balancers and targets lost power
+// for 1.3 s.
+func TestFleetRecoversFromPowerOutage(t *testing.T) {
 	for _, mod := range []bool{false, true} {
 		f := newFleet(mod)
 		f.run(5 * time.Second)
@@ -398,24 +406,25 @@
 			f.after(1300*time.Millisecond, func() { a.up = true })
 		}
 		f.run(8 * time.Second)
-		// Callers whose flows aren't reset give up after their patience; a second later all
-		// must be in time.
+		// Callers whose flows aren't reset abandon them after callerTimeout; a second later all
+		// packets must be on time.
 		for second := 10; second < 12; second++ {
-			if got := f.share(second); got < 0.999 {
-				t.Errorf("mod %v: second %d: %.3f in time", mod, second, got)
+			if got := f.onTimeShare(second); got < 0.999 {
+				t.Errorf("mod %v: second %d: %.3f on time", mod, second, got)
 			}
 		}
 	}
 }
 
-// Guards against talk that grows with the fleet: questions and probes stay under the plan's 5 KB a second.
-func TestQuietFleetTalksLittle(t *testing.T) {
+// Guards against control traffic that grows with the fleet: questions and probes stay
+// within the planned 5 KB a second for each balancer.
+func TestIdleFleetControlTrafficIsBounded(t *testing.T) {
 	f := newFleet(false)
 	f.run(5 * time.Second) // flows are opened
-	f.ownBytes = 0
+	f.controlBytes = 0
 	f.run(5 * time.Second)
 	const planned = 5000
-	if got := f.ownBytes / 5 / fleetBalancers; got > planned {
-		t.Errorf("%d bytes a second a balancer", got)
+	if got := f.controlBytes / 5 / fleetBalancers; got > planned {
+		t.Errorf("%d bytes of questions and probes a second for each balancer", got)
 	}
 }
--- a/internal/passthrough/forward/placement.go
+++ b/internal/passthrough/forward/placement.go
@@ -7,128 +7,129 @@
 	"bergamotstall/internal/passthrough/peer"
 )
 
-// How busy a target is is asked for when a flow is to be placed, and the answer serves
-// the flows that come shortly after. So the cost grows with new flows, at most a few
-// probes each, and not with the number of balancers times that of agents.
+// Target loads are requested when a flow is placed, and each report is reused for the flows
+// that follow shortly. So the cost is at most a few probes for each new flow, and doesn't
+// grow with the number of balancers times that of agents.
 
 const (
-	// loadFresh is the age up to which a report is as good as a new one. Flows sent
-	// since are counted.
-	loadFresh = 100 * time.Millisecond
-	// loadPatience is how long a probe may take: several round trips between data
-	// centres of one region, and a busy VM's turn at the processor.
-	loadPatience = 40 * time.Millisecond
-	// silentFor is how long an agent that left a probe unanswered gets no flows. A
-	// killed one is back within seconds.
-	silentFor = time.Second
-	// placePatience is how long a first packet waits for probes in all. Its caller
-	// sends a copy after 200 ms.
-	placePatience = 100 * time.Millisecond
-	// guessFor is the age of a report up to which its target may be guessed to take
-	// flows while no probe is answered.
-	guessFor = 5 * time.Second
-	// watchInterval is the time between two probes of any agent, to see whether the
-	// balancer is cut off; isolatedAfter is when it is taken to be.
-	watchInterval = 100 * time.Millisecond
-	isolatedAfter = 800 * time.Millisecond
-	// maxPlacing bounds the first packets that wait for probes, 100 B each; past it
-	// they are placed by what is known.
-	maxPlacing = 4_096
+	// reportFreshFor is the age up to which a report is used without a new probe. Flows
+	// sent since the report are counted in addition.
+	reportFreshFor = 100 * time.Millisecond
+	// probeTimeout is how long a probe may take: several round trips between data centres
+	// of one region, and the scheduling delay of a busy VM.
+	probeTimeout = 40 * time.Millisecond
+	// unresponsiveFor is how long an agent that failed to answer a probe gets no new
+	// flows. A killed agent is back within seconds.
+	unresponsiveFor = time.Second
+	// placementTimeout is how long a first packet waits for all its probes. Its caller
+	// retransmits after 200 ms.
+	placementTimeout = 100 * time.Millisecond
+	// fallbackReportAge is the age up to which a report may be used for placement while
+	// no probe is answered.
+	fallbackReportAge = 5 * time.Second
+	// watchProbeInterval is the time between two probes that check for isolation;
+	// isolationTimeout is how long the balancer may hear of no agent before it counts as
+	// isolated.
+	watchProbeInterval = 100 * time.Millisecond
+	isolationTimeout   = 800 * time.Millisecond
+	// maxPendingPlacements bounds the first packets that wait for probes, 100 B each;
+	// beyond it they are placed by the loads known already.
+	maxPendingPlacements = 4_096
 )
 
 // pendingPlacement is a first packet that waits for its candidates' loads.
 type pendingPlacement struct {
 	arrival
-	at    holder
-	why   peer.Reason
-	since time.Duration
+	entry     flowEntry
+	reason    peer.Reason
+	startedAt time.Duration
 }
 
-// placements are the first packets that wait, in the order in which they came.
-type placements struct {
+// pendingPlacements are the waiting first packets, in order of arrival.
+type pendingPlacements struct {
 	byFlow map[packet.Flow]*pendingPlacement
 	order  []packet.Flow
-	// waiting are the flows that wait for an agent's report.
-	waiting map[uint32][]packet.Flow
-	// copies are copies of first packets whose agent is being probed.
-	copies []arrival
+	// byAgent holds the flows that wait for each agent's report.
+	byAgent map[uint32][]packet.Flow
+	// retransmits are retransmitted first packets whose agent is being probed.
+	retransmits []arrival
 }
 
-func newPlacements() placements {
-	return placements{byFlow: map[packet.Flow]*pendingPlacement{}, waiting: map[uint32][]packet.Flow{}}
+func newPendingPlacements() pendingPlacements {
+	return pendingPlacements{byFlow: map[packet.Flow]*pendingPlacement{}, byAgent: map[uint32][]packet.Flow{}}
 }
 
 // place offers a first packet to a target that hasn't handed it back.
-func (e *Engine) place(now time.Duration, x arrival, f packet.Flow, at holder, why peer.Reason) {
-	if at.tries >= maxTries {
-		e.refuseCaller(f, at, why)
+func (e *Engine) place(now time.Duration, x arrival, f packet.Flow, entry flowEntry, reason peer.Reason) {
+	if entry.attempts >= maxPlacementAttempts {
+		e.rejectFlow(f, entry, reason)
 		return
 	}
-	e.tryPlacement(now, f, &pendingPlacement{arrival: x, at: at, why: why, since: now})
+	e.tryPlacement(now, f, &pendingPlacement{arrival: x, entry: entry, reason: reason, startedAt: now})
 }
 
-// tryPlacement places a first packet if enough is known.
+// tryPlacement places a first packet if enough loads are known.
 func (e *Engine) tryPlacement(now time.Duration, f packet.Flow, p *pendingPlacement) {
-	hasty := now-p.since >= placePatience || len(e.placements.byFlow) >= maxPlacing
-	c := chooser{e: e, now: now, flow: f, excluded: p.at.excluded(), hasty: hasty}
+	noWait := now-p.startedAt >= placementTimeout || len(e.placements.byFlow) >= maxPendingPlacements
+	c := chooser{e: e, now: now, flow: f, excluded: p.entry.excludedAgents(), noWait: noWait}
 	chosen := c.choose()
 	if len(chosen.probe) > 0 {
-		e.await(now, f, p, chosen.probe)
+		e.waitForReports(now, f, p, chosen.probe)
 		return
 	}
 	delete(e.placements.byFlow, f)
 	switch {
 	case chosen.agent != noAgent:
 		e.placeAt(now, f, p, chosen.agent)
-	case p.at.tries == 0 && e.young(now):
-		e.keepEarly(f, p.arrival, false)
+	case p.entry.attempts == 0 && e.startingUp(now):
+		e.holdEarly(f, p.arrival, false)
 	default:
-		e.refuseCaller(f, p.at, p.why)
+		e.rejectFlow(f, p.entry, p.reason)
 	}
 }
 
-// await has a first packet wait for reports.
-func (e *Engine) await(now time.Duration, f packet.Flow, p *pendingPlacement, probe []uint32) {
+// waitForReports holds a first packet until the given agents have reported.
+func (e *Engine) waitForReports(now time.Duration, f packet.Flow, p *pendingPlacement, probe []uint32) {
 	if e.placements.byFlow[f] == nil {
 		p.raw = append([]byte(nil), p.raw...)
 		e.placements.byFlow[f] = p
 		e.placements.order = append(e.placements.order, f)
 	}
 	for _, number := range probe {
-		e.placements.waiting[number] = append(e.placements.waiting[number], f)
+		e.placements.byAgent[number] = append(e.placements.byAgent[number], f)
 		e.probe(now, number)
 	}
 }
 
-// placeAt sends a first packet to the agent chosen.
+// placeAt sends a first packet to the chosen agent.
 func (e *Engine) placeAt(now time.Duration, f packet.Flow, p *pendingPlacement, agent uint32) {
 	verdict := Placed
-	if p.at.tries > 0 {
+	if p.entry.attempts > 0 {
 		verdict = Moved
 	}
-	p.at.tries++
-	p.at.agent = agent
-	p.at.seenAt = now
+	p.entry.attempts++
+	p.entry.agent = agent
+	p.entry.lastPacketAt = now
 	if len(e.flows) < maxFlows {
-		e.flows[f] = p.at
+		e.flows[f] = p.entry
 	}
 	a := &e.agents.list[agent]
-	a.sent++
-	e.deliverAged(agent, now-p.arrival.at, p.raw)
+	a.flowsSent++
+	e.deliverWithAge(agent, now-p.arrival.arrivedAt, p.raw)
 	picked, _ := e.table.Pick(f)
-	e.note(Decision{
-		Flow: f, Verdict: verdict, Agent: a.address, Reason: p.why, ReportAge: now - a.heardAt, Waited: now - p.arrival.at,
+	e.logDecision(Decision{
+		Flow: f, Verdict: verdict, Agent: a.address, Reason: p.reason, ReportAge: now - a.reportedAt, Waited: now - p.arrival.arrivedAt,
 		Overflow: a.service() != picked,
 	})
 }
 
-// resumeAfter goes on with the first packets that wait for an agent's report.
-func (e *Engine) resumeAfter(now time.Duration, agent uint32) {
-	flows := e.placements.waiting[agent]
+// resumePlacements retries the placements that wait for an agent's report.
+func (e *Engine) resumePlacements(now time.Duration, agent uint32) {
+	flows := e.placements.byAgent[agent]
 	if len(flows) == 0 {
 		return
 	}
-	delete(e.placements.waiting, agent)
+	delete(e.placements.byAgent, agent)
 	for _, f := range flows {
 		if p := e.placements.byFlow[f]; p != nil {
 			e.tryPlacement(now, f, p)
@@ -136,12 +137,12 @@
 	}
 }
 
-// tickPlacements goes on with first packets whose probes weren't answered in time.
+// tickPlacements retries placements whose probes weren't answered in time.
 func (e *Engine) tickPlacements(now time.Duration) {
 	if len(e.placements.order) > 0 {
 		order := e.placements.order
 		e.placements.order = nil
-		clear(e.placements.waiting)
+		clear(e.placements.byAgent)
 		for _, f := range order {
 			p := e.placements.byFlow[f]
 			if p == nil {
@@ -151,37 +152,37 @@
 			e.tryPlacement(now, f, p)
 		}
 	}
-	e.tickCopies(now)
+	e.tickRetransmits(now)
 }
 
-// followFirst sends a copy of a first packet after the first one, and has its agent
-// probed: if that one is silent, the copy goes elsewhere.
-func (e *Engine) followFirst(now time.Duration, a arrival, f packet.Flow, at holder) {
-	at.seenAt = now
-	e.flows[f] = at
-	e.deliverAged(at.agent, now-a.at, a.raw)
-	if e.agents.list[at.agent].fresh(now) || len(e.placements.copies) >= maxPlacing {
+// forwardRetransmit sends a retransmitted first packet to the agent of the first one and
+// probes that agent; if it is unresponsive, the packet goes to another one.
+func (e *Engine) forwardRetransmit(now time.Duration, a arrival, f packet.Flow, entry flowEntry) {
+	entry.lastPacketAt = now
+	e.flows[f] = entry
+	e.deliverWithAge(entry.agent, now-a.arrivedAt, a.raw)
+	if e.agents.list[entry.agent].hasFreshReport(now) || len(e.placements.retransmits) >= maxPendingPlacements {
 		return
 	}
-	e.probe(now, at.agent)
+	e.probe(now, entry.agent)
 	a.raw = append([]byte(nil), a.raw...)
-	e.placements.copies = append(e.placements.copies, a)
+	e.placements.retransmits = append(e.placements.retransmits, a)
 }
 
-// tickCopies moves copies whose agent left the probe unanswered.
-func (e *Engine) tickCopies(now time.Duration) {
-	copies := e.placements.copies
-	e.placements.copies = nil
-	for _, a := range copies {
+// tickRetransmits places retransmits anew whose agent left the probe unanswered.
+func (e *Engine) tickRetransmits(now time.Duration) {
+	retransmits := e.placements.retransmits
+	e.placements.retransmits = nil
+	for _, a := range retransmits {
 		f := a.p.FromClient()
-		at, known := e.flows[f]
+		entry, known := e.flows[f]
 		switch {
 		case !known || e.placements.byFlow[f] != nil:
-		case e.agents.list[at.agent].unanswered(now):
-			at.exclude(at.agent)
-			e.place(now, a, f, at, peer.Silent)
-		case e.agents.list[at.agent].probedAt > e.agents.list[at.agent].aliveAt:
-			e.placements.copies = append(e.placements.copies, a)
+		case e.agents.list[entry.agent].probeTimedOut(now):
+			entry.exclude(entry.agent)
+			e.place(now, a, f, entry, peer.Silent)
+		case e.agents.list[entry.agent].probedAt > e.agents.list[entry.agent].lastSeenAt:
+			e.placements.retransmits = append(e.placements.retransmits, a)
 		}
 	}
 }
--- a/internal/passthrough/forward/placing_test.go
+++ b/internal/passthrough/forward/placing_test.go
@@ -14,48 +14,48 @@
 	"bergamotstall/internal/passthrough/route"
 )
 
-// A caller's first packet meets a target that leaves, then one that is full, and
-// is taken by the third. The caller notices a few milliseconds.
-func TestRefusedFirstPacketMovesOn(t *testing.T) {
+// Guards against callers refused because of one target: a first packet meets one that
+// drains, then one that is full, and is accepted by the third.
+func TestRefusedFirstPacketTriesNextTarget(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
-	r.agentAt(1, desk)
-	r.agentAt(2, desk)
-	r.agentAt(3, desk)
+	r := newTestEngine(t)
+	r.agentAt(1, casework)
+	r.agentAt(2, casework)
+	r.agentAt(3, casework)
 	r.send(syn(9))
 	seen := map[string]bool{}
 	for i, why := range []peer.Reason{peer.Draining, peer.Full} {
 		to := r.delivered[i].to
 		seen[to.String()] = true
 		r.engine.Refused(r.now, to, peer.Head{Reason: why}, syn(9), rawOf(0))
-		is.Equal(r.last().Verdict, Moved)
-		is.Equal(r.last().Reason, why)
+		is.Equal(r.lastDecision().Verdict, Moved)
+		is.Equal(r.lastDecision().Reason, why)
 	}
 	seen[r.delivered[2].to.String()] = true
-	is.Equal(len(seen), 3) // never the same twice
+	is.Equal(len(seen), 3) // no target was tried twice
 	is.Equal(len(r.resets), 0)
 }
 
-// No target takes the flow. The caller is told at once instead of waiting 1.4 s
-// for an answer that doesn't come.
-func TestFirstPacketWithoutATargetIsReset(t *testing.T) {
+// Guards against callers that wait 1.4 s for an answer where no target accepts the flow:
+// it is reset at once.
+func TestFirstPacketWithoutTargetIsReset(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
-	a := r.agentAt(1, desk)
+	r := newTestEngine(t)
+	a := r.agentAt(1, casework)
 	r.send(syn(9))
 	r.engine.Refused(r.now, a, peer.Head{Reason: peer.Silent}, syn(9), rawOf(0))
 	is.Equal(len(r.resets), 1)
-	is.Equal(r.last().Verdict, RefusedNoTarget)
+	is.Equal(r.lastDecision().Verdict, RefusedNoTarget)
 	is.Equal(r.engine.Flows(), 0)
 }
 
-// A copy of a first packet follows the first while its agent is alive: two
-// targets that both answer would each hold a flow that one caller uses.
-func TestCopyFollowsTheFirst(t *testing.T) {
+// Guards against two targets that each hold state for one caller's flow: a retransmitted
+// first packet goes to the same agent while that is responsive.
+func TestRetransmitFollowsFirstPacket(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
+	r := newTestEngine(t)
 	for n := byte(1); n < 9; n++ {
-		r.agentAt(n, desk)
+		r.agentAt(n, casework)
 	}
 	for range 3 {
 		r.send(syn(9))
@@ -64,67 +64,69 @@
 	is.Equal(r.delivered[2].to, r.delivered[0].to)
 }
 
-// Guards against a caller whose copies follow its first packet to a dead agent: the
-// agent is probed, and the copy goes elsewhere well before the caller sends another.
-func TestCopyLeavesASilentAgent(t *testing.T) {
+// Guards against retransmits that follow the first packet to a dead agent: the agent is
+// probed, and the retransmit goes elsewhere well before the next one.
+func TestRetransmitAvoidsUnresponsiveAgent(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
-	a := r.agentAt(1, desk)
+	r := newTestEngine(t)
+	a := r.agentAt(1, casework)
 	r.send(syn(9))
 	is.Equal(r.delivered[0].to, a)
-	for range 20 { // the agent lives until shortly before the copy
-		r.agentAt(1, desk)
-		r.pass(10 * time.Millisecond)
+	for range 20 { // the agent is alive until shortly before the retransmit
+		r.agentAt(1, casework)
+		r.advance(10 * time.Millisecond)
 	}
-	r.now += loadFresh
-	b := r.agentAt(2, desk)
+	r.now += reportFreshFor
+	b := r.agentAt(2, casework)
 	r.probed = nil
 	r.send(syn(9))
 	is.Equal(r.probed, []netip.AddrPort{a})
 	for r.delivered[len(r.delivered)-1].to != b && r.now < 2*time.Hour {
-		r.agentAt(2, desk)
-		r.pass(10 * time.Millisecond)
+		r.agentAt(2, casework)
+		r.advance(10 * time.Millisecond)
 	}
 	is.True(len(r.delivered) == 3)
-	is.Equal(r.last().Reason, peer.Silent)
-	is.True(r.last().Waited <= loadPatience+10*time.Millisecond)
+	is.Equal(r.lastDecision().Reason, peer.Silent)
+	is.True(r.lastDecision().Waited <= probeTimeout+10*time.Millisecond)
 }
 
-// Guards against flows that wait for a dead agent: of three that are probed two answers are enough.
-func TestFirstPacketDoesNotWaitForADeadAgent(t *testing.T) {
+// Guards against flows that wait for a dead agent: of three probes, two answers are
+// enough.
+func TestFirstPacketDoesNotWaitForDeadAgent(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
+	r := newTestEngine(t)
 	for n := byte(1); n <= 4; n++ {
-		r.list(n, desk)
+		r.list(n, casework)
 	}
 	r.send(syn(9))
 	is.Equal(len(r.delivered), 0)
-	is.Equal(len(r.probed), enough+1)
+	is.Equal(len(r.probed), minKnownCandidates+1)
 	for _, at := range r.probed[1:] {
-		r.report(at, peer.Report{Process: uint64(at.Addr().As4()[3]), Service: uint64(route.IDOf(desk)), Zone: zone, Open: true, Slots: 4})
+		r.report(at, peer.Report{Process: uint64(at.Addr().As4()[3]), Service: uint64(route.IDOf(casework)), Zone: zone, Open: true, Slots: 4})
 	}
 	is.Equal(len(r.delivered), 1)
-	is.Equal(r.last().Waited, time.Duration(0))
+	is.Equal(r.lastDecision().Waited, time.Duration(0))
 }
 
-// Guards against callers refused since no probe is answered in time, as on overloaded links.
-func TestLateReportsDoNotRefuseCallers(t *testing.T) {
+// Guards against callers refused because no probe is answered in time, as on overloaded
+// links.
+func TestMissingReportsDoNotRefuseFlows(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
-	a := r.agentAt(1, desk)
-	r.pass(time.Second)
+	r := newTestEngine(t)
+	a := r.agentAt(1, casework)
+	r.advance(time.Second)
 	r.send(syn(9))
-	r.pass(placePatience + 20*time.Millisecond)
+	r.advance(placementTimeout + 20*time.Millisecond)
 	is.Equal(len(r.resets), 0)
 	is.Equal(r.delivered[0].to, a)
 }
 
-// Guards against probes that grow with the number of agents.
-func TestProbesGrowWithFlowsOnly(t *testing.T) {
+// Guards against probes whose number grows with that of agents.
+func TestProbeCountIsIndependentOfFleetSize(t *testing.T) {
 	for _, agents := range []int{10, 200, 2000} {
-		r := fleetRig(t, "a", 0, 0)
+		r := newFleetTestEngine(t, "a", 0, 0)
 		for n := range agents {
-			r.engine.List(r.now, Listed{Address: fleetAddress(n), Zone: fleetZones[n%len(fleetZones)], Service: route.IDOf(desk)})
+			r.engine.List(r.now, Listed{Address: fleetAddress(n), Zone: fleetZones[n%len(fleetZones)], Service: route.IDOf(casework)})
 		}
 		const flows = 1000
 		for port := range uint16(flows) {
@@ -135,51 +137,50 @@
 		if n := len(r.delivered); n != flows {
 			t.Errorf("%d agents: %d of %d flows placed", agents, n, flows)
 		}
-		if n := r.probes; n > (enough+1)*flows {
+		if n := r.probes; n > (minKnownCandidates+1)*flows {
 			t.Errorf("%d agents: %d probes for %d flows", agents, n, flows)
 		}
 	}
 }
 
-// A route is dropped: new flows to it are refused and its open ones end. Flows
-// of other addresses stay.
-func TestDroppedRoute(t *testing.T) {
+// Guards against flows that hang when their route is removed: open ones are reset, and
+// new ones refused.
+func TestRemovedRouteResetsFlows(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
-	a := r.agentAt(1, desk)
+	r := newTestEngine(t)
+	a := r.agentAt(1, casework)
 	r.send(syn(9))
 	r.table(2)
 	r.send(data(9, 50))
 	is.Equal(r.resets, []reset{{flowOf(9), 50}})
-	is.Equal(r.last().Verdict, ResetRouteGone)
+	is.Equal(r.lastDecision().Verdict, ResetRouteGone)
 	r.send(syn(10))
-	is.Equal(r.last().Verdict, RefusedNoRoute)
+	is.Equal(r.lastDecision().Verdict, RefusedNoRoute)
 	is.Equal(len(r.delivered), 1)
 	is.Equal(r.delivered[0].to, a)
 }
 
-// A route goes over to another service while a caller's feed is open: the feed
-// stays where it is, new flows go to the new service.
-func TestOpenFlowStaysWhenItsRouteMoves(t *testing.T) {
+// Guards against open flows that break when their route moves to another service: they
+// stay at their target, and only new flows go to the new service.
+func TestOpenFlowStaysWhenRouteChangesService(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
-	a, b := r.agentAt(1, desk), r.agentAt(2, archive)
+	r := newTestEngine(t)
+	a, b := r.agentAt(1, casework), r.agentAt(2, mapdocs)
 	r.send(syn(9))
-	r.table(2, archive)
+	r.table(2, mapdocs)
 	r.send(data(9, 50))
 	r.send(syn(10))
 	is.Equal(r.delivered[1].to, a)
 	is.Equal(r.delivered[2].to, b)
 }
 
-// A late report of an agent's earlier state must not reopen a target that has
-// said that it leaves.
-func TestLateReportIsIgnored(t *testing.T) {
+// Guards against a delayed report that makes a draining target available again.
+func TestOutOfOrderReportIsIgnored(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
-	a := r.agentAt(1, desk)
-	x := peer.Report{Process: 1, Service: uint64(route.IDOf(desk)), Zone: zone, Number: 50}
-	r.engine.Reported(r.now, a, x) // leaves
+	r := newTestEngine(t)
+	a := r.agentAt(1, casework)
+	x := peer.Report{Process: 1, Service: uint64(route.IDOf(casework)), Zone: zone, Number: 50}
+	r.engine.Reported(r.now, a, x) // draining
 	x.Number, x.Open = 49, true
 	r.engine.Reported(r.now, a, x)
 	r.send(syn(9))
@@ -187,13 +188,13 @@
 	is.Equal(len(r.resets), 1)
 }
 
-// A burst of flows between two reports spreads over the targets; by the reports
-// alone all would go to the one that looked best.
-func TestBurstBetweenReportsSpreads(t *testing.T) {
+// Guards against a burst of flows between two reports that all goes to the target that
+// looked best in the last report.
+func TestBurstBetweenReportsIsBalanced(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
+	r := newTestEngine(t)
 	for n := byte(1); n <= 4; n++ {
-		r.agentAt(n, desk)
+		r.agentAt(n, casework)
 	}
 	for port := range uint16(80) {
 		r.send(syn(port))
@@ -210,24 +211,23 @@
 	is.Equal(len(count), 4)
 }
 
-// The packet of an open flow costs the balancer no memory, or it would stop for
-// collections just when it carries most.
-func TestNoAllocationForAKnownFlow(t *testing.T) {
-	r := newRig(t)
-	r.agentAt(1, desk)
+// Guards against allocations for packets of known flows, which would cause garbage
+// collection when the balancer carries most traffic.
+func TestKnownFlowDoesNotAllocate(t *testing.T) {
+	r := newTestEngine(t)
+	r.agentAt(1, casework)
 	r.send(syn(9))
-	quiet := New(Config{Zone: zone, Rand: r.engine.cfg.Rand, Out: silent{}})
-	*quiet = *r.engine
-	quiet.cfg.Out = silent{}
+	discarding := New(Config{Zone: zone, Rand: r.engine.cfg.Rand, Out: discardOutput{}})
+	*discarding = *r.engine
+	discarding.cfg.Out = discardOutput{}
 	p, raw := data(9, 5), rawOf(5)
-	if n := testing.AllocsPerRun(1000, func() { quiet.FromClient(r.now, p, raw) }); n != 0 {
+	if n := testing.AllocsPerRun(1000, func() { discarding.FromClient(r.now, p, raw) }); n != 0 {
 		t.Errorf("%v allocations a packet", n)
 	}
 }
 
-// BenchmarkKnownFlow measures the decision for a packet of a flow with a known
-// place in a table of 100,000 flows: 136 ns and no allocation on one core of a
-// Xeon, most of it two look-ups in the map.
+// BenchmarkKnownFlow measures the decision for a packet of a known flow in a table of
+// 100,000 flows. Most of it are two map look-ups.
 func BenchmarkKnownFlow(b *testing.B) {
 	e := benchEngine(b)
 	raw := rawOf(5)
@@ -240,9 +240,8 @@
 	}
 }
 
-// BenchmarkUnknownFlow measures a packet of a flow that this balancer has never
-// seen, question and answer included, among ten agents: 1,605 ns and 11
-// allocations where it was measured.
+// BenchmarkUnknownFlow measures a packet of an unknown flow among ten agents, question
+// and answer included.
 func BenchmarkUnknownFlow(b *testing.B) {
 	e := benchEngine(b)
 	raw := rawOf(5)
@@ -257,44 +256,44 @@
 	}
 }
 
-// benchFlows is several times what a balancer holds at the size to design for.
+// benchFlows is several times what one balancer holds at the design size of the fleet.
 const benchFlows = 100_000
 
 func benchEngine(b *testing.B) *Engine {
 	b.Helper()
-	r := newRig(&testing.T{})
+	r := newTestEngine(&testing.T{})
 	for n := byte(1); n <= 10; n++ {
-		r.agentAt(n, desk)
+		r.agentAt(n, casework)
 	}
-	r.engine.cfg.Out = silent{}
+	r.engine.cfg.Out = discardOutput{}
 	for i := range benchFlows {
 		p := syn(uint16(i))
 		p.Src.IP[3] = byte(i >> 16)
-		r.engine.flows[p.FromClient()] = holder{agent: uint32(i % 10), seenAt: r.now}
+		r.engine.flows[p.FromClient()] = flowEntry{agent: uint32(i % 10), lastPacketAt: r.now}
 	}
 	return r.engine
 }
 
-// silent is an Output that keeps nothing.
-type silent struct{ Output }
+// discardOutput is an Output that discards everything.
+type discardOutput struct{ Output }
 
-func (silent) Deliver(netip.AddrPort, route.ServiceID, time.Duration, []byte) {}
-func (silent) Ask(netip.AddrPort, peer.Question)                              {}
-func (silent) Probe(netip.AddrPort)                                           {}
-func (silent) Reset(packet.Flow, uint32)                                      {}
-func (silent) Note(Decision)                                                  {}
+func (discardOutput) Deliver(netip.AddrPort, route.ServiceID, time.Duration, []byte) {}
+func (discardOutput) Ask(netip.AddrPort, peer.Question)                              {}
+func (discardOutput) Probe(netip.AddrPort)                                           {}
+func (discardOutput) Reset(packet.Flow, uint32)                                      {}
+func (discardOutput) Note(Decision)                                                  {}
 
-// BenchmarkFlowMemory measures what a remembered flow takes.
+// BenchmarkFlowMemory measures the memory of a flow table entry.
 func BenchmarkFlowMemory(b *testing.B) {
 	for _, n := range []int{10_000, 50_000, 100_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			for range b.N {
 				before := heapBytes()
-				e := New(Config{Out: silent{}})
+				e := New(Config{Out: discardOutput{}})
 				for i := range n {
 					p := syn(uint16(i))
 					p.Src.IP[3] = byte(i >> 16)
-					e.flows[p.FromClient()] = holder{agent: 1, seenAt: time.Hour}
+					e.flows[p.FromClient()] = flowEntry{agent: 1, lastPacketAt: time.Hour}
 				}
 				b.ReportMetric(float64(heapBytes()-before)/float64(n), "B/flow")
 				runtime.KeepAlive(e)
@@ -310,43 +309,41 @@
 	return m.HeapAlloc
 }
 
-// An outage left a backlog. A caller's first packet waited for a slot as long as
-// is good for it, in vain. It is told at once: offered to the next target, it
-// would wait there again, for a caller that has given up by then, in the place of
-// one that can still be answered.
-func TestVainWaitIsNotOfferedElsewhere(t *testing.T) {
+// Guards against retries of a first packet that already waited for a slot as long as is
+// useful, as in a backlog after an outage. At the next target it would wait again, in the
+// place of a caller that can still be answered.
+func TestBusyRefusalIsNotRetried(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
-	r.agentAt(1, desk)
-	r.agentAt(2, desk)
+	r := newTestEngine(t)
+	r.agentAt(1, casework)
+	r.agentAt(2, casework)
 	r.send(syn(9))
 	r.engine.Refused(r.now, r.delivered[0].to, peer.Head{Reason: peer.Busy, Age: 800}, syn(9), rawOf(0))
 	is.Equal(len(r.delivered), 1)
 	is.Equal(r.resets, []reset{{flowOf(9), 0}})
-	is.Equal(r.last().Verdict, RefusedNoTarget)
+	is.Equal(r.lastDecision().Verdict, RefusedNoTarget)
 }
 
-// A first packet that one target kept for 300 ms goes to another one, and is as
-// old there as it is: taken for new, it would go before callers that came later.
-func TestMovedFirstPacketKeepsItsAge(t *testing.T) {
+// Guards against a first packet that counts as new at the next target after 300 ms at
+// another one: it would overtake callers that came later.
+func TestRetriedFirstPacketKeepsItsAge(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
-	r.agentAt(1, desk)
-	r.agentAt(2, desk)
+	r := newTestEngine(t)
+	r.agentAt(1, casework)
+	r.agentAt(2, casework)
 	r.send(syn(9))
 	r.engine.Refused(r.now, r.delivered[0].to, peer.Head{Reason: peer.Draining, Age: 300}, syn(9), rawOf(0))
-	is.Equal(r.last().Verdict, Moved)
+	is.Equal(r.lastDecision().Verdict, Moved)
 	is.Equal(r.delivered[1].age, 300*time.Millisecond)
 }
 
-// The caller sent its second copy, 600 ms after the first packet, and the target
-// that got it handed it back 0.9 s later. The caller has given up; a target that
-// opened the flow now would hold it for nobody.
-func TestFirstPacketOfACallerThatGaveUpIsNotOffered(t *testing.T) {
+// Guards against flows opened for callers that have given up: a second retransmit, sent
+// 600 ms after the first packet, comes back from a target 0.9 s later.
+func TestExpiredFirstPacketIsNotRetried(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
-	r.agentAt(1, desk)
-	r.agentAt(2, desk)
+	r := newTestEngine(t)
+	r.agentAt(1, casework)
+	r.agentAt(2, casework)
 	second := syn(9)
 	second.Ack = 2
 	r.send(second)
@@ -355,8 +352,8 @@
 	is.Equal(len(r.resets), 1)
 }
 
-// loaded has an agent report what its target runs.
-func (r *rig) loaded(n byte, service string, running uint32) netip.AddrPort {
+// agentWithLoad has an agent report how many requests its target runs.
+func (r *testEngine) agentWithLoad(n byte, service string, running uint32) netip.AddrPort {
 	at := r.agentAt(n, service)
 	r.report(at, peer.Report{
 		Process: uint64(n), Service: uint64(route.IDOf(service)), Zone: zone, Open: true, Slots: 4,
@@ -365,53 +362,55 @@
 	return at
 }
 
-// After an outage all targets of the desk have more to do than slots, while the
-// archive, which the route gives a small share, is idle. Callers overflow to it
-// instead of waiting: all of them, as long as it has room.
-func TestBacklogOverflowsToTheRoutesOtherService(t *testing.T) {
+// Guards against callers that wait after an outage although another service of their
+// route is idle: while all targets of the weighted service have more requests than slots,
+// flows overflow to the other one.
+func TestBacklogOverflowsToOtherService(t *testing.T) {
 	is := is.New(t)
-	r, idle := overflowRig(t, 5)
+	r, idle := newOverflowTestEngine(t, 5)
 	for port := range uint16(2) {
 		r.send(syn(port))
 		is.Equal(r.delivered[port].to, idle)
-		is.True(r.last().Overflow)
+		is.True(r.lastDecision().Overflow)
 	}
-	// Now that it has been sent two flows it keeps the other half of its slots: at the
-	// desk callers wait for less than one round of requests more.
+	// Half of the idle target's slots are now taken, and the other half stays free: at the
+	// first service callers wait for less than one more round of requests.
 	for port := uint16(2); port < 4; port++ {
 		r.send(syn(port))
 	}
 	is.Equal(r.sentTo(idle), 2)
 }
 
-// Guards against callers who queue at one service while another of their route waits less.
-func TestLongBacklogIsSharedWithTheRoutesOtherService(t *testing.T) {
+// Guards against callers that queue at one service while another one of their route has a
+// shorter queue.
+func TestLongBacklogIsSharedWithOtherService(t *testing.T) {
 	is := is.New(t)
-	r, other := overflowRig(t, 20)
+	r, other := newOverflowTestEngine(t, 20)
 	const flows = 40
 	for port := range uint16(flows) {
 		r.send(syn(port))
 	}
-	// The desk's two targets run 20 each of four slots. The other takes flows until it
-	// lacks one round of requests to the less loaded of them.
+	// The first service's two targets have 20 requests each for four slots. The other target
+	// takes flows until it is one round of requests below the less loaded of them.
 	n := r.sentTo(other)
 	least := 20 + (flows-n)/2
 	is.True(n > least/2)
 	is.True(n <= least-3)
 }
 
-// overflowRig has two targets of the desk run as many requests as given, with four slots
-// each, and one of the archive none.
-func overflowRig(t *testing.T, running uint32) (r *rig, archiveAgent netip.AddrPort) {
-	r = newRig(t)
-	r.weighted(2, route.Backed{Service: desk, Weight: 1_000_000}, route.Backed{Service: archive, Weight: 1})
-	r.loaded(1, desk, running)
-	r.loaded(2, desk, running)
-	return r, r.loaded(3, archive, 0)
+// newOverflowTestEngine returns an engine with two targets of the first service that run
+// the given number of requests with four slots each, and an idle target of the second
+// service.
+func newOverflowTestEngine(t *testing.T, running uint32) (r *testEngine, idleAgent netip.AddrPort) {
+	r = newTestEngine(t)
+	r.weightedTable(2, route.Backed{Service: casework, Weight: 1_000_000}, route.Backed{Service: mapdocs, Weight: 1})
+	r.agentWithLoad(1, casework, running)
+	r.agentWithLoad(2, casework, running)
+	return r, r.agentWithLoad(3, mapdocs, 0)
 }
 
-// sentTo counts the packets sent to an agent.
-func (r *rig) sentTo(agent netip.AddrPort) int {
+// sentTo counts the packets delivered to an agent.
+func (r *testEngine) sentTo(agent netip.AddrPort) int {
 	n := 0
 	for _, d := range r.delivered {
 		if d.to == agent {
@@ -421,32 +420,32 @@
 	return n
 }
 
-// One target of the desk has a free slot: the weights hold, however idle the
-// archive is.
-func TestWeightsHoldWhileThereIsRoom(t *testing.T) {
+// Guards against overflow to an idle service while a target of the weighted service has a
+// free slot.
+func TestWeightsApplyWhileSlotsAreFree(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
-	r.weighted(2, route.Backed{Service: desk, Weight: 1_000_000}, route.Backed{Service: archive, Weight: 1})
-	r.loaded(1, desk, 20)
-	free := r.loaded(2, desk, 1)
-	r.loaded(3, archive, 0)
+	r := newTestEngine(t)
+	r.weightedTable(2, route.Backed{Service: casework, Weight: 1_000_000}, route.Backed{Service: mapdocs, Weight: 1})
+	r.agentWithLoad(1, casework, 20)
+	free := r.agentWithLoad(2, casework, 1)
+	r.agentWithLoad(3, mapdocs, 0)
 	r.send(syn(9))
 	is.Equal(r.delivered[0].to, free)
-	is.True(!r.last().Overflow)
+	is.True(!r.lastDecision().Overflow)
 }
 
-// A balancer is cut off from all agents: no probe is answered, and it says so, that
-// the fabric may leave it out. Where control tells of no agents, none is missing.
-func TestIsolatedBalancer(t *testing.T) {
+// Guards against a balancer that is cut off from all agents and stays in the fabric.
+// Without listed agents it isn't isolated.
+func TestIsolatedBalancerIsDetected(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
+	r := newTestEngine(t)
 	is.True(!r.engine.Isolated(r.now)) // no agent is listed
-	r.list(1, desk)
+	r.list(1, casework)
 	is.True(r.engine.Isolated(r.now))
-	r.pass(watchInterval)
-	is.True(len(r.probed) > 0) // without a flow to place
-	r.agentAt(1, desk)
+	r.advance(watchProbeInterval)
+	is.True(len(r.probed) > 0) // although there is no flow to place
+	r.agentAt(1, casework)
 	is.True(!r.engine.Isolated(r.now))
-	r.pass(isolatedAfter + 10*time.Millisecond)
+	r.advance(isolationTimeout + 10*time.Millisecond)
 	is.True(r.engine.Isolated(r.now))
 }
--- a/internal/passthrough/forward/ranking.go
+++ b/internal/passthrough/forward/ranking.go
@@ -13,16 +13,16 @@
 	"bergamotstall/internal/passthrough/route"
 )
 
-// Each flow has a few preferred agents in each data centre, the ones with the
-// highest rendezvous hash of flow and agent. New flows are placed among them, so a
-// balancer that has never seen a flow finds its holder with a few questions, however
-// many agents there are. Balancers needn't agree on the list of agents: one more or
-// less changes the preference of the few flows that prefer it.
+// Each flow has a few preferred agents in each data centre, those with the highest
+// rendezvous hash of flow and agent. New flows are placed among them, so a balancer that has
+// never seen a flow finds its holder with a few questions, however many agents there are.
+// Balancers needn't agree on the list of agents: an agent more or less only affects the few
+// flows that prefer it.
 
-// preferred is how many agents of one service and data centre a flow prefers. New flows
-// choose between two of them, so a larger number would hardly balance the load better,
-// and each further one costs a question in a search.
-const preferred = 4
+// preferredAgents is how many agents of one service and data centre a flow prefers. New
+// flows choose between two of them, so more would hardly improve the balance, and each
+// further one costs a question in a search.
+const preferredAgents = 4
 
 // group is the agents of one service in one data centre.
 type group struct {
@@ -31,25 +31,24 @@
 	members []uint32
 }
 
-// groupKey identifies a group.
 type groupKey struct {
 	service route.ServiceID
 	zone    string
 }
 
-// index finds the agents of a service without a walk over all.
-type index struct {
+// agentIndex looks up the agents of a service without a scan of all.
+type agentIndex struct {
 	groups map[groupKey]*group
 	// byService holds each service's groups, ordered by data centre.
 	byService map[route.ServiceID][]*group
 }
 
-func newIndex() index {
-	return index{groups: map[groupKey]*group{}, byService: map[route.ServiceID][]*group{}}
+func newAgentIndex() agentIndex {
+	return agentIndex{groups: map[groupKey]*group{}, byService: map[route.ServiceID][]*group{}}
 }
 
-// add puts an agent into its group, which is returned.
-func (x *index) add(key groupKey, number uint32) *group {
+// add puts an agent into its group and returns the group.
+func (x *agentIndex) add(key groupKey, number uint32) *group {
 	g := x.groups[key]
 	if g == nil {
 		g = &group{service: key.service, zone: key.zone}
@@ -62,8 +61,8 @@
 	return g
 }
 
-// remove takes an agent out of its group; an empty group is forgotten.
-func (x *index) remove(g *group, number uint32) {
+// remove takes an agent out of its group, and deletes the group once it is empty.
+func (x *agentIndex) remove(g *group, number uint32) {
 	if at := slices.Index(g.members, number); at >= 0 {
 		g.members = slices.Delete(g.members, at, at+1)
 	}
@@ -77,8 +76,8 @@
 	}
 }
 
-// hashOf is the hash of an agent's address, the same at every balancer.
-func hashOf(at netip.AddrPort) uint64 {
+// addressHash hashes an agent's address. All balancers must compute the same value.
+func addressHash(at netip.AddrPort) uint64 {
 	var b [18]byte
 	ip := at.Addr().As16()
 	copy(b[:], ip[:])
@@ -86,8 +85,9 @@
 	return xxhash.Sum64(b[:])
 }
 
-// affinity is the rendezvous hash of a flow and an agent.
-func affinity(flow, agent uint64) uint64 {
+// rendezvousWeight combines the hashes of a flow and an agent with the finalizer of
+// SplitMix64.
+func rendezvousWeight(flow, agent uint64) uint64 {
 	x := flow ^ agent
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -96,35 +96,35 @@
 	return x ^ x>>31
 }
 
-// topAgents gathers the agents with the highest affinity to a flow.
+// topAgents collects the agents with the highest rendezvous weight for a flow.
 type topAgents struct {
 	flow    uint64
-	numbers [preferred]uint32
-	weights [preferred]uint64
+	numbers [preferredAgents]uint32
+	weights [preferredAgents]uint64
 	n       int
 }
 
-func (b *topAgents) offer(number uint32, agent uint64) {
-	w := affinity(b.flow, agent)
-	at := b.n
-	for at > 0 && b.weights[at-1] < w {
+func (t *topAgents) offer(number uint32, agent uint64) {
+	w := rendezvousWeight(t.flow, agent)
+	at := t.n
+	for at > 0 && t.weights[at-1] < w {
 		at--
 	}
-	if at == preferred {
+	if at == preferredAgents {
 		return
 	}
-	b.n = min(b.n+1, preferred)
-	copy(b.numbers[at+1:b.n], b.numbers[at:])
-	copy(b.weights[at+1:b.n], b.weights[at:])
-	b.numbers[at], b.weights[at] = number, w
+	t.n = min(t.n+1, preferredAgents)
+	copy(t.numbers[at+1:t.n], t.numbers[at:])
+	copy(t.weights[at+1:t.n], t.weights[at:])
+	t.numbers[at], t.weights[at] = number, w
 }
 
-// list is the agents gathered, the most preferred first.
-func (b *topAgents) list() []uint32 { return b.numbers[:b.n] }
+// list returns the collected agents, the most preferred first.
+func (t *topAgents) list() []uint32 { return t.numbers[:t.n] }
 
-// candidateHolders lists the agents that most likely hold a flow, the likeliest first: the
-// flow's preferred ones of the route's services in this data centre,
-// then those of the others. Balancers of every data centre place flows among them.
+// candidateHolders lists the agents that are most likely to hold a flow, in order of
+// likelihood: its preferred ones of the route's services in the local data centre, then
+// those in the others. Balancers of every data centre place flows among these.
 func (e *Engine) candidateHolders(now time.Duration, f packet.Flow) []uint32 {
 	var out []uint32
 	choices := e.table.Services(f.Service)
@@ -132,33 +132,33 @@
 	for _, near := range []bool{true, false} {
 		for _, c := range choices {
 			if c.Service == picked {
-				out = e.preferredOf(now, f, c.Service, near, out)
+				out = e.appendPreferred(now, f, c.Service, near, out)
 			}
 		}
 		for _, c := range choices {
 			if c.Service != picked {
-				out = e.preferredOf(now, f, c.Service, near, out)
+				out = e.appendPreferred(now, f, c.Service, near, out)
 			}
 		}
 	}
 	return out
 }
 
-// preferredOf appends the preferred agents of each data centre, of the balancer's
-// own or of all others, that may hold flows.
-func (e *Engine) preferredOf(now time.Duration, f packet.Flow, s route.ServiceID, near bool, to []uint32) []uint32 {
+// appendPreferred appends the flow's preferred agents of a service that may hold flows,
+// either in the local data centre or in each of the others.
+func (e *Engine) appendPreferred(now time.Duration, f packet.Flow, s route.ServiceID, near bool, to []uint32) []uint32 {
 	hash := route.Hash(f)
 	for _, g := range e.agents.index.byService[s] {
 		if (g.zone == e.cfg.Zone) != near {
 			continue
 		}
-		b := topAgents{flow: hash}
+		top := topAgents{flow: hash}
 		for _, number := range g.members {
-			if a := &e.agents.list[number]; a.asked(now) {
-				b.offer(number, a.hash)
+			if a := &e.agents.list[number]; a.mayHoldFlows(now) {
+				top.offer(number, a.hash)
 			}
 		}
-		to = append(to, b.list()...)
+		to = append(to, top.list()...)
 	}
 	return to
 }
--- a/internal/passthrough/forward/search.go
+++ b/internal/passthrough/forward/search.go
@@ -9,274 +9,272 @@
 )
 
 const (
-	// roundPatience is how long a round of questions waits for all its answers
-	// before the next one begins: several round trips between data centres of one
-	// region.
-	roundPatience = 40 * time.Millisecond
-	// askAgain is when agents that haven't answered are asked once more, in case
-	// a datagram was lost.
-	askAgain = 60 * time.Millisecond
-	// askPatience is when a search ends without the answers that lack, counted
-	// from its last round. The caller sends its packet again after 200 ms, and a
-	// new search begins.
-	askPatience = 160 * time.Millisecond
-	// queuePatience is how long a flow waits for its turn to be asked for, or for
-	// the questions that its next round costs; its caller has sent a copy by then.
-	queuePatience = time.Second
-	// probePatience is how long a packet that was sent to an agent that isn't
-	// sure may take to come back. A target hands it back within a millisecond.
-	probePatience = 40 * time.Millisecond
-	// maxAsking bounds the flows asked for at the same time, and with them the
-	// answers that come back at once.
-	maxAsking = 64
-	// firstRound is how many agents are asked first: the flow's preferred ones of
-	// this data centre in a large fleet, all of the route in a small one.
-	firstRound = 8
-	// maxSearches bounds the flows searched at once. Past it the packet is
-	// dropped, and the caller sends it again.
+	// roundTimeout is how long a round of questions waits for answers before the next one
+	// starts: several round trips between data centres of one region.
+	roundTimeout = 40 * time.Millisecond
+	// questionRetryAfter is when unanswered questions are sent once more, in case a
+	// datagram was lost.
+	questionRetryAfter = 60 * time.Millisecond
+	// lastRoundTimeout is when a search ends without the missing answers, counted from
+	// its last round. The caller retransmits after 200 ms, which starts a new search.
+	lastRoundTimeout = 160 * time.Millisecond
+	// queueTimeout is how long a search waits in the queue, or for the budget of its next
+	// round; its caller has retransmitted by then.
+	queueTimeout = time.Second
+	// trialTimeout is how long a packet sent to an unsure agent may take to come back. A
+	// target hands a packet back within a millisecond.
+	trialTimeout = 40 * time.Millisecond
+	// maxActiveSearches bounds the searches that run at the same time, and with them the
+	// answers that arrive at once.
+	maxActiveSearches = 64
+	// firstRoundSize is how many agents are asked first: the flow's preferred ones of the
+	// local data centre in a large fleet, all of the route in a small one.
+	firstRoundSize = 8
+	// maxSearches bounds the searches, queued ones included. Beyond it packets are
+	// dropped, and callers retransmit them.
 	maxSearches = 8_192
-	// maxHeld bounds all packets that wait, 1.3 kB each; maxHeldPerFlow those
-	// of one flow, whose window is 16 packets.
-	maxHeld        = 8_192
+	// maxHeldPackets bounds the packets held for all searches, 1.3 kB each;
+	// maxHeldPerFlow those of one flow, whose window is 16 packets.
+	maxHeldPackets = 8_192
 	maxHeldPerFlow = 16
 )
 
-// search is a flow whose holder is being asked for, in widening rounds: the agents
-// that likely hold it, then all others.
+// search looks for the agent that holds a flow, in rounds: first the agents that are
+// likely to hold it, then all others.
 type search struct {
-	// cameAt is when its first packet came, begunAt when its turn came, roundAt when
-	// its last questions were sent.
-	cameAt  time.Duration
-	begunAt time.Duration
-	roundAt time.Duration
-	again   bool
-	// ack and flags are of the newest packet; a reset must be near the ack.
+	// arrivedAt is when the search was created, startedAt when it left the queue,
+	// roundSentAt when its last questions were sent.
+	arrivedAt   time.Duration
+	startedAt   time.Duration
+	roundSentAt time.Duration
+	retried     bool
+	// ack and flags are of the newest packet; a reset's sequence number must be near ack.
 	ack   uint32
 	flags packet.Flags
 	held  [][]byte
-	// next are the agents that the present stage is still to ask.
-	next []uint32
-	// all is set once the last stage has begun, in which all agents are asked; skippedAll
-	// if they aren't, since the flow was searched among all a moment ago.
-	all, skippedAll bool
-	// allAt is when the agents of the last stage were listed.
-	allAt time.Duration
-	// waiting are the agents that haven't answered, unsure those that may hold
-	// the flow without knowing.
-	waiting []uint32
-	unsure  []uint32
-	// asked are all agents that were asked, or are known to lack the flow. The
-	// table may change meanwhile, so it can't tell who was.
+	// pending are the agents that the present stage still has to ask.
+	pending []uint32
+	// askingAll is set once the last stage has started, in which all agents are asked;
+	// skippedAll if that was skipped because a recent search had asked all agents for the
+	// flow.
+	askingAll, skippedAll bool
+	// allListedAt is when the agents of the last stage were listed.
+	allListedAt time.Duration
+	// unanswered are the agents that haven't answered; unsure those that can't tell
+	// whether they hold the flow.
+	unanswered []uint32
+	unsure     []uint32
+	// asked are all agents that were asked or are known not to hold the flow. It can't be
+	// derived from the routing table, which may change during the search.
 	asked map[uint32]struct{}
-	// probe is the agent that has been sent a packet to see; noAgent if none.
-	probe   uint32
-	probeAt time.Duration
-	// lacks is an agent known not to hold the flow; noAgent if none.
-	lacks uint32
-	// begun says that agents have been asked; until then the search waits for
-	// its turn.
-	begun bool
-	// clientReset says that the search is for a client's reset, which gets no answer.
+	// trialAgent is the unsure agent that one held packet was sent to as a trial; noAgent
+	// if none.
+	trialAgent uint32
+	trialAt    time.Duration
+	// nonHolder is an agent known not to hold the flow; noAgent if none.
+	nonHolder uint32
+	// started says that agents have been asked; until then the search is in the queue.
+	started bool
+	// clientReset says that the packet is a reset by the client, which is never answered.
 	clientReset bool
 }
 
-// startSearch begins or joins the search for a flow's holder. lacks is an agent known
-// not to hold it.
-func (e *Engine) startSearch(now time.Duration, p packet.Packet, f packet.Flow, raw []byte, lacks uint32) {
+// startSearch queues a search for a flow's holder, or adds the packet to one that exists.
+// nonHolder is an agent known not to hold the flow, noAgent if none.
+func (e *Engine) startSearch(now time.Duration, p packet.Packet, f packet.Flow, raw []byte, nonHolder uint32) {
 	s := e.searches[f]
 	if s == nil {
 		if len(e.searches) >= maxSearches {
-			e.note(Decision{Flow: f, Verdict: DroppedBusy})
+			e.logDecision(Decision{Flow: f, Verdict: DroppedBusy})
 			return
 		}
-		s = &search{cameAt: now, begunAt: now, probe: noAgent, clientReset: p.Flags.Has(packet.RST), asked: map[uint32]struct{}{}}
+		s = &search{arrivedAt: now, startedAt: now, trialAgent: noAgent, clientReset: p.Flags.Has(packet.RST), asked: map[uint32]struct{}{}}
 		e.searches[f] = s
 		s.ack, s.flags = p.Ack, p.Flags
-		s.lacks = lacks
-		e.hold(f, s, raw)
-		e.queue = append(e.queue, f)
-		e.beginQueued(now)
+		s.nonHolder = nonHolder
+		e.holdPacket(f, s, raw)
+		e.searchQueue = append(e.searchQueue, f)
+		e.startQueuedSearches(now)
 		return
 	}
 	s.ack, s.flags = p.Ack, p.Flags
-	e.hold(f, s, raw)
+	e.holdPacket(f, s, raw)
 }
 
-// beginQueued asks for the flows whose turn it is, while the budget lasts.
-func (e *Engine) beginQueued(now time.Duration) {
+// startQueuedSearches starts searches in the order of the queue while the budget lasts.
+func (e *Engine) startQueuedSearches(now time.Duration) {
 	e.budget.refill(now)
-	for e.asking < maxAsking && len(e.queue) > 0 && e.budget.allows(false) {
-		f := e.queue[0]
-		e.queue = e.queue[1:]
+	for e.activeSearches < maxActiveSearches && len(e.searchQueue) > 0 && e.budget.allows(false) {
+		f := e.searchQueue[0]
+		e.searchQueue = e.searchQueue[1:]
 		s := e.searches[f]
-		if s == nil || s.begun {
-			continue // over, or in the queue twice
+		if s == nil || s.started {
+			continue // ended, or queued twice
 		}
-		s.begun = true
-		s.begunAt = now
-		e.asking++
-		if s.lacks != noAgent {
-			s.asked[s.lacks] = struct{}{}
+		s.started = true
+		s.startedAt = now
+		e.activeSearches++
+		if s.nonHolder != noAgent {
+			s.asked[s.nonHolder] = struct{}{}
 		}
-		s.next = e.candidateHolders(now, f)
-		e.advance(now, f, s)
+		s.pending = e.candidateHolders(now, f)
+		e.continueSearch(now, f, s)
 	}
 }
 
-func (e *Engine) hold(f packet.Flow, s *search, raw []byte) {
-	if len(s.held) >= maxHeldPerFlow || e.held >= maxHeld {
-		e.note(Decision{Flow: f, Verdict: DroppedBusy})
+func (e *Engine) holdPacket(f packet.Flow, s *search, raw []byte) {
+	if len(s.held) >= maxHeldPerFlow || e.heldPackets >= maxHeldPackets {
+		e.logDecision(Decision{Flow: f, Verdict: DroppedBusy})
 		return
 	}
 	s.held = append(s.held, append([]byte(nil), raw...))
-	e.held++
+	e.heldPackets++
 }
 
-// ask sends the questions of the next round, as many as the budget allows. It
-// returns false if there are none left in this stage.
-func (e *Engine) ask(now time.Duration, f packet.Flow, s *search) bool {
+// sendRound sends the questions of the next round, as many as the budget allows. It
+// returns false if none are left or unanswered in this stage.
+func (e *Engine) sendRound(now time.Duration, f packet.Flow, s *search) bool {
 	size := s.roundSize()
-	for ; len(s.next) > 0 && size > 0 && e.budget.allows(s.all); s.next = s.next[1:] {
-		agent := s.next[0]
+	for ; len(s.pending) > 0 && size > 0 && e.budget.allows(s.askingAll); s.pending = s.pending[1:] {
+		agent := s.pending[0]
 		if _, done := s.asked[agent]; done {
 			continue
 		}
 		size--
 		s.asked[agent] = struct{}{}
-		s.waiting = append(s.waiting, agent)
-		s.roundAt = now
-		s.again = false
-		e.question(now, f, s, agent)
+		s.unanswered = append(s.unanswered, agent)
+		s.roundSentAt = now
+		s.retried = false
+		e.sendQuestion(now, f, s, agent)
 	}
-	return len(s.waiting) > 0 || len(s.next) > 0
+	return len(s.unanswered) > 0 || len(s.pending) > 0
 }
 
-// roundSize is how many agents the next round asks.
+// roundSize returns how many agents the next round asks.
 func (s *search) roundSize() int {
 	switch {
-	case s.all:
-		return wideStep
-	case len(s.asked) < firstRound:
-		return firstRound
+	case s.askingAll:
+		return wideBatchSize
+	case len(s.asked) < firstRoundSize:
+		return firstRoundSize
 	}
-	return len(s.next)
+	return len(s.pending)
 }
 
-// pausing tells whether the present round is given more time before the next one.
-func (s *search) pausing(now time.Duration) bool {
-	if s.all && len(s.next) > 0 {
-		return now-s.roundAt < widePause
+// roundOpen tells whether the present round is given more time before the next one.
+func (s *search) roundOpen(now time.Duration) bool {
+	if s.askingAll && len(s.pending) > 0 {
+		return now-s.roundSentAt < wideBatchInterval
 	}
-	return len(s.waiting) > 0 && now-s.roundAt < roundPatience
+	return len(s.unanswered) > 0 && now-s.roundSentAt < roundTimeout
 }
 
-// question asks one agent.
-func (e *Engine) question(now time.Duration, f packet.Flow, s *search, agent uint32) {
+func (e *Engine) sendQuestion(now time.Duration, f packet.Flow, s *search, agent uint32) {
 	a := &e.agents.list[agent]
 	e.budget.spend(a.askedAt == now)
 	a.askedAt = now
 	e.cfg.Out.Ask(a.address, peer.Question{Flow: f, Ack: s.ack})
 }
 
-// Answered takes an agent's word on a flow.
+// Answered handles an agent's answer to a question.
 func (e *Engine) Answered(now time.Duration, from netip.AddrPort, r peer.Ruling) {
 	f := r.Question.Flow
 	s := e.searches[f]
-	if s == nil || !s.begun {
+	if s == nil || !s.started {
 		return
 	}
-	agent := e.agents.alive(now, from)
+	agent := e.agents.markSeen(now, from)
 	switch r.Verdict {
 	case peer.Holds:
-		e.found(now, f, s, agent)
+		e.finishSearch(now, f, s, agent)
 	case peer.Unsure:
-		if remove(&s.waiting, agent) {
+		if removeAgent(&s.unanswered, agent) {
 			s.unsure = append(s.unsure, agent)
 		}
-		e.advance(now, f, s)
+		e.continueSearch(now, f, s)
 	case peer.Lacks:
-		e.lacks(now, f, s, agent)
+		e.handleLacks(now, f, s, agent)
 	}
-	e.beginQueued(now)
+	e.startQueuedSearches(now)
 }
 
-// lacks takes word that an agent's target doesn't hold the flow.
-func (e *Engine) lacks(now time.Duration, f packet.Flow, s *search, agent uint32) {
-	if !s.begun {
-		s.lacks = agent
+// handleLacks records that an agent's target doesn't hold the flow.
+func (e *Engine) handleLacks(now time.Duration, f packet.Flow, s *search, agent uint32) {
+	if !s.started {
+		s.nonHolder = agent
 		return
 	}
-	remove(&s.waiting, agent)
-	if s.probe == agent {
-		s.probe = noAgent
+	removeAgent(&s.unanswered, agent)
+	if s.trialAgent == agent {
+		s.trialAgent = noAgent
 	}
-	e.advance(now, f, s)
+	e.continueSearch(now, f, s)
 }
 
-// found ends a search and sends what waited.
-func (e *Engine) found(now time.Duration, f packet.Flow, s *search, agent uint32) {
+// finishSearch ends a search whose holder is known, and delivers the held packets.
+func (e *Engine) finishSearch(now time.Duration, f packet.Flow, s *search, agent uint32) {
 	if len(e.flows) < maxFlows {
-		e.flows[f] = holder{agent: agent, seenAt: now}
+		e.flows[f] = flowEntry{agent: agent, lastPacketAt: now}
 	}
 	for _, raw := range s.held {
 		e.deliver(agent, raw)
 	}
 	a := &e.agents.list[agent]
-	e.note(Decision{Flow: f, Verdict: Found, Agent: a.address, ReportAge: now - a.heardAt, Waited: now - s.cameAt, Asked: len(s.asked), Silent: len(s.waiting)})
+	e.logDecision(Decision{Flow: f, Verdict: Found, Agent: a.address, ReportAge: now - a.reportedAt, Waited: now - s.arrivedAt, Asked: len(s.asked), Silent: len(s.unanswered)})
 	e.dropSearch(f)
 }
 
-// advance takes the next step of a search once all answers of a round are in, or
-// have been waited for.
-func (e *Engine) advance(now time.Duration, f packet.Flow, s *search) {
+// continueSearch takes the next step of a search once all answers of a round have arrived
+// or the round has timed out.
+func (e *Engine) continueSearch(now time.Duration, f packet.Flow, s *search) {
 	switch {
-	case s.probe != noAgent, s.pausing(now):
+	case s.trialAgent != noAgent, s.roundOpen(now):
 		return
 	case len(s.unsure) > 0 && len(s.held) > 0:
-		s.probe = s.unsure[0]
+		s.trialAgent = s.unsure[0]
 		s.unsure = s.unsure[1:]
-		s.probeAt = now
-		e.deliver(s.probe, s.held[0])
+		s.trialAt = now
+		e.deliver(s.trialAgent, s.held[0])
 		return
-	case len(s.next) == 0 && !s.all:
+	case len(s.pending) == 0 && !s.askingAll:
 		e.searchAll(now, f, s)
 	}
-	if !e.ask(now, f, s) {
-		if !s.all {
-			e.advance(now, f, s)
+	if !e.sendRound(now, f, s) {
+		if !s.askingAll {
+			e.continueSearch(now, f, s)
 			return
 		}
 		e.giveUp(now, f, s)
 	}
 }
 
-// giveUp ends a search without a holder. If every agent said that it lacks the
-// flow, its target is gone, and a reset spares the caller its whole deadline.
-// If any was silent, or came to be known only after all were asked, the flow may be
-// open there.
+// giveUp ends a search without a holder. If every agent answered that it lacks the flow,
+// its target is gone, and a reset spares the caller from waiting until its deadline. If
+// any agent didn't answer, or was added after all were asked, the flow may be open there,
+// so no reset is sent.
 func (e *Engine) giveUp(now time.Duration, f packet.Flow, s *search) {
-	if e.young(now) && len(s.held) > 0 {
+	if e.startingUp(now) && len(s.held) > 0 {
 		newest := s.held[len(s.held)-1]
 		p := packet.Packet{Src: f.Client, Dst: f.Service, Flags: s.flags, Ack: s.ack}
-		e.keepEarly(f, arrival{at: now, p: p, raw: newest}, true)
+		e.holdEarly(f, arrival{arrivedAt: now, p: p, raw: newest}, true)
 		e.dropSearch(f)
 		return
 	}
-	silent := len(s.waiting)
+	silent := len(s.unanswered)
 	verdict := DroppedUnfound
-	if silent == 0 && e.agents.addedAt <= s.allAt && !s.skippedAll && len(s.next) == 0 && len(s.asked) > 0 && !s.clientReset {
+	if silent == 0 && e.agents.addedAt <= s.allListedAt && !s.skippedAll && len(s.pending) == 0 && len(s.asked) > 0 && !s.clientReset {
 		verdict = ResetNowhere
 		e.cfg.Out.Reset(f, s.ack)
 	}
-	e.note(Decision{Flow: f, Verdict: verdict, Asked: len(s.asked), Silent: silent})
+	e.logDecision(Decision{Flow: f, Verdict: verdict, Asked: len(s.asked), Silent: silent})
 	e.dropSearch(f)
 }
 
 func (e *Engine) dropSearch(f packet.Flow) {
 	if s := e.searches[f]; s != nil {
-		e.held -= len(s.held)
-		if s.begun {
-			e.asking--
+		e.heldPackets -= len(s.held)
+		if s.started {
+			e.activeSearches--
 		}
 		delete(e.searches, f)
 	}
@@ -286,48 +284,49 @@
 	e.budget.refill(now)
 	for f, s := range e.searches {
 		switch {
-		case !s.begun:
-			if now-s.begunAt > queuePatience {
-				e.note(Decision{Flow: f, Verdict: DroppedBusy})
+		case !s.started:
+			if now-s.startedAt > queueTimeout {
+				e.logDecision(Decision{Flow: f, Verdict: DroppedBusy})
 				e.dropSearch(f)
 			}
-		case s.probe != noAgent:
-			if now-s.probeAt > probePatience {
-				e.found(now, f, s, s.probe) // it wasn't handed back
+		case s.trialAgent != noAgent:
+			if now-s.trialAt > trialTimeout {
+				e.finishSearch(now, f, s, s.trialAgent) // the packet wasn't handed back
 			}
-		case s.over(now):
+		case s.timedOut(now):
 			e.giveUp(now, f, s)
-		case len(s.next) == 0 && len(s.waiting) > 0 && !s.again && now-s.roundAt > askAgain:
-			e.askOnceMore(now, f, s)
+		case len(s.pending) == 0 && len(s.unanswered) > 0 && !s.retried && now-s.roundSentAt > questionRetryAfter:
+			e.retryQuestions(now, f, s)
 		default:
-			e.advance(now, f, s)
+			e.continueSearch(now, f, s)
 		}
 	}
-	e.beginQueued(now)
+	e.startQueuedSearches(now)
 }
 
-// over tells whether nothing more can come of a search.
-func (s *search) over(now time.Duration) bool {
-	if now-s.begunAt > queuePatience {
+// timedOut tells whether the search has waited for answers long enough.
+func (s *search) timedOut(now time.Duration) bool {
+	if now-s.startedAt > queueTimeout {
 		return true
 	}
-	return s.all && len(s.next) == 0 && s.again && now-s.roundAt > askPatience-askAgain
+	return s.askingAll && len(s.pending) == 0 && s.retried && now-s.roundSentAt > lastRoundTimeout-questionRetryAfter
 }
 
-// askOnceMore repeats the questions that weren't answered, and goes on.
-func (e *Engine) askOnceMore(now time.Duration, f packet.Flow, s *search) {
-	if e.budget.allows(s.all) {
-		s.again = true
-		s.roundAt = now
-		for _, agent := range s.waiting {
-			e.question(now, f, s, agent)
+// retryQuestions sends the unanswered questions again, if the budget allows, and
+// continues the search.
+func (e *Engine) retryQuestions(now time.Duration, f packet.Flow, s *search) {
+	if e.budget.allows(s.askingAll) {
+		s.retried = true
+		s.roundSentAt = now
+		for _, agent := range s.unanswered {
+			e.sendQuestion(now, f, s, agent)
 		}
 	}
-	e.advance(now, f, s)
+	e.continueSearch(now, f, s)
 }
 
-// remove takes an agent out of a list; false if it isn't there.
-func remove(list *[]uint32, agent uint32) bool {
+// removeAgent removes an agent from a list and tells whether it was there.
+func removeAgent(list *[]uint32, agent uint32) bool {
 	for i, x := range *list {
 		if x == agent {
 			*list = append((*list)[:i], (*list)[i+1:]...)
