--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,27 +1,27 @@
-// Package admission decides what happens to a request at one host: let in, wait or
-// turn away. It has no network and no clock; the caller passes the time, as a
-// duration since any fixed origin.
+// Package admission decides whether a host accepts a request, queues it or rejects it. It
+// has no network and no clock; the caller passes the time, as a duration since any fixed
+// origin.
 //
 // Load patterns and rules:
 //
-//   - Saturation: a host runs as many requests at once as it has slots; more
-//     make all of them late. The rest waits in a bounded queue. Without the
-//     bound, waiting times grow until every answer comes too late to be used.
-//   - Few heavy callers: a freed slot goes to the waiting caller that holds the
-//     fewest slots, in turn among equals. With one common queue, a caller that
-//     sends a hundred requests at once delays everybody by a hundred requests.
-//     When the queue is full, the newest request of the caller with most
-//     requests waiting makes room for a caller with fewer. A fixed limit per
-//     caller would turn a single caller's burst away from an idle host.
-//   - Long among short: shares are counted in slots held, not in requests, so
-//     long requests of one caller don't crowd out short ones of others.
-//   - Burst: up to the queue's limit it is absorbed, first come first served.
-//   - Sustained overload: once the queue hasn't been empty for Config.Patience,
-//     the newest request goes first. First come first served would then serve
-//     only requests whose callers are about to give up.
-//   - Late work: a request whose deadline would pass while it waits, judged by
-//     the slot times seen so far, is turned away at once, when the caller can
-//     still go elsewhere; one whose deadline has passed never starts.
+//   - Saturation: a host runs as many requests at once as it has slots, since more would
+//     make all of them late. The rest waits in a bounded queue. Without the bound,
+//     waiting times grow until every answer comes too late to be used.
+//   - Few heavy callers: a freed slot goes to the waiting caller that holds the fewest
+//     slots, in turn among equals. With one common queue, a caller that sends a hundred
+//     requests at once delays everybody by a hundred requests. When the queue is full,
+//     the newest request of the caller with the most requests waiting makes room for a
+//     caller with fewer. A fixed limit per caller would reject a single caller's burst at
+//     an idle host.
+//   - Long and short requests: shares are counted in slots held, not in requests, so long
+//     requests of one caller don't starve short ones of others.
+//   - Burst: up to the queue's limit it is absorbed, in order of arrival.
+//   - Sustained overload: once the queue hasn't been empty for Config.Patience, the
+//     newest request goes first. First come, first served would then serve only requests
+//     whose callers are about to give up.
+//   - Late work: a request whose deadline would pass while it waits, estimated from the
+//     mean slot time, is rejected at once, while the caller can still go elsewhere; one
+//     whose deadline has passed never starts.
 package admission
 
 import (
@@ -30,34 +30,35 @@
 )
 
 const (
-	// DefaultPatience is long against a burst of short work and short against a
-	// caller's patience of seconds; see the sweep in docs/PLACEMENT.md.
+	// DefaultPatience is long compared with a burst of short requests and short compared
+	// with callers' timeouts of seconds; see docs/PLACEMENT.md.
 	DefaultPatience = 500 * time.Millisecond
-	// holdWeight is the part of one slot time in the running mean: about the
-	// last twenty requests count, a second or less of work at today's hosts.
-	holdWeight = 0.05
+	// slotTimeWeight is the weight of one slot time in the running mean: about the last
+	// twenty requests count, which a host runs within a second.
+	slotTimeWeight = 0.05
 )
 
-// Ticket names one request at one host.
+// Ticket identifies one request at one host.
 type Ticket uint64
 
-// Reason says why a request was turned away. Its text goes to callers and into
-// the names of counters.
+// Reason says why a request was rejected. Its text is sent to callers and is part of
+// counter names.
 type Reason string
 
-// Reasons for turning a request away.
+// Reasons for rejecting a request.
 const (
-	// QueueFull: the queue is full and no caller waits with more requests.
+	// QueueFull: the queue is full and no caller has enough more requests waiting to be
+	// displaced.
 	QueueFull Reason = "queue-full"
-	// Displaced: a caller with fewer waiting requests took the place.
+	// Displaced: a caller with fewer waiting requests took the place in the queue.
 	Displaced Reason = "displaced"
 	// TooLate: the deadline would pass in the queue, or has passed.
 	TooLate Reason = "deadline"
-	// Connections: the host has no connection left.
+	// Connections: the host's connection limit is reached.
 	Connections Reason = "connections"
 )
 
-// Answer is what becomes of an offered request.
+// Answer is the decision on an offered request.
 type Answer uint8
 
 // Answers of Offer.
@@ -66,11 +67,11 @@
 	Enter Answer = iota + 1
 	// Wait: the request has a place in the queue.
 	Wait
-	// TurnAway: the request is refused; nothing of it may run.
+	// TurnAway: the request is rejected; no part of it may run.
 	TurnAway
 )
 
-// Verdict is the answer to one Offer.
+// Verdict is the result of Offer.
 type Verdict struct {
 	Answer Answer
 	// Reason is set with TurnAway.
@@ -79,20 +80,20 @@
 	Displaced Ticket
 }
 
-// Request is what the decision needs to know.
+// Request is the input to an admission decision.
 type Request struct {
 	Ticket Ticket
-	// Caller is the identity to which fairness applies.
+	// Caller is the identity that shares are counted by.
 	Caller string
-	// Deadline is when the answer is of no more use; 0 is never.
+	// Deadline is when the answer is no longer useful; 0 means never.
 	Deadline time.Duration
 }
 
-// Change is what a freed slot or the passing of time leads to.
+// Change lists the requests affected by a freed slot or by new limits.
 type Change struct {
-	// Start lists requests that now have a slot.
+	// Start lists the requests that now have a slot.
 	Start []Ticket
-	// Drop lists requests whose deadline passed in the queue.
+	// Drop lists the requests whose deadline passed in the queue.
 	Drop []Ticket
 }
 
@@ -100,25 +101,25 @@
 type Config struct {
 	// Slots is how many requests run at once.
 	Slots int
-	// Connections bounds the requests that run, stream or wait; 0 is no bound.
+	// Connections bounds the requests that run, stream or wait; 0 means no bound.
 	Connections int
 	// Queue is how many requests may wait.
 	Queue int
-	// Patience is how long the queue may stay non-empty before the newest
-	// request goes first; 0 means DefaultPatience.
+	// Patience is how long the queue may stay non-empty before the newest request goes
+	// first; 0 means DefaultPatience.
 	Patience time.Duration
 }
 
-// Queue is the state of one host. It isn't safe for concurrent use.
+// Queue is the admission state of one host. It isn't safe for concurrent use.
 type Queue struct {
-	cfg      Config
-	callers  map[string]*caller
-	ring     []*caller // callers with waiting requests, next to serve first
-	running  map[Ticket]hold
-	stream   map[Ticket]string
-	waiting  int
-	nonEmpty time.Duration // since when requests wait
-	hold     time.Duration // mean time that a request keeps its slot
+	cfg           Config
+	callers       map[string]*caller
+	ring          []*caller // callers with waiting requests, the next to serve first
+	running       map[Ticket]runningRequest
+	streaming     map[Ticket]string
+	waiting       int
+	nonEmptySince time.Duration // valid while requests wait
+	meanSlotTime  time.Duration // running mean
 }
 
 type caller struct {
@@ -127,18 +128,18 @@
 	waiting []Request // oldest first
 }
 
-type hold struct {
+type runningRequest struct {
 	caller string
 	since  time.Duration
 }
 
-// New returns an idle host.
+// New returns the queue of an idle host.
 func New(cfg Config) *Queue {
 	return &Queue{
-		cfg:     withDefaults(cfg),
-		callers: map[string]*caller{},
-		running: map[Ticket]hold{},
-		stream:  map[Ticket]string{},
+		cfg:       withDefaults(cfg),
+		callers:   map[string]*caller{},
+		running:   map[Ticket]runningRequest{},
+		streaming: map[Ticket]string{},
 	}
 }
 
@@ -149,14 +150,13 @@
 	return cfg
 }
 
-// Configure changes the limits; requests that run go on. The change may free
-// slots.
+// Configure changes the limits. Running requests continue; the change may free slots.
 func (q *Queue) Configure(now time.Duration, cfg Config) Change {
 	q.cfg = withDefaults(cfg)
-	return q.fill(now)
+	return q.fillSlots(now)
 }
 
-// Offer asks for a slot.
+// Offer decides on a new request.
 func (q *Queue) Offer(now time.Duration, r Request) Verdict {
 	if r.Deadline != 0 && r.Deadline <= now {
 		return Verdict{Answer: TurnAway, Reason: TooLate}
@@ -169,8 +169,8 @@
 		q.start(now, c, r)
 		return Verdict{Answer: Enter}
 	}
-	if r.Deadline != 0 && now+q.wait(now, c) >= r.Deadline {
-		q.forget(c)
+	if r.Deadline != 0 && now+q.estimateWait(now, c) >= r.Deadline {
+		q.removeIdle(c)
 		return Verdict{Answer: TurnAway, Reason: TooLate}
 	}
 	return q.enqueue(now, c, r)
@@ -181,23 +181,23 @@
 	if q.waiting >= q.cfg.Queue {
 		displaced = q.displace(c)
 		if displaced == 0 {
-			q.forget(c)
+			q.removeIdle(c)
 			return Verdict{Answer: TurnAway, Reason: QueueFull}
 		}
 	}
 	if q.waiting == 0 {
-		q.nonEmpty = now
+		q.nonEmptySince = now
 	}
 	if len(c.waiting) == 0 {
-		q.join(now, c)
+		q.enterRing(now, c)
 	}
 	c.waiting = append(c.waiting, r)
 	q.waiting++
 	return Verdict{Answer: Wait, Displaced: displaced}
 }
 
-// join gives a caller its place in the ring: last, or first under overload.
-func (q *Queue) join(now time.Duration, c *caller) {
+// enterRing adds a caller to the ring: last, or first under overload.
+func (q *Queue) enterRing(now time.Duration, c *caller) {
 	if q.overloaded(now) {
 		q.ring = slices.Insert(q.ring, 0, c)
 		return
@@ -205,9 +205,9 @@
 	q.ring = append(q.ring, c)
 }
 
-// displace takes out the newest request of the caller with most requests
-// waiting, where that caller has at least two more than c: with one more, two
-// callers would displace each other in turn.
+// displace removes the newest request of the caller with the most requests waiting, if
+// that caller has at least two more than c: with one more, two callers would displace
+// each other in turn. It returns 0 if there is none.
 func (q *Queue) displace(c *caller) Ticket {
 	longest := c
 	for _, x := range q.ring {
@@ -223,64 +223,64 @@
 	return newest.Ticket
 }
 
-// Stream gives the slot of a running request back while the request goes on as
-// a stream, which still counts as a connection.
+// Stream releases the slot of a running request that continues as a stream, which still
+// counts as a connection.
 func (q *Queue) Stream(now time.Duration, t Ticket) Change {
 	h, ok := q.running[t]
 	if !ok {
 		return Change{}
 	}
-	q.stream[t] = h.caller
-	return q.free(now, t)
+	q.streaming[t] = h.caller
+	return q.freeSlot(now, t)
 }
 
-// Leave ends a request, wherever it stands.
+// Leave ends a request, whether it runs, streams or waits.
 func (q *Queue) Leave(now time.Duration, t Ticket) Change {
 	if _, ok := q.running[t]; ok {
-		return q.free(now, t)
+		return q.freeSlot(now, t)
 	}
-	if _, ok := q.stream[t]; ok {
-		delete(q.stream, t)
+	if _, ok := q.streaming[t]; ok {
+		delete(q.streaming, t)
 		return Change{}
 	}
 	for _, c := range q.ring {
 		i := slices.IndexFunc(c.waiting, func(r Request) bool { return r.Ticket == t })
 		if i >= 0 {
 			q.remove(c, i)
-			q.forget(c)
+			q.removeIdle(c)
 			return Change{}
 		}
 	}
 	return Change{}
 }
 
-func (q *Queue) free(now time.Duration, t Ticket) Change {
+func (q *Queue) freeSlot(now time.Duration, t Ticket) Change {
 	h := q.running[t]
 	delete(q.running, t)
 	c := q.callers[h.caller]
 	c.running--
-	q.forget(c)
-	q.learn(now - h.since)
-	return q.fill(now)
+	q.removeIdle(c)
+	q.recordSlotTime(now - h.since)
+	return q.fillSlots(now)
 }
 
-func (q *Queue) learn(held time.Duration) {
-	if q.hold == 0 {
-		q.hold = held
+func (q *Queue) recordSlotTime(held time.Duration) {
+	if q.meanSlotTime == 0 {
+		q.meanSlotTime = held
 		return
 	}
-	q.hold += time.Duration(holdWeight * float64(held-q.hold))
+	q.meanSlotTime += time.Duration(slotTimeWeight * float64(held-q.meanSlotTime))
 }
 
-// fill starts waiting requests while there are free slots.
-func (q *Queue) fill(now time.Duration) Change {
+// fillSlots starts waiting requests while there are free slots.
+func (q *Queue) fillSlots(now time.Duration) Change {
 	var change Change
 	for len(q.running) < q.cfg.Slots && q.waiting > 0 {
 		c := q.next()
-		r := q.take(now, c)
+		r := q.dequeue(now, c)
 		if r.Deadline != 0 && r.Deadline <= now {
 			change.Drop = append(change.Drop, r.Ticket)
-			q.forget(c)
+			q.removeIdle(c)
 			continue
 		}
 		q.start(now, c, r)
@@ -289,7 +289,7 @@
 	return change
 }
 
-// next picks the waiting caller with the fewest slots, first in the ring among
+// next picks the waiting caller with the fewest slots, the first in the ring among
 // equals.
 func (q *Queue) next() *caller {
 	best := q.ring[0]
@@ -301,8 +301,8 @@
 	return best
 }
 
-// take removes the caller's next request and sends the caller to the ring's end.
-func (q *Queue) take(now time.Duration, c *caller) Request {
+// dequeue removes the caller's next request and moves the caller to the end of the ring.
+func (q *Queue) dequeue(now time.Duration, c *caller) Request {
 	i := 0
 	if q.overloaded(now) {
 		i = len(c.waiting) - 1
@@ -317,7 +317,7 @@
 }
 
 func (q *Queue) start(now time.Duration, c *caller, r Request) {
-	q.running[r.Ticket] = hold{caller: c.name, since: now}
+	q.running[r.Ticket] = runningRequest{caller: c.name, since: now}
 	c.running++
 }
 
@@ -343,33 +343,33 @@
 	return c
 }
 
-// forget drops a caller without requests, so that memory follows the load.
-func (q *Queue) forget(c *caller) {
+// removeIdle deletes a caller without requests, so that memory use follows the load.
+func (q *Queue) removeIdle(c *caller) {
 	if c.running == 0 && len(c.waiting) == 0 {
 		delete(q.callers, c.name)
 	}
 }
 
-// wait estimates how long c's next request would wait: under fair turns each
-// other caller gets at most as many turns before it as c itself. Under overload
-// the newest request goes first and waits for one slot.
-func (q *Queue) wait(now time.Duration, c *caller) time.Duration {
+// estimateWait estimates how long c's next request would wait: with fair turns, each
+// other caller gets at most as many turns before it as c itself. Under overload the
+// newest request goes first and waits for one slot.
+func (q *Queue) estimateWait(now time.Duration, c *caller) time.Duration {
 	if q.overloaded(now) {
-		return q.hold / time.Duration(max(q.cfg.Slots, 1))
+		return q.meanSlotTime / time.Duration(max(q.cfg.Slots, 1))
 	}
 	turns := len(c.waiting) + 1
 	ahead := 0
 	for _, x := range q.ring {
 		ahead += min(len(x.waiting), turns)
 	}
-	return time.Duration(ahead+1) * q.hold / time.Duration(max(q.cfg.Slots, 1))
+	return time.Duration(ahead+1) * q.meanSlotTime / time.Duration(max(q.cfg.Slots, 1))
 }
 
 func (q *Queue) overloaded(now time.Duration) bool {
-	return q.waiting > 0 && now-q.nonEmpty >= q.cfg.Patience
+	return q.waiting > 0 && now-q.nonEmptySince >= q.cfg.Patience
 }
 
-// Free returns the slots that a request could take at once.
+// Free returns how many requests could start at once.
 func (q *Queue) Free() int {
 	if q.waiting > 0 {
 		return 0
@@ -377,9 +377,9 @@
 	return max(q.cfg.Slots-len(q.running), 0)
 }
 
-// Load is what a host tells its peers.
+// Load is the load that a host reports to its peers.
 type Load struct {
-	// Slots is the limit, Running and Waiting what is there now.
+	// Slots is the limit; Running and Waiting are the present numbers of requests.
 	Slots, Running, Waiting int
 	// Hold is the mean time that a request keeps its slot.
 	Hold time.Duration
@@ -387,8 +387,8 @@
 
 // Load returns the present load.
 func (q *Queue) Load() Load {
-	return Load{Slots: q.cfg.Slots, Running: len(q.running), Waiting: q.waiting, Hold: q.hold}
+	return Load{Slots: q.cfg.Slots, Running: len(q.running), Waiting: q.waiting, Hold: q.meanSlotTime}
 }
 
-// InFlight returns the requests that run, stream or wait.
-func (q *Queue) InFlight() int { return len(q.running) + len(q.stream) + q.waiting }
+// InFlight returns how many requests run, stream or wait.
+func (q *Queue) InFlight() int { return len(q.running) + len(q.streaming) + q.waiting }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -14,9 +14,9 @@
 	return q.Offer(now, Request{Ticket: t, Caller: caller})
 }
 
-// A burst of twice the slots: the first ones run at once, the rest wait and run
-// in the order of their coming; nobody is refused.
-func TestBurstWaitsInOrder(t *testing.T) {
+// Guards against refusals in a burst of twice the slots: the first requests run at once,
+// the rest waits and runs in order of arrival.
+func TestBurstIsServedInOrder(t *testing.T) {
 	is := is.New(t)
 	q := New(Config{Slots: 4, Queue: 8})
 	for i := Ticket(1); i <= 8; i++ {
@@ -32,27 +32,27 @@
 	is.Equal(q.InFlight(), 4)
 }
 
-// One caller has filled the slots and the whole queue. Others come later with
-// one request each: each of them gets a place, and the next free slots.
-func TestHeavyCallerCantStarveOthers(t *testing.T) {
+// Guards against one caller that fills the slots and the whole queue: others that come
+// later with one request each get a place in the queue, and the next free slots.
+func TestHeavyCallerDoesNotStarveOthers(t *testing.T) {
 	is := is.New(t)
 	q := New(Config{Slots: 2, Queue: 10})
 	for i := Ticket(1); i <= 12; i++ {
-		is.True(offer(q, 0, i, "heavy").Answer != TurnAway) // alone it may use all
+		is.True(offer(q, 0, i, "heavy").Answer != TurnAway) // a single caller may use all
 	}
 	v := offer(q, ms, 20, "light-a")
-	is.Equal(v, Verdict{Answer: Wait, Displaced: 12}) // the heavy caller's newest goes
+	is.Equal(v, Verdict{Answer: Wait, Displaced: 12}) // the heavy caller's newest request is displaced
 	is.Equal(offer(q, ms, 21, "light-b").Answer, Wait)
 	is.Equal(offer(q, ms, 22, "heavy"), Verdict{Answer: TurnAway, Reason: QueueFull})
 
 	is.Equal(q.Leave(2*ms, 1).Start, []Ticket{20})
-	is.Equal(q.Leave(2*ms, 2).Start, []Ticket{3}) // the heavy one holds none now
+	is.Equal(q.Leave(2*ms, 2).Start, []Ticket{3}) // the heavy caller holds no slot now
 	is.Equal(q.Leave(3*ms, 20).Start, []Ticket{21})
 }
 
-// Caller "long" holds its slots for ever, "short" for a moment. A freed slot
-// goes to who holds fewer, so the short work passes although it came later.
-func TestLongWorkLeavesRoomForShort(t *testing.T) {
+// Guards against short requests stuck behind a caller that keeps its slots for long: a
+// freed slot goes to the caller that holds fewer, although it came later.
+func TestLongRequestsDoNotStarveShortOnes(t *testing.T) {
 	is := is.New(t)
 	q := New(Config{Slots: 3, Queue: 10})
 	for i := Ticket(1); i <= 6; i++ {
@@ -65,10 +65,10 @@
 	is.Equal(q.Leave(4*ms, 11).Start, []Ticket{4})
 }
 
-// At three times the capacity for two seconds, callers with a second of
-// patience: with the switch of order the host's answers go to callers that
-// still wait; the old ones are dropped without running.
-func TestSustainedOverloadServesFreshRequests(t *testing.T) {
+// Guards against answers that come too late under sustained overload. At three times the
+// capacity for two seconds, with deadlines of a second, the newest requests must be
+// served; the old ones are dropped without running.
+func TestSustainedOverloadServesNewestFirst(t *testing.T) {
 	is := is.New(t)
 	q := New(Config{Slots: 1, Queue: 1000, Patience: 100 * ms})
 	next := Ticket(1)
@@ -96,29 +96,30 @@
 		}
 	}
 	is.True(started > 50)
-	is.True(age <= 300*ms) // nobody who was served had waited long
+	is.True(age <= 300*ms) // no request waited long before it was served
 }
 
-func TestDeadlineInTheQueue(t *testing.T) {
+func TestDeadlineInQueue(t *testing.T) {
 	is := is.New(t)
 	q := New(Config{Slots: 1, Queue: 10})
 	offer(q, 0, 1, "a")
-	q.Leave(100*ms, 1) // the host has seen that work takes 100 ms
+	q.Leave(100*ms, 1) // the mean slot time is now 100 ms
 	offer(q, 100*ms, 2, "a")
 
 	late := q.Offer(100*ms, Request{Ticket: 3, Caller: "b", Deadline: 150 * ms})
-	is.Equal(late, Verdict{Answer: TurnAway, Reason: TooLate}) // told at once
+	is.Equal(late, Verdict{Answer: TurnAway, Reason: TooLate}) // rejected at once
 	is.Equal(q.Offer(100*ms, Request{Ticket: 4, Caller: "b", Deadline: 250 * ms}).Answer, Wait)
 	is.Equal(offer(q, 100*ms, 5, "c").Answer, Wait)
 
-	change := q.Leave(300*ms, 2) // the work took longer than usual
+	change := q.Leave(300*ms, 2) // the request took longer than the mean
 	is.Equal(change, Change{Start: []Ticket{5}, Drop: []Ticket{4}})
 	is.Equal(q.Offer(300*ms, Request{Ticket: 6, Deadline: 300 * ms}).Reason, TooLate)
 }
 
-// A feed gives its slot back at the first byte and stays a connection; the
-// connection limit holds over running, waiting and streaming requests.
-func TestStreamsHoldConnectionsNotSlots(t *testing.T) {
+// Guards against streams that occupy slots: a feed releases its slot at the first byte
+// and stays a connection. The connection limit covers running, waiting and streaming
+// requests.
+func TestStreamsCountAsConnectionsNotSlots(t *testing.T) {
 	is := is.New(t)
 	q := New(Config{Slots: 1, Queue: 10, Connections: 3})
 	is.Equal(offer(q, 0, 1, "a").Answer, Enter)
@@ -132,10 +133,10 @@
 	q.Leave(2*ms, 3)
 	q.Leave(2*ms, 2)
 	is.Equal(q.InFlight(), 0)
-	is.Equal(len(q.callers), 0) // memory follows the load
+	is.Equal(len(q.callers), 0) // idle callers are removed
 }
 
-func TestMoreSlotsStartWaitingRequests(t *testing.T) {
+func TestAddedSlotsStartWaitingRequests(t *testing.T) {
 	is := is.New(t)
 	q := New(Config{Slots: 1, Queue: 10})
 	offer(q, 0, 1, "a")
--- a/internal/admission/condition.go
+++ b/internal/admission/condition.go
@@ -3,60 +3,62 @@
 import "time"
 
 const (
-	// illAfter failures in a row make a target ill. One or two are a cut
-	// connection or an unlucky request; a sound target that fails one in a
-	// hundred fails three in a row once in a million requests.
-	illAfter = 3
-	// trialEvery is how often an ill target gets a request to prove itself: a
-	// caller a second risks an error, and recovery is seen within a second.
-	trialEvery = time.Second
-	// evidenceFor is how long outcomes of requests outweigh the health endpoint.
-	evidenceFor = 5 * time.Second
+	// unhealthyAfterFailures is how many failures in a row make a target unhealthy. One
+	// or two may be a cut connection or an unlucky request; a healthy target that fails
+	// one request in a hundred fails three in a row once in a million.
+	unhealthyAfterFailures = 3
+	// trialInterval is how often an unhealthy target gets a trial request: one caller a
+	// second risks an error, and recovery is detected within a second.
+	trialInterval = time.Second
+	// outcomeTTL is how long the outcomes of requests override the health endpoint.
+	outcomeTTL = 5 * time.Second
 )
 
-// Condition judges whether a target answers, from the outcomes of requests it
-// was given. Its health endpoint is a hint that counts only where requests say
-// nothing: an endpoint that says well while requests fail would keep a dead
-// target in service, and one that says ill while they pass would empty a sound
-// one. The zero value is a sound target. It isn't safe for concurrent use.
+// Condition is passive health checking of one target: it judges from the outcomes of
+// requests whether the target answers. The health endpoint is a hint that counts only
+// where there are no recent requests: an endpoint that reports healthy while requests
+// fail would keep a dead target in service, and one that reports unhealthy while they
+// succeed would remove a working one. The zero value is a healthy target. It isn't safe
+// for concurrent use.
 type Condition struct {
-	failures int
-	last     time.Duration // of the last outcome
-	seen     bool
-	trial    time.Duration
-	hintIll  bool
+	failures      int
+	lastOutcomeAt time.Duration
+	hasOutcome    bool
+	lastTrialAt   time.Duration
+	hintUnhealthy bool
 }
 
-// Answered notes an answer, of whatever status.
+// Answered records an answer of any status.
 func (c *Condition) Answered(now time.Duration) {
 	c.failures = 0
-	c.last, c.seen = now, true
+	c.lastOutcomeAt, c.hasOutcome = now, true
 }
 
-// Failed notes a request without an answer: not connected, cut or silent.
+// Failed records a request without an answer: the connection failed, was cut, or timed
+// out.
 func (c *Condition) Failed(now time.Duration) {
 	c.failures++
-	c.last, c.seen = now, true
+	c.lastOutcomeAt, c.hasOutcome = now, true
 }
 
-// Hint notes what the health endpoint says.
-func (c *Condition) Hint(well bool) { c.hintIll = !well }
+// Hint records the health endpoint's state.
+func (c *Condition) Hint(well bool) { c.hintUnhealthy = !well }
 
-// Ill tells whether new requests should rather go elsewhere.
+// Ill tells whether the target is unhealthy, so that new requests should go elsewhere.
 func (c *Condition) Ill(now time.Duration) bool {
-	if c.failures >= illAfter {
+	if c.failures >= unhealthyAfterFailures {
 		return true
 	}
-	recent := c.seen && now-c.last < evidenceFor
-	return c.hintIll && !recent
+	recent := c.hasOutcome && now-c.lastOutcomeAt < outcomeTTL
+	return c.hintUnhealthy && !recent
 }
 
-// Trial tells whether one request may go to an ill target now, and counts it.
-// The first trial comes a whole interval after the last outcome.
+// Trial tells whether one request may go to an unhealthy target now, and counts it as
+// sent. The first trial comes a whole interval after the last outcome.
 func (c *Condition) Trial(now time.Duration) bool {
-	if now-max(c.trial, c.last) < trialEvery {
+	if now-max(c.lastTrialAt, c.lastOutcomeAt) < trialInterval {
 		return false
 	}
-	c.trial = now
+	c.lastTrialAt = now
 	return true
 }
