--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestWhatMayBeTriedAgain(t *testing.T) {
+func TestRetryDecision(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		a    Attempt
@@ -31,9 +31,9 @@
 	}
 }
 
-// Saturation: every request is refused. Without a budget each would make two
-// more attempts, three times the load; with it the load grows by the tenth.
-func TestSaturationDoesntMultiply(t *testing.T) {
+// Guards against retries that multiply an overload: every request is refused, and without
+// a budget each would make two more attempts, three times the load.
+func TestRetriesDoNotMultiplyOverload(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(10)
 	const fresh = 10000
@@ -49,13 +49,13 @@
 		}
 	}
 	t.Logf("%d retries of %d requests", retries, fresh)
-	is.True(retries >= fresh/10)            // the budget is there to be used
-	is.True(retries <= fresh/10+burst+10+1) // and no more: share, bucket, 1/s for 10 s
+	is.True(retries >= fresh/10)                // the budget is used
+	is.True(retries <= fresh/10+maxTokens+10+1) // share of requests, full bucket, 1/s for 10 s
 }
 
-// A burst of failures from one dead target is covered by the saved-up budget,
-// also on a service with little traffic.
-func TestOneDeathIsCovered(t *testing.T) {
+// Guards against errors for the requests that run at a target when it fails, on a service
+// with little traffic: the full bucket covers their retries.
+func TestBudgetCoversOneTargetFailure(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(10)
 	for range 7 {
@@ -68,5 +68,5 @@
 	reason, _ := b.Again(0, Attempt{Outcome: NotRun, Made: 1})
 	is.Equal(reason, OverBudget)
 	_, again := b.Again(time.Second, Attempt{Outcome: NotRun, Made: 1})
-	is.True(again) // a second later there is one again
+	is.True(again) // one token is refilled after a second
 }
