--- a/internal/reachability/inquiry.go
+++ b/internal/reachability/inquiry.go
@@ -3,57 +3,57 @@
 import "time"
 
 const (
-	// refusalsEnough are the refusals in a row that settle an inquiry. A second
-	// one rules out a message that was late.
-	refusalsEnough = 2
-	// InquiryPatience is how long an agent may be silent before its open flows
-	// are given up; a pause of a process for collection of garbage or for lack of
-	// processor time is well below.
-	InquiryPatience = 3 * time.Second
-	// silencesEnough are the unanswered probes that this takes besides, one each
-	// Tick. An inquirer that gets no processor time sends a few in three seconds,
-	// and gave up agents that lived: 1 in 20 runs of a test beside eight others.
-	silencesEnough = int(InquiryPatience / Tick)
-	// GivenUp is how long the outcome holds before it is looked into again.
+	// refusalsForDead is how many refusals in a row establish that an agent is dead. The
+	// second one rules out a message that was late.
+	refusalsForDead = 2
+	// InquiryTimeout is how long an agent may be silent before its open flows are given
+	// up. A process's pause for garbage collection or for lack of processor time is well
+	// below it.
+	InquiryTimeout = 3 * time.Second
+	// silencesForDead is how many unanswered probes this takes in addition, one for each
+	// Tick. An inquirer that is short of processor time sends only a few probes in three
+	// seconds, and would otherwise give up agents that are alive.
+	silencesForDead = int(InquiryTimeout / Tick)
+	// GivenUp is how long a result is valid before the agent is checked again.
 	GivenUp = 5 * time.Second
 )
 
-// Sign is what became of one probe.
+// Sign is the outcome of one probe.
 type Sign uint8
 
 const (
-	// Silent probes got no answer in time.
+	// Silent: the probe got no answer in time.
 	Silent Sign = iota
-	// Refused probes were answered by the other VM: nobody listens there.
+	// Refused: the agent's VM answered that no process listens there.
 	Refused
-	// Alive probes were answered by the agent.
+	// Alive: the agent answered the probe.
 	Alive
 )
 
-// Finding is what an inquiry has come to.
-type Finding uint8
+// Result is the present state of an inquiry.
+type Result uint8
 
 const (
-	// Open inquiries go on.
-	Open Finding = iota
-	// Reachable agents answered: packets can be handed on to them.
+	// Open: the inquiry is still in progress.
+	Open Result = iota
+	// Reachable: the agent answered, and packets can be forwarded to it.
 	Reachable
-	// Dead agents have no flows any more.
+	// Dead: the agent is gone, and its flows with it.
 	Dead
 )
 
-// Inquiry is the second opinion on an agent that a balancer can't reach.
+// Inquiry checks from another agent whether an agent that a balancer can't reach is dead.
 type Inquiry struct {
-	began    time.Time
-	refusals int
-	silences int
+	startedAt time.Time
+	refusals  int
+	silences  int
 }
 
-// NewInquiry begins an inquiry.
-func NewInquiry(now time.Time) *Inquiry { return &Inquiry{began: now} }
+// NewInquiry starts an inquiry.
+func NewInquiry(now time.Time) *Inquiry { return &Inquiry{startedAt: now} }
 
-// Note takes in the outcome of a probe.
-func (q *Inquiry) Note(now time.Time, s Sign) Finding {
+// Note records the outcome of a probe and returns the state of the inquiry.
+func (q *Inquiry) Note(now time.Time, s Sign) Result {
 	switch s {
 	case Alive:
 		return Reachable
@@ -63,10 +63,10 @@
 		q.refusals = 0
 		q.silences++
 	}
-	if q.refusals >= refusalsEnough {
+	if q.refusals >= refusalsForDead {
 		return Dead
 	}
-	if q.silences >= silencesEnough && now.Sub(q.began) >= InquiryPatience {
+	if q.silences >= silencesForDead && now.Sub(q.startedAt) >= InquiryTimeout {
 		return Dead
 	}
 	return Open
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -9,9 +9,9 @@
 
 var start = time.Unix(1000, 0)
 
-// play ticks a record from start, with an answer to each probe where answered
-// is set, and returns the probes sent and when the agent was judged down.
-func play(r *Record, ticks int, answered func(tick int) bool) (probes int, down time.Duration) {
+// runTicks runs a record from start. Probes are answered where answered returns true. It
+// returns the number of probes sent and when the agent was marked down.
+func runTicks(r *Record, ticks int, answered func(tick int) bool) (probes int, down time.Duration) {
 	for i := range ticks {
 		now := start.Add(time.Duration(i) * Tick)
 		r.Sent(now)
@@ -28,46 +28,46 @@
 	return probes, down
 }
 
-// An agent that answers nothing is judged unreachable within the patience, after
-// several probes, and probed on at a slower pace.
-func TestSilentAgentIsJudgedDown(t *testing.T) {
+// Guards against a silent agent that stays in service: it is marked down within
+// downAfter, after several probes, and then probed at a lower rate.
+func TestSilentAgentIsMarkedDown(t *testing.T) {
 	is := is.New(t)
-	probes, down := play(new(Record), 7, func(int) bool { return false })
-	is.Equal(down, patience)
+	probes, down := runTicks(new(Record), 7, func(int) bool { return false })
+	is.Equal(down, downAfter)
 	is.Equal(probes, 4)
-	probes, _ = play(new(Record), 107, func(int) bool { return false })
+	probes, _ = runTicks(new(Record), 107, func(int) bool { return false })
 	is.Equal(probes, 14)
 }
 
-// An agent whose answers go elsewhere, or that has nothing to answer, is probed
-// about once a second and never judged unreachable.
-func TestQuietAgentIsNotJudgedDown(t *testing.T) {
+// Guards against an agent marked down because its answers take another path, or because
+// it has nothing to answer: it is probed about once a second.
+func TestQuietAgentStaysUp(t *testing.T) {
 	is := is.New(t)
-	probes, down := play(new(Record), 1000, func(int) bool { return true })
+	probes, down := runTicks(new(Record), 1000, func(int) bool { return true })
 	is.Equal(down, time.Duration(0))
 	is.True(probes > 50 && probes < 100)
 }
 
-// Three of four probes lost leave an agent in service.
-func TestLostProbesAreForgiven(t *testing.T) {
+// Guards against an agent marked down although it answers at least every third probe.
+func TestLostProbesAreTolerated(t *testing.T) {
 	is := is.New(t)
-	_, down := play(new(Record), 1000, func(tick int) bool { return tick%3 == 0 })
+	_, down := runTicks(new(Record), 1000, func(tick int) bool { return tick%3 == 0 })
 	is.Equal(down, time.Duration(0))
 }
 
-// An agent that answers again is in service at once.
-func TestAgentComesBack(t *testing.T) {
+// Guards against an agent that stays down although it answers again.
+func TestAgentRecovers(t *testing.T) {
 	is := is.New(t)
 	r := new(Record)
-	_, down := play(r, 50, func(int) bool { return false })
+	_, down := runTicks(r, 50, func(int) bool { return false })
 	is.True(down > 0)
 	r.Heard(start.Add(time.Minute))
 	is.True(!r.Down())
 	is.True(!r.Judge(start.Add(time.Minute)))
 }
 
-// An agent that is heard all the time is never probed, whatever is sent.
-func TestBusyAgentIsNotProbed(t *testing.T) {
+// Guards against probes to an agent that is heard all the time.
+func TestActiveAgentIsNotProbed(t *testing.T) {
 	is := is.New(t)
 	r := new(Record)
 	for i := range 1000 {
@@ -78,20 +78,21 @@
 	}
 }
 
-// An agent whose VM refuses two probes in a row is dead at once; one that is
-// merely silent is given seconds, and one that answers at all is reachable.
-func TestInquiry(t *testing.T) {
+// Guards against wrong results of an inquiry: two refusals in a row mean that the agent
+// is dead at once, silence alone only after InquiryTimeout, and any answer that it is
+// reachable.
+func TestInquiryResults(t *testing.T) {
 	is := is.New(t)
 	for _, x := range []struct {
 		signs string
-		want  Finding
+		want  Result
 		after time.Duration
 	}{
 		{"rr", Dead, Tick},
 		{"rsr", Open, 2 * Tick},
 		{"rsrr", Dead, 3 * Tick},
 		{"sssssssssssssssssssssssssssss", Open, 28 * Tick},
-		{"sssssssssssssssssssssssssssssss", Dead, InquiryPatience},
+		{"sssssssssssssssssssssssssssssss", Dead, InquiryTimeout},
 		{"sssssssssssssssssssra", Reachable, 20 * Tick},
 	} {
 		q, now, got := NewInquiry(start), start, Open
@@ -104,10 +105,10 @@
 	}
 }
 
-// The inquiring VM itself gets no processor time: in three seconds it sends five
-// probes. That says nothing about the other agent, whose callers' open flows must
-// not be given up for it; only thirty unanswered probes in a row do.
-func TestStarvedInquirerCondemnsNobody(t *testing.T) {
+// Guards against open flows given up because the inquiring VM is short of processor time:
+// it sends five probes in as many seconds, which says nothing about the other agent. Only
+// thirty unanswered probes declare that one dead.
+func TestStarvedInquirerDoesNotDeclareAgentDead(t *testing.T) {
 	is := is.New(t)
 	q := NewInquiry(start)
 	for i := 1; i <= 5; i++ {
@@ -115,7 +116,7 @@
 	}
 	got := Open
 	for i := 6; got == Open; i++ {
-		is.True(i <= silencesEnough)
+		is.True(i <= silencesForDead)
 		got = q.Note(start.Add(time.Duration(i)*time.Second), Silent)
 	}
 	is.Equal(got, Dead)
