--- a/internal/passthrough/peer/peer.go
+++ b/internal/passthrough/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer is what balancers and agents of pass-through flows say to each
-// other in datagrams: packets on their way, packets handed back, questions who
-// holds a flow, and the agents' reports.
+// Package peer is the datagram protocol between balancers and agents of pass-through
+// flows: forwarded packets, packets handed back, questions about the holder of a flow and
+// their answers, and the agents' reports.
 package peer
 
 import (
@@ -24,19 +24,19 @@
 const (
 	// KindDeliver carries a client's packet from a balancer to an agent.
 	KindDeliver Kind = iota + 1
-	// KindRefused carries it back.
+	// KindRefused carries a packet that an agent hands back to the balancer.
 	KindRefused
-	// KindAsk and KindAnswer carry batches of questions and rulings, KindReport a
+	// KindAsk and KindAnswer carry batches of questions and of answers, KindReport a
 	// Report in msgpack.
 	KindAsk
 	KindAnswer
 	KindReport
-	// KindProbe asks an agent for a Report; nothing follows.
+	// KindProbe asks an agent for a Report; it has no body.
 	KindProbe
 )
 
-// Kinds of traffic besides the datagrams between nodes: packets of the fabric, clients and
-// targets, and the messages of control's streams.
+// Kinds of traffic other than datagrams between nodes: packets exchanged with the fabric,
+// clients and targets, and the messages of control's streams.
 const (
 	KindPacket Kind = 0
 	KindStream Kind = KindProbe + 1
@@ -44,13 +44,14 @@
 
 var kindNames = [...]string{"packet", "deliver", "refused", "ask", "answer", "report", "probe", "control"}
 
-// NewMeter returns a meter of a node's traffic by Kind.
+// NewMeter returns a meter that counts a node's traffic by Kind.
 func NewMeter(m *metrics.Set) *traffic.Meter { return traffic.New(m, kindNames[:]...) }
 
-// PacketKind tells the kind of what the fabric, a client or a target sends or gets.
+// PacketKind returns the kind of a packet exchanged with the fabric, a client or a
+// target.
 func PacketKind([]byte) int { return int(KindPacket) }
 
-// NodeKind tells the kind of a datagram between nodes.
+// NodeKind returns the kind of a datagram between nodes.
 func NodeKind(raw []byte) int { return int(KindOf(raw)) }
 
 // Reason says why an agent hands a packet back.
@@ -59,25 +60,25 @@
 const (
 	// NotHeld means that the target doesn't hold the packet's flow.
 	NotHeld Reason = iota + 1
-	// Draining means that the target takes no new flows because it leaves.
+	// Draining means that the target is draining and accepts no new flows.
 	Draining
-	// Full means that the target handed the first packet back, or that too many
-	// wait there.
+	// Full means that the target handed the first packet back, or that too many first
+	// packets wait there.
 	Full
 	// Silent means that the target didn't answer the first packet in time.
 	Silent
-	// WrongService means that another service's target is there now.
+	// WrongService means that the agent's target now belongs to another service.
 	WrongService
-	// NoTarget means that no target is known there yet, or no longer.
+	// NoTarget means that the agent has no target yet, or no longer has one.
 	NoTarget
-	// Busy means that the first packet waited in vain for a free slot, for as long
-	// as is good for its caller: it isn't to be offered elsewhere.
+	// Busy means that the first packet waited for a free slot for as long as is useful to
+	// its caller. It must not be offered to another target.
 	Busy
-	// Evacuated means that the target's data centre takes no new flows.
+	// Evacuated means that the target's data centre accepts no new flows.
 	Evacuated
-	// Cold means that the target has just started and bears no more new flows now.
+	// Cold means that the target is warming up and can't take more new flows now.
 	Cold
-	// NotHome means that the route's flows may not go to targets of this region.
+	// NotHome means that the route doesn't allow targets of this region.
 	NotHome
 )
 
@@ -90,35 +91,34 @@
 	return "unknown"
 }
 
-// Head precedes a carried packet. It is fixed in size, because it is written
-// and read once for each packet of every flow.
+// Head precedes a carried packet. It has a fixed size, because it is encoded and decoded
+// for each packet of every flow.
 type Head struct {
 	Kind Kind
 	// Reason is set in KindRefused.
 	Reason Reason
-	// Service is whom the packet is for; an agent whose target is of another
-	// service refuses it, as after an address was used again.
+	// Service is the one that the packet is for. An agent whose target belongs to another
+	// service, as after an address was reused, refuses the packet.
 	Service route.ServiceID
-	// Age is for how many milliseconds the packet has been with balancers and
-	// agents.
+	// Age is for how many milliseconds the packet has been held by balancers and agents.
 	Age uint16
 }
 
-// AgeOf is an age as a head tells it.
+// AgeOf converts a duration to the unit and range of Head.Age.
 func AgeOf(d time.Duration) uint16 {
 	return uint16(max(0, min(d.Milliseconds(), math.MaxUint16)))
 }
 
-// Waited is the age of the packet.
+// Waited returns Age as a duration.
 func (h Head) Waited() time.Duration { return time.Duration(h.Age) * time.Millisecond }
 
-// HeadSize is the bytes before a carried packet.
+// HeadSize is the encoded size of Head in bytes.
 const HeadSize = 12
 
-// ErrShort means that a datagram is shorter than its kind demands.
-var ErrShort = errors.New("peer: datagram too short")
+// ErrShort means that a datagram's length doesn't fit its kind.
+var ErrShort = errors.New("peer: datagram has an invalid length")
 
-// Append writes the head and the packet behind it.
+// Append encodes the head and the packet after it.
 func (h Head) Append(to, raw []byte) []byte {
 	to = append(to, byte(h.Kind), byte(h.Reason))
 	to = binary.BigEndian.AppendUint64(to, uint64(h.Service))
@@ -126,7 +126,7 @@
 	return append(to, raw...)
 }
 
-// DecodeHead splits a datagram into head and packet.
+// DecodeHead splits a datagram into head and packet. It fails with ErrShort.
 func DecodeHead(b []byte) (Head, []byte, error) {
 	if len(b) < HeadSize {
 		return Head{}, nil, errors.Wrapf(ErrShort, "%d bytes", len(b))
@@ -135,7 +135,7 @@
 	return h, b[HeadSize:], nil
 }
 
-// DecodeCarried splits a datagram into head and packet, and reads the packet.
+// DecodeCarried splits a datagram into head and packet, and decodes the packet.
 func DecodeCarried(codec packet.Codec, b []byte) (Head, packet.Packet, []byte, error) {
 	h, raw, err := DecodeHead(b)
 	if err != nil {
@@ -156,47 +156,47 @@
 // Question asks an agent whether its target holds a flow.
 type Question struct {
 	Flow packet.Flow
-	// Ack is the acknowledgement number of the client's packet: it tells the
+	// Ack is the acknowledgement number of the client's packet. It distinguishes the
 	// target whose handshake the client completed from one that only answered a
-	// copy of the first packet.
+	// retransmit of the first packet.
 	Ack uint32
 }
 
-// Verdict is an agent's word on a flow.
+// Verdict is an agent's answer about a flow.
 type Verdict uint8
 
 const (
 	// Holds means that the target has the flow open.
 	Holds Verdict = iota + 1
-	// Lacks means that the target surely doesn't have it.
+	// Lacks means that the target certainly doesn't have the flow.
 	Lacks
-	// Unsure means that the target may have it: the agent started after its
-	// target and hasn't seen all flows yet.
+	// Unsure means that the target may have the flow: the agent started after its target
+	// and hasn't seen all flows yet.
 	Unsure
 )
 
-// Ruling answers one question.
+// Ruling is the answer to one question.
 type Ruling struct {
 	Question Question
 	Verdict  Verdict
 }
 
-// Questions and rulings are fixed in size: when all flows of a large service are
-// asked for at once, they are most of what a balancer's link carries. In msgpack
-// they took more than twice as much.
+// Questions and rulings have a fixed binary encoding: when all flows of a large service are
+// searched at once, they are most of a balancer's traffic. In msgpack they take more than
+// twice the space.
 const (
 	questionSize = 16
 	rulingSize   = questionSize + 1
 )
 
-// QuestionCost is the bytes that a question takes in a datagram of its own, with the
+// QuestionCost is the bytes that a question takes in a datagram of its own, including the
 // headers of UDP and IP.
 const QuestionCost = 1 + questionSize + 28
 
-// SharedQuestionCost is the bytes that each further question takes in a datagram.
+// SharedQuestionCost is the bytes that each further question adds to a datagram.
 const SharedQuestionCost = questionSize
 
-// AppendAsk writes a batch of questions.
+// AppendAsk encodes a batch of questions.
 func AppendAsk(to []byte, qs []Question) []byte {
 	to = append(to, byte(KindAsk))
 	for _, q := range qs {
@@ -205,7 +205,7 @@
 	return to
 }
 
-// AppendAnswer writes a batch of rulings.
+// AppendAnswer encodes a batch of rulings.
 func AppendAnswer(to []byte, rs []Ruling) []byte {
 	to = append(to, byte(KindAnswer))
 	for _, r := range rs {
@@ -233,24 +233,24 @@
 	}
 }
 
-// ReadAsk hands each question of a datagram to take.
-func ReadAsk(b []byte, take func(Question)) error {
+// ReadAsk calls handle for each question of a datagram.
+func ReadAsk(b []byte, handle func(Question)) error {
 	if len(b) < 1 || (len(b)-1)%questionSize != 0 {
-		return errors.Wrapf(ErrShort, "questions in %d bytes", len(b))
+		return errors.Wrapf(ErrShort, "batch of questions with %d bytes", len(b))
 	}
 	for b = b[1:]; len(b) > 0; b = b[questionSize:] {
-		take(decodeQuestion(b))
+		handle(decodeQuestion(b))
 	}
 	return nil
 }
 
-// ReadAnswer hands each ruling of a datagram to take.
-func ReadAnswer(b []byte, take func(Ruling)) error {
+// ReadAnswer calls handle for each ruling of a datagram.
+func ReadAnswer(b []byte, handle func(Ruling)) error {
 	if len(b) < 1 || (len(b)-1)%rulingSize != 0 {
-		return errors.Wrapf(ErrShort, "rulings in %d bytes", len(b))
+		return errors.Wrapf(ErrShort, "batch of answers with %d bytes", len(b))
 	}
 	for b = b[1:]; len(b) > 0; b = b[rulingSize:] {
-		take(Ruling{Question: decodeQuestion(b), Verdict: Verdict(b[questionSize])})
+		handle(Ruling{Question: decodeQuestion(b), Verdict: Verdict(b[questionSize])})
 	}
 	return nil
 }
--- a/internal/passthrough/peer/peer_test.go
+++ b/internal/passthrough/peer/peer_test.go
@@ -18,19 +18,19 @@
 	}
 }
 
-func TestBatchesComeBack(t *testing.T) {
+func TestBatchRoundTrip(t *testing.T) {
 	is := is.New(t)
 	qs := []Question{question(1), question(2)}
 	var got []Question
 	is.NoErr(ReadAsk(AppendAsk(nil, qs), func(q Question) { got = append(got, q) }))
 	is.Equal(got, qs)
 	rs := []Ruling{{qs[0], Holds}, {qs[1], Unsure}}
-	var back []Ruling
-	is.NoErr(ReadAnswer(AppendAnswer(nil, rs), func(r Ruling) { back = append(back, r) }))
-	is.Equal(back, rs)
+	var gotRulings []Ruling
+	is.NoErr(ReadAnswer(AppendAnswer(nil, rs), func(r Ruling) { gotRulings = append(gotRulings, r) }))
+	is.Equal(gotRulings, rs)
 }
 
-func TestHeadComesBack(t *testing.T) {
+func TestHeadRoundTrip(t *testing.T) {
 	is := is.New(t)
 	h := Head{Kind: KindRefused, Reason: Silent, Service: 77, Age: 1234}
 	got, carried, err := DecodeHead(h.Append(nil, []byte("packet")))
@@ -41,16 +41,15 @@
 	is.True(err != nil)
 }
 
-// A datagram that was cut on its way is refused; a part of an entry must not be
-// taken for another flow.
-func TestCutBatches(t *testing.T) {
+// Guards against a part of an entry taken for another flow when a datagram is truncated.
+func TestTruncatedBatchIsRejected(t *testing.T) {
 	is := is.New(t)
 	whole := AppendAnswer(nil, []Ruling{{question(1), Holds}})
 	for n := range whole {
 		if n == 1 {
 			continue // an empty batch
 		}
-		is.True(ReadAnswer(whole[:n], func(Ruling) { t.Error("taken") }) != nil)
+		is.True(ReadAnswer(whole[:n], func(Ruling) { t.Error("a truncated batch was decoded") }) != nil)
 	}
 }
 
@@ -62,7 +61,7 @@
 			return
 		}
 		if again := AppendAnswer(nil, rs); string(again[1:]) != string(data[1:]) {
-			t.Errorf("%x came back as %x", data, again)
+			t.Errorf("%x was encoded again as %x", data, again)
 		}
 	})
 }
