--- a/internal/passthrough/packet/endpoint.go
+++ b/internal/passthrough/packet/endpoint.go
@@ -6,19 +6,19 @@
 
 //msgp:tuple Endpoint
 
-// Endpoint is one end of a flow: an IPv4 address and a port. It is a plain
-// value of six bytes, so that a table of flows holds no pointers.
+// Endpoint is one end of a flow: an IPv4 address and a port. It is a plain value of six
+// bytes, so that flow tables hold no pointers for the garbage collector to follow.
 type Endpoint struct {
 	IP   [4]byte
 	Port uint16
 }
 
-// EndpointOf returns an IPv4 address and port as an endpoint.
+// EndpointOf converts an IPv4 address and port to an endpoint.
 func EndpointOf(a netip.AddrPort) Endpoint {
 	return Endpoint{IP: a.Addr().As4(), Port: a.Port()}
 }
 
-// AddrPort returns the endpoint as the standard library has it.
+// AddrPort converts the endpoint to the standard library's type.
 func (e Endpoint) AddrPort() netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4(e.IP), e.Port)
 }
