--- a/internal/passthrough/datagram/datagram.go
+++ b/internal/passthrough/datagram/datagram.go
@@ -1,5 +1,4 @@
-// Package datagram reads, sends and batches the datagrams of pass-through
-// flows.
+// Package datagram receives, sends and batches the datagrams of pass-through flows.
 package datagram
 
 import (
@@ -18,12 +17,11 @@
 const (
 	// readSize is larger than any datagram that nodes or the platform send.
 	readSize = 2048
-	// errorPause keeps a socket that fails again and again from taking the
-	// whole processor.
-	errorPause = 10 * time.Millisecond
-	// batchSize bounds the entries of one datagram: 75 rulings of 17 bytes stay
-	// under 1,300 bytes, which passes every link whole.
-	batchSize = 75
+	// readErrorPause keeps a socket that fails repeatedly from using a whole processor.
+	readErrorPause = 10 * time.Millisecond
+	// maxBatchEntries bounds the entries of one datagram: 75 rulings of 17 bytes stay
+	// under 1,300 bytes, which every link carries without fragmentation.
+	maxBatchEntries = 75
 )
 
 // Socket sends and receives datagrams, and counts them.
@@ -35,12 +33,12 @@
 	kind    func(raw []byte) int
 }
 
-// Count has datagrams counted by the kind that a function tells.
+// Count has the meter count datagrams by the kind that the given function returns.
 func (s *Socket) Count(meter *traffic.Meter, kind func(raw []byte) int) {
 	s.meter, s.kind = meter, kind
 }
 
-// Listen opens a socket at an address.
+// Listen opens a UDP socket at an IPv4 address.
 func Listen(at netip.AddrPort, log logrus.FieldLogger, m *metrics.Set) (*Socket, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
 	if err != nil {
@@ -49,40 +47,40 @@
 	return &Socket{conn: conn, log: log, metrics: m}, nil
 }
 
-// Close closes the socket; Read returns.
+// Close closes the socket, which makes Read return.
 func (s *Socket) Close() error { return s.conn.Close() }
 
-// Read hands each datagram to take until ctx is done or the socket is closed.
-// The bytes are valid during the call. What take refuses is counted.
-func (s *Socket) Read(ctx context.Context, take func(from netip.AddrPort, raw []byte) error) {
+// Read calls handle for each datagram until ctx is done or the socket is closed. The
+// bytes are valid only during the call. Datagrams for which handle returns an error are
+// counted.
+func (s *Socket) Read(ctx context.Context, handle func(from netip.AddrPort, raw []byte) error) {
 	buf := make([]byte, readSize)
 	for ctx.Err() == nil {
 		n, from, err := s.conn.ReadFromUDPAddrPort(buf)
 		switch {
 		case err == nil:
-			s.hand(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buf[:n], take)
+			s.dispatch(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buf[:n], handle)
 		case errors.Is(err, net.ErrClosed):
 			return
 		default:
-			// An earlier datagram met a port without a listener, as a rule.
-			s.log.WithError(err).Debug("datagram: read")
-			time.Sleep(errorPause)
+			// Usually an ICMP error: an earlier datagram was sent to a port without a listener.
+			s.log.WithError(err).Debug("datagram: reading from the socket failed; retrying after a pause")
+			time.Sleep(readErrorPause)
 		}
 	}
 }
 
-func (s *Socket) hand(from netip.AddrPort, raw []byte, take func(netip.AddrPort, []byte) error) {
+func (s *Socket) dispatch(from netip.AddrPort, raw []byte, handle func(netip.AddrPort, []byte) error) {
 	if s.meter != nil {
 		s.meter.In(s.kind(raw), len(raw))
 	}
-	if err := take(from, raw); err != nil {
+	if err := handle(from, raw); err != nil {
 		s.metrics.Counter("pass_unreadable").Add(1)
-		s.log.WithError(err).WithField("from", from.String()).Debug("datagram: unreadable")
+		s.log.WithError(err).WithField("from", from.String()).Debug("datagram: dropped a datagram that can't be handled")
 	}
 }
 
-// Send sends one datagram. One that can't be sent is lost like any other, and
-// counted.
+// Send sends one datagram. Failures are counted and otherwise treated like packet loss.
 func (s *Socket) Send(raw []byte, to netip.AddrPort) {
 	if _, err := s.conn.WriteToUDPAddrPort(raw, to); err != nil {
 		s.metrics.Counter("pass_send_failed").Add(1)
@@ -93,30 +91,30 @@
 	}
 }
 
-// Batches gathers entries for each peer. Its user guards it.
+// Batches collects entries for each destination. It isn't safe for concurrent use.
 type Batches[T any] struct {
 	byPeer  map[netip.AddrPort][]T
 	pending bool
 }
 
-// Add puts an entry to a peer's batch. The first one has flush called after the
-// pause, on a goroutine of its own, unless flush is nil.
-func (b *Batches[T]) Add(to netip.AddrPort, x T, pause time.Duration, flush func()) {
+// Add appends an entry to a destination's batch. If flush isn't nil, the first entry
+// schedules a call of flush after the delay, on its own goroutine.
+func (b *Batches[T]) Add(to netip.AddrPort, x T, delay time.Duration, flush func()) {
 	if b.byPeer == nil {
 		b.byPeer = map[netip.AddrPort][]T{}
 	}
 	b.byPeer[to] = append(b.byPeer[to], x)
 	if !b.pending && flush != nil {
 		b.pending = true
-		time.AfterFunc(pause, flush)
+		time.AfterFunc(delay, flush)
 	}
 }
 
-// Flush hands out what was gathered, batchSize entries at a time.
+// Flush sends all entries, at most maxBatchEntries at a time.
 func (b *Batches[T]) Flush(send func(to netip.AddrPort, xs []T)) {
 	for to, xs := range b.byPeer {
 		for len(xs) > 0 {
-			n := min(len(xs), batchSize)
+			n := min(len(xs), maxBatchEntries)
 			send(to, xs[:n])
 			xs = xs[n:]
 		}
