--- a/internal/passthrough/traffic/traffic.go
+++ b/internal/passthrough/traffic/traffic.go
@@ -1,7 +1,6 @@
 // Package traffic counts what a node sends to and receives from others, by kind of
-// message, on the metrics address and in a log line at an interval. The product's own
-// messages share thin links with its callers' packets; the counts tell how much each
-// exchange takes.
+// message, as metrics and in a periodic log line. The load balancer's own messages share
+// thin links with its callers' packets; the counts tell how much each kind takes.
 package traffic
 
 import (
@@ -19,13 +18,13 @@
 // Interval is the time between two log lines.
 const Interval = 10 * time.Second
 
-// Meter counts messages and bytes in both directions by kind. Its methods may be called
-// from several goroutines. A nil Meter counts nothing.
+// Meter counts messages and bytes by kind in both directions. Its methods are safe for
+// concurrent use. A nil Meter counts nothing.
 type Meter struct {
 	kinds []kind
 }
 
-// kind is the counters of one kind of message.
+// kind holds the counters of one kind of message.
 type kind struct {
 	name    string
 	in, out direction
@@ -33,11 +32,11 @@
 
 type direction struct {
 	messages, bytes *expvar.Int
-	// loggedMessages and loggedBytes are the counts of the last log line.
+	// loggedMessages and loggedBytes are the counts at the last log line.
 	loggedMessages, loggedBytes int64
 }
 
-// New returns a meter; the names' places are the kinds.
+// New returns a meter. A kind's number is the index of its name.
 func New(m *metrics.Set, names ...string) *Meter {
 	t := &Meter{}
 	for _, name := range names {
@@ -50,21 +49,21 @@
 	return t
 }
 
-// In counts a message received. A kind without a name counts as the first one.
+// In counts a received message. An unknown kind counts as kind 0.
 func (t *Meter) In(kind, bytes int) {
 	if t != nil {
-		t.kinds[t.known(kind)].in.add(bytes)
+		t.kinds[t.kindIndex(kind)].in.add(bytes)
 	}
 }
 
-// Out counts a message sent.
+// Out counts a sent message. An unknown kind counts as kind 0.
 func (t *Meter) Out(kind, bytes int) {
 	if t != nil {
-		t.kinds[t.known(kind)].out.add(bytes)
+		t.kinds[t.kindIndex(kind)].out.add(bytes)
 	}
 }
 
-func (t *Meter) known(kind int) int {
+func (t *Meter) kindIndex(kind int) int {
 	if kind < 0 || kind >= len(t.kinds) {
 		return 0
 	}
@@ -76,27 +75,27 @@
 	d.bytes.Add(int64(bytes))
 }
 
-// Run logs what was counted at each interval until ctx is done.
+// Run logs the counts at each interval until ctx is done.
 func (t *Meter) Run(ctx context.Context, log logrus.FieldLogger) {
 	for wait.For(ctx, Interval) {
 		t.log(log)
 	}
 }
 
-// log writes one line with the counts since the last one; kinds without messages are
-// left out.
+// log writes one line with the counts since the last one; kinds without messages are left
+// out.
 func (t *Meter) log(log logrus.FieldLogger) {
 	fields := logrus.Fields{"interval_s": Interval.Seconds()}
 	for i := range t.kinds {
 		k := &t.kinds[i]
-		k.in.put(fields, "in_"+k.name)
-		k.out.put(fields, "out_"+k.name)
+		k.in.addFields(fields, "in_"+k.name)
+		k.out.addFields(fields, "out_"+k.name)
 	}
 	events.Log(log, events.Traffic, fields)
 }
 
-// put adds the counts since the last line to it.
-func (d *direction) put(fields logrus.Fields, name string) {
+// addFields adds the counts since the last log line to the fields.
+func (d *direction) addFields(fields logrus.Fields, name string) {
 	messages, bytes := d.messages.Value(), d.bytes.Value()
 	if messages > d.loggedMessages {
 		fields[name] = messages - d.loggedMessages
--- a/internal/passthrough/traffic/traffic_test.go
+++ b/internal/passthrough/traffic/traffic_test.go
@@ -18,7 +18,7 @@
 	meter.Out(1, 29)
 	meter.Out(1, 29)
 	meter.In(0, 100)
-	meter.In(7, 1) // of a later version
+	meter.In(7, 1) // an unknown kind, as from a later version
 	is.Equal(m.Value("messages_out_probe"), int64(2))
 	is.Equal(m.Value("bytes_out_probe"), int64(58))
 	is.Equal(m.Value("bytes_in_packet"), int64(101))
@@ -39,7 +39,7 @@
 	is.Equal(first["out_probe_bytes"], 58.0)
 	is.Equal(first["in_probe"], nil)
 	meter.Out(1, 29)
-	is.Equal(line()["out_probe"], 1.0) // since the last line
+	is.Equal(line()["out_probe"], 1.0) // counted since the last line
 }
 
 func TestNilMeterCountsNothing(t *testing.T) {
@@ -48,7 +48,7 @@
 	meter.Out(0, 1)
 }
 
-// Guards against counting that costs an allocation a packet.
+// Guards against an allocation for each counted message.
 func TestCountingAllocatesNothing(t *testing.T) {
 	meter := New(metrics.New(), "packet")
 	if n := testing.AllocsPerRun(1000, func() { meter.In(0, 100) }); n != 0 {
