--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -1,6 +1,6 @@
 // Package framing frames messages between the system's own processes over TCP: a
-// four-byte big-endian length, one byte of kind, and a msgpack body. It knows
-// no protocol; each slice defines its kinds and messages.
+// four-byte big-endian length of the body, one byte of kind, and a msgpack body. The
+// kinds and messages are defined by the protocols that use it.
 package framing
 
 import (
@@ -15,20 +15,21 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Kind tells the receiver which message a frame's body holds. Its meaning is
-// the protocol's that runs on the connection.
+// Kind identifies the message in a frame's body. Its values are defined by the protocol
+// on the connection.
 type Kind uint8
 
 const (
 	headerSize = 5
-	// DefaultLimit bounds a frame's body. A table with 12,000 hosts stays under
-	// 4 MiB; the bound keeps a corrupt length from claiming the memory budget.
+	// DefaultLimit bounds a frame's body, in bytes. A table with 12,000 hosts stays under
+	// 4 MiB; the bound keeps a corrupt length from causing an allocation that exhausts
+	// the process's memory.
 	DefaultLimit = 16 << 20
 	bufferSize   = 4 << 10
 )
 
-// ErrTooLarge is returned for a frame over the connection's limit.
-var ErrTooLarge = errors.New("framing: frame over the limit")
+// ErrTooLarge means that a frame's body is over the connection's limit.
+var ErrTooLarge = errors.New("framing: frame body exceeds the limit")
 
 // Frame is one received message.
 type Frame struct {
@@ -37,15 +38,16 @@
 	Body []byte
 }
 
-// Decode reads the frame's body into m.
+// Decode decodes the frame's body into m.
 func (f Frame) Decode(m msgp.Unmarshaler) error {
 	if _, err := m.UnmarshalMsg(f.Body); err != nil {
-		return errors.Wrapf(err, "framing: frame kind %d", f.Kind)
+		return errors.Wrapf(err, "framing: decode frame of kind %d", f.Kind)
 	}
 	return nil
 }
 
-// Conn sends and receives frames. One goroutine may read while others write.
+// Conn sends and receives frames. Write is safe for concurrent use; only one goroutine
+// may call Read.
 type Conn struct {
 	raw   net.Conn
 	in    *bufio.Reader
@@ -54,12 +56,13 @@
 
 	mu  sync.Mutex
 	out []byte
-	// writeTimeout bounds one write, so that a half-open peer can't hold the
-	// writer for the kernel's retransmission time.
+	// writeTimeout bounds one write, so that a half-open connection doesn't block the
+	// writer until the kernel gives up its retransmissions.
 	writeTimeout time.Duration
 }
 
-// NewConn wraps a connection. writeTimeout of 0 sets no bound.
+// NewConn wraps a connection. A limit of 0 means DefaultLimit, a writeTimeout of 0 no
+// bound.
 func NewConn(raw net.Conn, limit int, writeTimeout time.Duration) *Conn {
 	if limit <= 0 {
 		limit = DefaultLimit
@@ -67,20 +70,21 @@
 	return &Conn{raw: raw, in: bufio.NewReaderSize(raw, bufferSize), limit: limit, writeTimeout: writeTimeout}
 }
 
-// Raw returns the connection underneath.
+// Raw returns the underlying connection.
 func (c *Conn) Raw() net.Conn { return c.raw }
 
 // Close closes the connection.
 func (c *Conn) Close() error { return c.raw.Close() }
 
-// Write sends one frame. It returns the bytes put on the connection.
+// Write sends one frame. It returns the number of bytes written to the connection, and
+// ErrTooLarge for a body over the limit.
 func (c *Conn) Write(kind Kind, m msgp.Marshaler) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	buf := append(c.out[:0], 0, 0, 0, 0, byte(kind))
 	buf, err := m.MarshalMsg(buf)
 	if err != nil {
-		return 0, errors.Wrapf(err, "framing: encode kind %d", kind)
+		return 0, errors.Wrapf(err, "framing: encode frame of kind %d", kind)
 	}
 	size := len(buf) - headerSize
 	if size > c.limit {
@@ -90,21 +94,22 @@
 	c.out = buf
 	if c.writeTimeout > 0 {
 		if err := c.raw.SetWriteDeadline(time.Now().Add(c.writeTimeout)); err != nil {
-			return 0, errors.Wrap(err, "framing: write deadline")
+			return 0, errors.Wrap(err, "framing: set write deadline")
 		}
 	}
 	n, err := c.raw.Write(buf)
 	if err != nil {
-		return n, errors.Wrap(err, "framing: write")
+		return n, errors.Wrap(err, "framing: write frame")
 	}
 	return n, nil
 }
 
-// Read waits for the next frame, at most until the deadline set on Raw.
+// Read waits for the next frame, at most until the read deadline set on Raw. It returns
+// ErrTooLarge for a body over the limit.
 func (c *Conn) Read() (Frame, error) {
 	var head [headerSize]byte
 	if _, err := io.ReadFull(c.in, head[:]); err != nil {
-		return Frame{}, errors.Wrap(err, "framing: read")
+		return Frame{}, errors.Wrap(err, "framing: read header")
 	}
 	size := int(binary.BigEndian.Uint32(head[:4]))
 	if size > c.limit {
--- a/internal/framing/framing_test.go
+++ b/internal/framing/framing_test.go
@@ -9,7 +9,7 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-func TestFramesKeepTheirBounds(t *testing.T) {
+func TestFrameBoundaries(t *testing.T) {
 	is := is.New(t)
 	a, b := net.Pipe()
 	defer a.Close()
@@ -31,15 +31,15 @@
 		is.NoErr(err)
 		is.Equal(got, want)
 		var whole msgp.Raw
-		is.NoErr(f.Decode(&whole)) // a good body is no error
-		is.NoErr(<-written)        // nor is a good write
+		is.NoErr(f.Decode(&whole)) // a complete body decodes without an error
+		is.NoErr(<-written)        // a complete write returns no error
 	}
 
 	_, err := left.Write(9, msgp.Raw(make([]byte, 65)))
-	is.True(errors.Is(err, ErrTooLarge)) // nothing of an over-large frame is sent
+	is.True(errors.Is(err, ErrTooLarge)) // no part of an oversized frame is sent
 }
 
-func TestForgedLengthIsRefusedBeforeAllocation(t *testing.T) {
+func TestOversizedLengthIsRejectedBeforeAllocation(t *testing.T) {
 	is := is.New(t)
 	a, b := net.Pipe()
 	defer a.Close()
