--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses a goroutine for a time or until its context ends.
+// Package wait has helpers for goroutines that run until their context is done.
 package wait
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// For waits for d and returns true, or returns false as soon as ctx is done. A d
-// of 0 or less doesn't wait.
+// For waits for d and returns true, or returns false as soon as ctx is done. It doesn't
+// wait if d is 0 or less.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -23,8 +23,8 @@
 	}
 }
 
-// Start runs each loop on a goroutine of its own with ctx; the group is done once
-// all have returned.
+// Start runs each loop with ctx on its own goroutine. The returned group is done once all
+// loops have returned.
 func Start(ctx context.Context, loops ...func(context.Context)) *sync.WaitGroup {
 	var running sync.WaitGroup
 	for _, loop := range loops {
