--- a/internal/passthrough/flowtable/admission.go
+++ b/internal/passthrough/flowtable/admission.go
@@ -8,97 +8,98 @@
 	"bergamotstall/internal/passthrough/route"
 )
 
-// Admission of requests at a target that has no room.
+// Admission control for a target that has no room.
 //
-// The load it answers: after an outage, in a burst, or while targets are slow, more
-// is asked for than the targets can run. A target queues some requests in order of
-// arrival and turns the others away. Both hurt: whoever is turned away has spent one
-// of its few tries, and the queue makes every later request wait as long as the
-// oldest, so that all are late, although the target could serve most of what arrives
-// now in time. Requests over flows that are open already come past the placing of
-// new flows; they are most of the load, and fill the target's queue by themselves.
+// After an outage, in a burst, or while targets are slow, callers ask for more than the
+// targets can run. A target queues some requests in order of arrival and rejects the
+// others. Both hurt: a rejected caller has spent one of its few attempts, and behind the
+// queue every request waits as long as the oldest one, so that all are late, although the
+// target could serve most of what arrives now in time. Requests over open flows don't
+// pass the balancers' placement of new flows; they are most of the load and fill the
+// target's queue alone.
 //
-// So what the target has no slot for waits here: first packets of new flows, and
-// requests over open ones. The most urgent route's newest goes first. A caller whose
-// first packet waited for MaxWait is told at once, and truly, that nothing ran. A
-// request over an open flow is never refused: a reset there tells its caller nothing,
-// and a submission would be lost for good.
-
-// Policy holds the thresholds of admission, and switches that take mechanisms away,
-// to see what they are worth.
+// Therefore the agent holds what the target has no slot for: first packets of new flows,
+// and requests over open ones. The newest entry of the most urgent route goes first. A
+// caller whose first packet was held for MaxWait is told at once that nothing ran, which
+// is true. A request over an open flow is never refused: a reset wouldn't tell its caller
+// whether the request ran, and a submission would be lost for good.
+
+// Policy holds the thresholds of admission, and switches that turn single mechanisms off
+// to compare the results without them.
 type Policy struct {
-	// MaxWait is how long a first packet may wait. Callers give an attempt up
-	// after 1.4 s, and some of that may have been spent before.
+	// MaxWait is how long a first packet may be held. Callers give an attempt up after
+	// 1.4 s, part of which may have passed before the packet arrived.
 	MaxWait time.Duration
-	// ExpectFor is how long an admitted flow's first request is expected while nothing
-	// was observed. ExpectTimes, if above 0, is for how many times the mean handshake it
-	// is expected otherwise: callers that have given up send nothing, and each keeps a
-	// slot free meanwhile.
+	// ExpectFor is how long an admitted flow's first request is expected as long as no
+	// handshake was observed. After that, if ExpectTimes is above 0, it is expected for
+	// ExpectTimes times the mean handshake time. Callers that have given up send nothing,
+	// and each keeps a slot free until then.
 	ExpectFor   time.Duration
 	ExpectTimes float64
-	// Ahead, if above 0, is how many requests more than it has slots a target is
-	// given, as a part of the slots, in place of what is observed.
+	// Ahead, if above 0, is how many requests beyond its slots a target is given, as a
+	// fraction of the slots. It replaces the number that follows from observed latencies.
 	Ahead float64
-	// Unlimited lets all through to the target; Bypass lets the requests of open
-	// flows through; OldestFirst admits in the order of arrival; Unranked ignores
-	// which routes are urgent.
+	// Unlimited passes everything to the target; Bypass passes the requests of open
+	// flows; OldestFirst admits in order of arrival; Unranked ignores the routes'
+	// priorities.
 	Unlimited, Bypass, OldestFirst, Unranked bool
 }
 
-// DefaultPolicy is the policy in use.
+// DefaultPolicy returns the policy used in production.
 func DefaultPolicy() Policy {
 	return Policy{MaxWait: 800 * time.Millisecond, ExpectFor: 60 * time.Millisecond, ExpectTimes: 3}
 }
 
-// admission holds what waits and what is expected.
+// admission is the state of admission control: what is held and what is expected.
 type admission struct {
-	queue    []queued
-	expected []expected
-	// held counts the packets of open flows that wait.
+	queue    []queueEntry
+	expected []expectedRequest
+	// held is the number of held packets of open flows.
 	held int
 }
 
-// leastExpected is how long a first request is expected at least: processors that are
-// shared take turns.
-const leastExpected = 5 * time.Millisecond
+// minExpectTime is the least time for which a first request is expected: on shared
+// processors a caller may have to wait for its turn to run.
+const minExpectTime = 5 * time.Millisecond
 
-// expected is an admitted flow whose first request hasn't come.
-type expected struct {
-	flow packet.Flow
-	at   time.Duration
+// expectedRequest is an admitted flow whose first request hasn't arrived.
+type expectedRequest struct {
+	flow  packet.Flow
+	since time.Duration
 }
 
-// SetTable tells the engine which routes are urgent.
+// SetTable sets the route table, which has the routes' priorities, timeouts and regions.
 func (e *Engine) SetTable(t *route.Table) { e.table = t }
 
-// room is how many requests a target is given at once: as many as it has slots, and
-// as many as end there during a new flow's handshake, so that no slot is idle
+// capacity is how many requests a target is given at once: as many as it has slots, plus
+// as many as finish during the handshake of a new flow, so that no slot is idle
 // meanwhile. More would wait in the target's own queue, in order of arrival.
-func (e *Engine) room() int {
+func (e *Engine) capacity() int {
 	slots := int(max(e.target.slots, 1))
 	if e.cfg.Policy.Ahead > 0 {
 		return slots + max(1, int(e.cfg.Policy.Ahead*float64(slots)))
 	}
-	return slots + max(1, e.pace.endDuringHandshake(slots))
+	return slots + max(1, e.latencies.completionsPerHandshake(slots))
 }
 
-// busy tells whether another request would only wait at the target. A target that hangs
-// on some requests runs others well in the slots that it has given up; counted as
-// running until their timeout, the ones that hang would have all others wait.
+// busy reports whether one more request would only wait at the target. Hung requests
+// don't count: a target that hangs on some requests still runs others in the slots that
+// it has given up, and if hung ones counted until their timeout, all others would have to
+// wait.
 func (e *Engine) busy(now time.Duration) bool {
-	e.dropOverdueExpected(now)
+	e.expireExpected(now)
 	running := max(0, e.load.running-e.load.hung)
-	return !e.cfg.Policy.Unlimited && running+len(e.admission.expected) >= e.room()
+	return !e.cfg.Policy.Unlimited && running+len(e.admission.expected) >= e.capacity()
 }
 
-// countHung looks for requests that take many times what others take.
+// countHung counts the requests that take many times the mean.
 func (e *Engine) countHung(now time.Duration) {
-	if now < e.load.hungAt {
+	if now < e.load.nextHungScan {
 		return
 	}
-	e.load.hungAt = now + hungScan
+	e.load.nextHungScan = now + hungScanInterval
 	e.load.hung = 0
-	after := e.pace.hungAfter()
+	after := e.latencies.hungAfter()
 	for _, x := range e.flows {
 		if x.running && now-x.runningAt > after {
 			e.load.hung++
@@ -106,51 +107,52 @@
 	}
 }
 
-// tickAdmission refuses what has waited too long, or waits for a target that
-// takes no more, and stops expecting requests that don't come.
+// tickAdmission refuses first packets that were held for too long or can't be admitted
+// any more, stops expecting requests that don't arrive, and admits what there is room
+// for.
 func (e *Engine) tickAdmission(now time.Duration) {
-	e.dropOverdue(now)
+	e.removeExpired(now)
 	e.countHung(now)
-	e.dropOverdueExpected(now)
+	e.expireExpected(now)
 	e.admitQueued(now)
 }
 
-// expectFor is how long an admitted flow's first request is expected.
-func (e *Engine) expectFor() time.Duration {
-	times, handshake := e.cfg.Policy.ExpectTimes, e.pace.handshake
+// expectTimeout is how long an admitted flow's first request is expected.
+func (e *Engine) expectTimeout() time.Duration {
+	times, handshake := e.cfg.Policy.ExpectTimes, e.latencies.handshake
 	if times <= 0 || handshake == 0 {
 		return e.cfg.Policy.ExpectFor
 	}
-	return max(leastExpected, time.Duration(times*float64(handshake)))
+	return max(minExpectTime, time.Duration(times*float64(handshake)))
 }
 
-// dropOverdueExpected stops expecting requests that don't come.
-func (e *Engine) dropOverdueExpected(now time.Duration) {
-	after := e.expectFor()
-	e.admission.expected = slices.DeleteFunc(e.admission.expected, func(x expected) bool { return now-x.at >= after })
+// expireExpected stops expecting requests that haven't arrived in time.
+func (e *Engine) expireExpected(now time.Duration) {
+	after := e.expectTimeout()
+	e.admission.expected = slices.DeleteFunc(e.admission.expected, func(x expectedRequest) bool { return now-x.since >= after })
 }
 
-// NextTick returns when the engine is to be let know of the time again: after the usual
-// interval, or sooner while something waits for a request that may not come.
+// NextTick returns the time until the next call of Tick: the usual interval, or less
+// while something is held for an expected request that may not arrive.
 func (e *Engine) NextTick(usual time.Duration) time.Duration {
 	if len(e.admission.queue) == 0 || len(e.admission.expected) == 0 {
 		return usual
 	}
-	return min(usual, e.expectFor())
+	return min(usual, e.expectTimeout())
 }
 
-// expect notes that an admitted flow's request is about to come.
+// expect records that an admitted flow's request is about to arrive.
 func (e *Engine) expect(now time.Duration, f packet.Flow) {
-	e.admission.expected = append(e.admission.expected, expected{f, now})
+	e.admission.expected = append(e.admission.expected, expectedRequest{f, now})
 }
 
-// came notes that a flow's request has come, or won't. It returns since when it was
-// expected; false if it wasn't.
-func (e *Engine) came(f packet.Flow) (time.Duration, bool) {
+// stopExpecting records that a flow's request has arrived, or won't. It returns since
+// when the request was expected, and false if it wasn't.
+func (e *Engine) stopExpecting(f packet.Flow) (time.Duration, bool) {
 	for i, x := range e.admission.expected {
 		if x.flow == f {
 			e.admission.expected = append(e.admission.expected[:i], e.admission.expected[i+1:]...)
-			return x.at, true
+			return x.since, true
 		}
 	}
 	return 0, false
--- a/internal/passthrough/flowtable/ask.go
+++ b/internal/passthrough/flowtable/ask.go
@@ -7,9 +7,9 @@
 	"bergamotstall/internal/passthrough/peer"
 )
 
-// Ask answers a balancer's question who holds a flow. While a target may be
-// there that hasn't announced itself to this process, there is no answer:
-// whatever the others say, the flow may be open here.
+// Ask answers a balancer's question whether this agent's target holds a flow. As long as
+// there may be a target that hasn't announced itself to this process, it sends no answer:
+// the flow may be open here, whatever other agents answer.
 func (e *Engine) Ask(now time.Duration, from netip.AddrPort, q peer.Question) {
 	if !e.target.known && !e.empty(now) {
 		return
@@ -23,12 +23,12 @@
 	}
 	x, known := e.flows[q.Flow]
 	switch {
-	case known && x.stage == opening:
-		if x.completedBy(q.Ack) {
+	case known && x.stage == halfOpen:
+		if x.completesHandshake(q.Ack) {
 			return peer.Holds
 		}
 		return peer.Lacks
-	case known && x.stage == lacking:
+	case known && x.stage == notHeld:
 		return peer.Lacks
 	case known:
 		return peer.Holds
@@ -38,10 +38,10 @@
 	return peer.Lacks
 }
 
-// unsure tells whether the target may hold flows that this agent hasn't seen.
+// unsure reports whether the target may hold flows that this agent hasn't seen.
 func (e *Engine) unsure(now time.Duration) bool {
 	if !e.target.known {
 		return !e.empty(now)
 	}
-	return e.target.older && now-e.target.metAt < learning
+	return e.target.predatesAgent && now-e.target.firstHeardAt < learningPeriod
 }
--- a/internal/passthrough/flowtable/cost_test.go
+++ b/internal/passthrough/flowtable/bench_test.go
@@ -9,7 +9,7 @@
 	"bergamotstall/internal/passthrough/packet"
 )
 
-// BenchmarkFlowMemory measures what an open flow takes at its agent.
+// BenchmarkFlowMemory measures the memory for an open flow at its agent.
 func BenchmarkFlowMemory(b *testing.B) {
 	for _, n := range []int{1_000, 5_000, 15_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -17,7 +17,7 @@
 				before := heap()
 				e := New(Config{Policy: policy, Codec: codec{}})
 				for i := range n {
-					e.put(flowOf(uint16(i)), flow{stage: open, seenAt: time.Hour})
+					e.storeFlow(flowOf(uint16(i)), flow{stage: open, seenAt: time.Hour})
 				}
 				b.ReportMetric(float64(heap()-before)/float64(n), "B/flow")
 				runtime.KeepAlive(e)
@@ -26,8 +26,8 @@
 	}
 }
 
-// BenchmarkKnownFlow measures an agent's decision on a client's packet and on
-// the target's answer.
+// BenchmarkKnownFlow measures an agent's decisions on a client's packet and on the
+// target's answer.
 func BenchmarkKnownFlow(b *testing.B) {
 	r := newRig(&testing.T{})
 	r.open(9, 1000)
--- a/internal/passthrough/flowtable/cold.go
+++ b/internal/passthrough/flowtable/cold.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// A target that has just started bears few requests a second. Many balancers send to it
-// at once, and each knows its own flows only; the agent sees all of them, and counts.
+// A target that has just started can take few new flows a second. Many balancers send to
+// it at once, and each knows only its own flows; the agent sees all of them and enforces
+// the limit.
 
-// coldWindow is the span in which new flows are counted. It is a little more than the
-// second that limits are stated for, so that packets which take unequally long to arrive
-// don't crowd a second.
+// coldWindow is the interval in which new flows are counted. It is a little longer than
+// the second that limits refer to, because packets take unequal times to reach the
+// target, which could put more of them into one second.
 const coldWindow = time.Second + 50*time.Millisecond
 
-// coldLimit is when the latest new flows were sent to the target.
-type coldLimit struct{ at []time.Duration }
+// flowCounter holds the times of the latest new flows sent to the target.
+type flowCounter struct{ at []time.Duration }
 
-// admitted notes a new flow. What is older than a window is forgotten.
-func (c *coldLimit) admitted(now time.Duration) {
+// add counts a new flow and forgets those older than the window.
+func (c *flowCounter) add(now time.Duration) {
 	kept := c.at[:0]
 	for _, at := range c.at {
 		if now-at < coldWindow {
@@ -24,8 +25,8 @@
 	c.at = append(kept, now)
 }
 
-// within counts the new flows of the window that ends now.
-func (c *coldLimit) within(now time.Duration) int {
+// count returns the number of new flows in the window that ends now.
+func (c *flowCounter) count(now time.Duration) int {
 	n := 0
 	for _, at := range c.at {
 		if now-at < coldWindow {
@@ -35,16 +36,16 @@
 	return n
 }
 
-// coldFull tells whether the target is cold and has had as many new flows as it bears. An
-// agent that has just started beside a target that was there before doesn't know how many
-// it had.
+// coldFull reports whether the target is cold and has had as many new flows as it can
+// take. An agent that has just started next to an older target doesn't know how many it
+// had, and takes the limit for reached during the first window.
 func (e *Engine) coldFull(now time.Duration) bool {
 	perSecond := e.table.ColdPerSecond(e.target.service)
-	if perSecond <= 0 || now >= e.target.coldTill {
+	if perSecond <= 0 || now >= e.target.coldUntil {
 		return false
 	}
-	if e.target.older && now-e.startedAt < coldWindow {
+	if e.target.predatesAgent && now-e.startedAt < coldWindow {
 		return true
 	}
-	return e.cold.within(now) >= int(perSecond*max(1, e.cfg.ColdOverage)+e.cfg.ColdSlack)
+	return e.coldFlows.count(now) >= int(perSecond*max(1, e.cfg.ColdOverage)+e.cfg.ColdSlack)
 }
--- a/internal/passthrough/flowtable/cold_test.go
+++ b/internal/passthrough/flowtable/cold_test.go
@@ -12,34 +12,35 @@
 	"bergamotstall/internal/passthrough/route"
 )
 
-// coldRig is an engine whose service's cold targets bear two new flows a second, exceeded
-// by a factor of 1.5 and one flow at most; its target is cold for four seconds.
+// coldRig returns an engine whose target is cold for four seconds. The service's cold
+// targets can take two new flows a second, which may be exceeded by a factor of 1.5 and
+// one flow.
 func coldRig(t *testing.T) *rig {
 	r := newRig(t)
 	r.engine.cfg.ColdOverage, r.engine.cfg.ColdSlack = 1.5, 1
-	r.engine.SetTable(route.NewTable(&route.Definition{Version: 1, Services: []route.Service{{Name: desk, ColdPerSecond: 2}}}))
+	r.engine.SetTable(route.NewTable(&route.Definition{Version: 1, Services: []route.Service{{Name: serviceName, ColdPerSecond: 2}}}))
 	r.number = 1
-	r.beat(4 * time.Second)
+	r.announceCold(4 * time.Second)
 	return r
 }
 
-// beat has the target announce how long it stays cold.
-func (r *rig) beat(cold time.Duration) {
+// announceCold announces for how long the target is still cold.
+func (r *rig) announceCold(cold time.Duration) {
 	r.number++
 	r.engine.Announced(r.now, Announcement{
-		ID: "i-1", Service: desk, Address: address, Born: started.UnixMilli(), Number: r.number, Slots: 100, Cold: cold,
+		ID: "i-1", Service: serviceName, Address: address, Born: startTime.UnixMilli(), Number: r.number, Slots: 100, Cold: cold,
 	})
 }
 
-// flood has new flows come every millisecond for a while, from 14 balancers in turn, and
-// returns when each was sent to the target.
-func (r *rig) flood(first uint16, d time.Duration) []time.Duration {
+// openMany opens a new flow every millisecond for the time d, from 14 balancers in turn,
+// and returns when each was sent to the target.
+func (r *rig) openMany(first uint16, d time.Duration) []time.Duration {
 	var sent []time.Duration
 	for end := r.now + d; r.now < end; r.now += time.Millisecond {
 		before := len(r.toTarget)
 		from := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(1 + first%14)}), 7000)
 		p := packet.Packet{Src: flowOf(first).Client, Dst: service, Flags: packet.SYN}
-		r.engine.FromBalancer(r.now, from, peer.Head{Service: route.IDOf(desk)}, p, rawOf(first))
+		r.engine.FromBalancer(r.now, from, peer.Head{Service: route.IDOf(serviceName)}, p, rawOf(first))
 		first++
 		if len(r.toTarget) > before {
 			sent = append(sent, r.now)
@@ -50,13 +51,13 @@
 	return sent
 }
 
-// Guards against cold targets that get more new flows in any second than they bear, from
-// however many balancers.
+// Guards against cold targets that get more new flows in any second than they can take,
+// from any number of balancers.
 func TestColdTargetGetsFewNewFlows(t *testing.T) {
 	is := is.New(t)
 	r := coldRig(t)
-	sent := r.flood(1, 4*time.Second)
-	is.True(len(sent) >= 12) // about four a second: it isn't kept from its share
+	sent := r.openMany(1, 4*time.Second)
+	is.True(len(sent) >= 12) // about four a second: the limit is used up
 	for i, at := range sent {
 		n := 0
 		for _, other := range sent[i:] {
@@ -66,41 +67,42 @@
 		}
 		is.True(n <= 4)
 	}
-	is.Equal(r.refused[0].why, peer.Cold)
-	is.Equal(len(r.flood(5000, 100*time.Millisecond)), 100) // it isn't cold any more
+	is.Equal(r.refused[0].reason, peer.Cold)
+	is.Equal(len(r.openMany(5000, 100*time.Millisecond)), 100) // the target is warm
 }
 
-// Guards against a balancer that sends to a target which bears no more, while others do.
+// Guards against balancers that send to a cold target which can't take more, while others
+// can.
 func TestColdTargetThatIsFullReportsSo(t *testing.T) {
 	is := is.New(t)
 	r := coldRig(t)
 	is.True(r.report().Open)
-	r.flood(1, 10*time.Millisecond)
+	r.openMany(1, 10*time.Millisecond)
 	is.True(!r.report().Open)
 	r.now += coldWindow
 	is.True(r.report().Open)
 }
 
-// Guards against a flow that was let in already and whose copies are turned away.
-func TestCopiesPassAColdTargetsLimit(t *testing.T) {
+// Guards against refusing the retransmission of a first packet that was admitted already.
+func TestRetransmissionsPassAColdTargetsLimit(t *testing.T) {
 	is := is.New(t)
 	r := coldRig(t)
-	r.flood(1, 10*time.Millisecond)
+	r.openMany(1, 10*time.Millisecond)
 	before := len(r.toTarget)
 	r.syn(1)
 	is.Equal(len(r.toTarget), before+1)
 }
 
-// Guards against an agent that restarts beside a cold target and begins to count anew.
-func TestRestartedAgentTakesTheLimitForUsed(t *testing.T) {
+// Guards against an agent that restarts next to a cold target and counts from zero again.
+func TestRestartedAgentAssumesTheLimitIsReached(t *testing.T) {
 	is := is.New(t)
 	r := coldRig(t)
 	r.engine = New(Config{
-		Service: desk, Address: address, Process: 2, Heartbeat: time.Second, ColdSlack: 1,
-		StartedAt: r.now, StartedWall: started.Add(3 * time.Second), Policy: policy, Codec: codec{}, Out: r,
+		Service: serviceName, Address: address, Process: 2, Heartbeat: time.Second, ColdSlack: 1,
+		StartedAt: r.now, StartedWall: startTime.Add(3 * time.Second), Policy: policy, Codec: codec{}, Out: r,
 	})
-	r.engine.SetTable(route.NewTable(&route.Definition{Version: 1, Services: []route.Service{{Name: desk, ColdPerSecond: 2}}}))
-	r.beat(4 * time.Second)
+	r.engine.SetTable(route.NewTable(&route.Definition{Version: 1, Services: []route.Service{{Name: serviceName, ColdPerSecond: 2}}}))
+	r.announceCold(4 * time.Second)
 	r.syn(900)
 	is.Equal(r.refused, []refusal{{900, peer.Cold}})
 	r.now += coldWindow
@@ -108,37 +110,37 @@
 	is.Equal(len(r.refused), 1)
 }
 
-// Guards against a burst at targets that were restarted while their data centre was
-// evacuated, before they have announced that they are cold.
+// Guards against a burst at targets that restarted while their data centre was evacuated,
+// before they announce that they are cold.
 func TestTargetCountsAsColdAfterAnEvacuation(t *testing.T) {
 	is := is.New(t)
 	r := coldRig(t)
-	r.beat(0)
+	r.announceCold(0)
 	r.engine.SetEvacuated(r.now, true)
 	r.engine.SetEvacuated(r.now, false)
-	is.True(len(r.flood(1, 500*time.Millisecond)) <= 4)
-	r.beat(0) // it is warm
-	is.Equal(len(r.flood(5000, 50*time.Millisecond)), 50)
+	is.True(len(r.openMany(1, 500*time.Millisecond)) <= 4)
+	r.announceCold(0) // the target is warm
+	is.Equal(len(r.openMany(5000, 50*time.Millisecond)), 50)
 }
 
-// Guards against flows of a route at targets outside of its homes, sent by a balancer whose
-// table is older.
-func TestAgentRefusesFlowsOfOtherHomes(t *testing.T) {
+// Guards against flows at targets outside of their route's regions, sent by a balancer
+// with an older table.
+func TestAgentRefusesFlowsOfOtherRegions(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
 	r.engine.cfg.Region = "lombardia"
-	homes := func(regions ...string) {
-		d := &route.Definition{Version: 1, Services: []route.Service{{Name: desk}}}
-		d.Routes = []route.Route{{IP: service.IP, Port: service.Port, TimeoutMS: 1000, Backends: []route.Backed{{Service: desk, Weight: 1}}, Homes: regions}}
+	setRegions := func(regions ...string) {
+		d := &route.Definition{Version: 1, Services: []route.Service{{Name: serviceName}}}
+		d.Routes = []route.Route{{IP: service.IP, Port: service.Port, TimeoutMS: 1000, Backends: []route.Backed{{Service: serviceName, Weight: 1}}, Homes: regions}}
 		r.engine.SetTable(route.NewTable(d))
 	}
-	homes("ashanti")
+	setRegions("ashanti")
 	r.syn(1)
 	is.Equal(r.refused, []refusal{{1, peer.NotHome}})
-	homes("ashanti", "lombardia")
+	setRegions("ashanti", "lombardia")
 	r.syn(2)
 	is.Equal(r.toTarget, []uint16{2})
-	homes()
+	setRegions()
 	r.syn(3)
 	is.Equal(r.toTarget, []uint16{2, 3})
 }
--- a/internal/passthrough/flowtable/decision.go
+++ b/internal/passthrough/flowtable/decision.go
@@ -8,57 +8,59 @@
 	"bergamotstall/internal/passthrough/peer"
 )
 
-// Output takes what the engine decides. Slices are valid during the call.
+// Output carries out what the engine decides. Slices are valid during the call only.
 type Output interface {
 	// ToTarget sends a client's packet to the target.
 	ToTarget(raw []byte)
 	// ToClient sends a target's packet to its client.
 	ToClient(client packet.Endpoint, raw []byte)
-	// Refuse hands a packet back to a balancer; age is how long ago its client
-	// sent it, as far as is known.
-	Refuse(to netip.AddrPort, why peer.Reason, age time.Duration, raw []byte)
-	// Answer tells a balancer who holds a flow.
+	// Refuse returns a packet to a balancer; age is the time since its client sent it, as
+	// far as known.
+	Refuse(to netip.AddrPort, reason peer.Reason, age time.Duration, raw []byte)
+	// Answer tells a balancer whether this agent's target holds a flow.
 	Answer(to netip.AddrPort, r peer.Ruling)
 	// Reset tells a client that its flow is over.
 	Reset(f packet.Flow, seq uint32)
-	// Report says that balancers should hear of a change at once.
+	// Report asks for a report to balancers at once, because something has changed.
 	Report()
-	// Note tells of a decision, for the log.
+	// Note logs and counts a decision.
 	Note(d Decision)
-	// Answered tells how long the target took from a request to the begin of its
-	// answer, Admitted how long a first packet waited for room.
+	// Answered receives the time from a request to the start of its answer, Admitted the
+	// time that a held first packet or request had waited when it was admitted.
 	Answered(took time.Duration)
 	Admitted(waited time.Duration)
 }
 
-// Verdict is the outcome of a decision.
+// Verdict is the kind of a decision.
 type Verdict uint8
 
 const (
-	// RefusedFirst: a first packet was handed back.
+	// RefusedFirst: a first packet was returned to the balancer.
 	RefusedFirst Verdict = iota + 1
-	// RefusedLater: another packet was handed back, since the flow isn't here.
+	// RefusedLater: another packet was returned, because the target doesn't hold the
+	// flow.
 	RefusedLater
-	// TargetArrived, TargetDrains and TargetLeft follow announcements.
+	// TargetArrived, TargetDrains and TargetLeft follow from announcements.
 	TargetArrived
 	TargetDrains
 	TargetLeft
-	// TargetSilent: the target doesn't answer; it gets no new flows.
+	// TargetSilent: the target doesn't answer and gets no new flows.
 	TargetSilent
-	// TargetAnswers: it does again.
+	// TargetAnswers: the target answers again.
 	TargetAnswers
-	// TargetDead: its flows are reset.
+	// TargetDead: the target's process is gone, and its flows are reset.
 	TargetDead
-	// StaleAnnouncement: an announcement of an incarnation that is over.
+	// StaleAnnouncement: an earlier incarnation's announcement was ignored.
 	StaleAnnouncement
-	// FlowsReset: flows of a target that is gone were reset.
+	// FlowsReset: the flows of a target that is gone were reset.
 	FlowsReset
-	// FlowsRecalled: flows of a living target are known again after the agent's
-	// restart.
+	// FlowsRecalled: after the agent's restart, flows of a live target were restored from
+	// control's record.
 	FlowsRecalled
-	// TargetUnsteady: the target has broken off too many requests; others go first.
+	// TargetUnsteady: the target broke off too many requests; balancers prefer others.
 	TargetUnsteady
-	// RequestDropped: a request over an open flow waited for longer than its caller.
+	// RequestDropped: a request over an open flow was held for longer than its caller
+	// waits.
 	RequestDropped
 )
 
@@ -73,18 +75,18 @@
 	return "unknown"
 }
 
-// Decision is one decision with the inputs that decided it.
+// Decision is one decision with the inputs that led to it.
 type Decision struct {
 	Verdict Verdict
 	// Flow is set for decisions on one flow.
 	Flow   packet.Flow
 	Reason peer.Reason
-	// Target and Born tell the incarnation.
+	// Target and Born identify the incarnation.
 	Target string
 	Born   int64
-	// Age is how old the deciding input was: the target's last sign of life.
+	// Age is the time since the target last sent anything.
 	Age time.Duration
-	// Flows counts the flows concerned.
+	// Flows is the number of flows concerned.
 	Flows int
 	// Answered and Broken count the requests that made the target unsteady.
 	Answered, Broken int
--- a/internal/passthrough/flowtable/evacuation.go
+++ b/internal/passthrough/flowtable/evacuation.go
@@ -7,25 +7,27 @@
 	"bergamotstall/internal/passthrough/packet"
 )
 
-// SetEvacuated tells whether the data centre's targets take no new flows.
+// SetEvacuated sets whether the data centre is evacuated, so that its targets take no new
+// flows.
 //
-// The agent refuses them itself, since a balancer that hasn't heard of the order goes on
-// sending. First packets that wait are handed back as well; flows that are open go on.
+// The agent refuses new flows itself, because a balancer that hasn't received the order
+// goes on sending them. Held first packets are returned as well; open flows continue.
 func (e *Engine) SetEvacuated(now time.Duration, evacuated bool) {
 	if e.evacuated == evacuated {
 		return
 	}
 	e.evacuated = evacuated
 	if !evacuated {
-		// The target may have been restarted meanwhile; its next announcement says.
-		e.target.coldTill = max(e.target.coldTill, now+e.overdue())
+		// The target may have restarted meanwhile: it counts as cold until its next
+		// announcement.
+		e.target.coldUntil = max(e.target.coldUntil, now+e.announcementTimeout())
 	}
-	e.dropOverdue(now)
+	e.removeExpired(now)
 	e.cfg.Out.Report()
 }
 
-// atHome tells whether a flow's route may use targets of this region.
-func (e *Engine) atHome(f packet.Flow) bool {
+// regionAllowed reports whether a flow's route may use targets of this region.
+func (e *Engine) regionAllowed(f packet.Flow) bool {
 	homes := e.table.Homes(f.Service)
 	return homes == nil || slices.Contains(homes, e.cfg.Region)
 }
--- a/internal/passthrough/flowtable/evacuation_test.go
+++ b/internal/passthrough/flowtable/evacuation_test.go
@@ -8,7 +8,7 @@
 	"bergamotstall/internal/passthrough/peer"
 )
 
-// Guards against flows that a balancer which hasn't heard of an evacuation still sends.
+// Guards against new flows from a balancer that hasn't received the evacuation order.
 func TestAgentRefusesNewFlowsWhileEvacuated(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
@@ -20,7 +20,7 @@
 	r.syn(2)
 	is.Equal(r.refused, []refusal{{2, peer.Evacuated}})
 	sent := len(r.toTarget)
-	r.ask(1, 1) // an open flow goes on
+	r.sendRequest(1, 1) // open flows continue
 	is.Equal(len(r.toTarget), sent+1)
 	r.engine.SetEvacuated(r.now, false)
 	is.True(r.report().Open)
@@ -28,21 +28,20 @@
 	is.Equal(r.toTarget[len(r.toTarget)-1], uint16(3))
 }
 
-// Guards against a first packet that waited for a slot when the evacuation came, and is
-// let in after it.
-func TestWaitingFirstPacketsAreHandedBackAtAnEvacuation(t *testing.T) {
+// Guards against admitting a first packet that was held when the evacuation began.
+func TestEvacuationReturnsHeldFirstPackets(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
-	for port := uint16(1); port <= 5; port++ { // four slots, and what ends during a handshake
+	for port := uint16(1); port <= 5; port++ { // four slots, and one for requests that finish during a handshake
 		r.open(port, 1000)
-		r.ask(port, 1)
+		r.sendRequest(port, 1)
 	}
 	r.syn(9)
 	is.Equal(len(r.refused), 0)
 	r.engine.SetEvacuated(r.now, true)
 	is.Equal(r.refused, []refusal{{9, peer.Evacuated}})
 	for port := uint16(1); port <= 5; port++ {
-		r.answered(port, 1)
+		r.sendAnswer(port, 1)
 	}
 	is.True(r.toTarget[len(r.toTarget)-1] != 9)
 }
--- a/internal/passthrough/flowtable/flowtable.go
+++ b/internal/passthrough/flowtable/flowtable.go
@@ -1,12 +1,13 @@
-// Package flowtable is an agent's part of pass-through flows: which packets its
-// target gets, which are handed back to the balancer and why, when flows of a
-// target that is gone are reset, and what balancers are told. It has no network
-// and no clock.
+// Package flowtable implements the agent's side of pass-through flows. It decides which
+// packets go to the target, which are returned to the balancer and why, when flows of a
+// target that is gone are reset, and what is reported to balancers. It does no network
+// I/O and reads no clock: the time is an argument of each call.
 //
-// The agent is the authority on its target, since all of the target's packets
-// and announcements pass it. Balancers work from reports that lag; what they
-// get wrong is handed back here. A drain, for one, holds from the moment the
-// target's announcement is taken, whatever tables the balancers have.
+// The agent is the authority on its target, because all of the target's packets and
+// announcements pass through it. Balancers work from reports that lag, so the agent
+// returns the packets that they sent to the wrong place. A drain, for example, takes
+// effect as soon as the agent receives the target's announcement, whatever tables the
+// balancers have.
 package flowtable
 
 import (
@@ -20,127 +21,127 @@
 )
 
 const (
-	// firstPatience is how long a target may take to answer a first packet
-	// before another target is tried. Handshakes take a third of a millisecond,
-	// and a slow target's still under ten; the caller's own copy comes after
-	// 200 ms.
-	firstPatience = 80 * time.Millisecond
-	// crashPatience is how long a target that owes an answer may send nothing at
-	// all, its announcements included, before its flows are reset. It is more
-	// than twice the announcements' interval, see Config.Heartbeat, and never
-	// less than this.
-	crashPatience = 1500 * time.Millisecond
-	// endedKept is how long an ended flow is remembered, so that late packets
-	// still reach the target, which answers them.
-	endedKept = 4 * time.Second
-	// halfOpenKept is how long a flow that the caller hasn't completed is
+	// firstPacketTimeout is how long a target may take to answer a first packet before
+	// the packet is returned, to be sent to another target. A handshake takes a third of
+	// a millisecond, with a slow target still less than 10 ms; the caller retransmits
+	// after 200 ms.
+	firstPacketTimeout = 80 * time.Millisecond
+	// minCrashTimeout is the least time without any packet or announcement after which a
+	// target that owes an answer counts as crashed and its flows are reset. Where
+	// announcements are rare, the timeout is more than twice their interval, see
+	// announcementTimeout.
+	minCrashTimeout = 1500 * time.Millisecond
+	// endedFlowTTL is how long an ended flow is remembered, so that late packets still
+	// reach the target, which answers them.
+	endedFlowTTL = 4 * time.Second
+	// halfOpenFlowTTL is how long a flow whose handshake the caller hasn't completed is
 	// remembered. Callers give up after 1.4 s.
-	halfOpenKept = 3 * time.Second
-	// openKept is how long an open flow without a packet is remembered. The
-	// platform lets flows be forgotten when they are older than a minute.
-	openKept = 75 * time.Second
-	// learning is how long an agent that started after its target can't be sure
-	// which flows that one holds: the longest life of a flow, and some seconds.
-	learning = 75 * time.Second
-	// lacksKept is how long it is remembered that the target handed a packet of
-	// a flow back.
-	lacksKept = 2 * time.Second
-	// maxFlows bounds the table; a target holds some thousand.
+	halfOpenFlowTTL = 3 * time.Second
+	// openFlowTTL is how long an open flow without packets is remembered. The platform
+	// allows flows older than one minute to be forgotten.
+	openFlowTTL = 75 * time.Second
+	// learningPeriod is how long an agent that started after its target can't be sure
+	// which flows the target holds: the longest lifetime of a flow plus a margin of some
+	// seconds.
+	learningPeriod = 75 * time.Second
+	// notHeldTTL is how long the agent remembers that the target returned a packet of a
+	// flow.
+	notHeldTTL = 2 * time.Second
+	// maxFlows bounds the table; a target holds a few thousand flows.
 	maxFlows = 20_000
-	// maxWaiting bounds the copies kept of first packets without an answer.
-	maxWaiting = 512
-	// ackWindow is how far a caller's first acknowledgement may be from the
-	// start of the target's sequence numbers. Sequence numbers start at random,
-	// so another target's falls into it once in 40,000 times.
+	// maxUnanswered bounds the copies of unanswered first packets that are kept.
+	maxUnanswered = 512
+	// ackWindow is how far a caller's first acknowledgement may be from the target's
+	// initial sequence number. Initial sequence numbers are random, so the handshake of
+	// another target passes this check once in 40,000 times.
 	ackWindow = 100_000
 )
 
-// Config sets an engine up.
+// Config configures an Engine.
 type Config struct {
-	// Service is the one that the VM's targets belong to; "" takes any.
+	// Service is the service that the VM's targets belong to; "" accepts any.
 	Service string
-	// Address is where the target takes packets; announcements of another
-	// address are another target's. "" takes any.
+	// Address is where the target receives packets; an announcement with another address
+	// is another target's. "" accepts any.
 	Address string
 	Zone    string
-	// Region is the data centre's.
+	// Region is the region of the data centre.
 	Region string
-	// ColdOverage and ColdSlack say by how much a cold target's limit may be exceeded: a
-	// factor, and new flows a second.
+	// ColdOverage and ColdSlack say by how much a cold target's limit of new flows may be
+	// exceeded: a factor, and a number of flows a second.
 	ColdOverage, ColdSlack float64
-	// Process is random for each start of the agent.
+	// Process is a random number that identifies this run of the agent.
 	Process uint64
-	// Heartbeat is the interval of the target's announcements; 0 if unknown.
+	// Heartbeat is the interval between the target's announcements; 0 if unknown.
 	Heartbeat time.Duration
-	// StartedAt is when the agent started, on the clock that the engine is given.
+	// StartedAt is when the agent started, on the clock that is passed to the engine.
 	StartedAt time.Duration
-	// StartedWall is the same moment as time of day, which targets state their
-	// start in.
+	// StartedWall is the same moment as wall-clock time, in which targets announce their
+	// start.
 	StartedWall time.Time
 	Policy      Policy
 	Codec       packet.Codec
 	Out         Output
 }
 
-// stage is how far a flow has come.
+// stage is the state of a flow.
 type stage uint8
 
 const (
-	opening stage = iota + 1
+	halfOpen stage = iota + 1
 	open
 	ended
-	lacking
+	notHeld
 )
 
-// flow is what the agent knows of one flow.
+// flow is what the agent knows about one flow.
 type flow struct {
 	seenAt time.Duration
-	// targetSeq is where the target's sequence numbers start; 0 until it has
-	// answered.
+	// targetSeq is the target's initial sequence number; 0 until it has answered.
 	targetSeq uint32
-	// ack is the client's newest acknowledgement: a reset must be near it.
-	ack uint32
-	// sent is the end of the client's data so far, meaningful once hasSent.
-	sent    uint32
-	hasSent bool
-	stage   stage
-	// running says that a request waits for its answer, since runningAt; held that
-	// one waits here for room.
+	// clientAck is the client's newest acknowledgement: a reset must be near it.
+	clientAck uint32
+	// clientEnd is the end of the client's data so far; valid if hasClientData is set.
+	clientEnd     uint32
+	hasClientData bool
+	stage         stage
+	// running is set while a request waits for its answer, since runningAt; held is set
+	// while a request is held at the agent until the target has room.
 	running   bool
 	held      bool
 	runningAt time.Duration
-	// openedAt is when the handshake was completed, as far as was seen.
+	// openedAt is when the agent saw the handshake complete; 0 if it didn't.
 	openedAt time.Duration
-	// recorded says that control was told of the flow, with recordedAck.
+	// recorded is set once control has a record of the flow, with recordedAck.
 	recorded    bool
 	recordedAck uint32
-	// finClient and finTarget say which ends have closed.
+	// finClient and finTarget are set for the sides that have closed.
 	finClient, finTarget bool
-	// answered says that the target has answered the first packet.
+	// answered is set once the target has answered the first packet.
 	answered bool
 }
 
-// Engine is one agent's state. It isn't safe for concurrent use.
+// Engine is the state of one agent. It isn't safe for concurrent use.
 type Engine struct {
-	cfg     Config
-	target  target
-	flows   map[packet.Flow]flow
-	waiting map[packet.Flow]unanswered
-	load    load
-	sweepAt time.Duration
-	number  uint64
-	leaving bool
-	// evacuated says that the data centre's targets take no new flows.
+	cfg          Config
+	target       target
+	flows        map[packet.Flow]flow
+	unanswered   map[packet.Flow]unansweredFirst
+	load         load
+	sweepAt      time.Duration
+	reportNumber uint64
+	leaving      bool
+	// evacuated is set while the data centre's targets take no new flows.
 	evacuated bool
-	// cold counts the new flows of a cold target.
-	cold      coldLimit
-	tags      tags
+	// coldFlows counts the new flows of a cold target.
+	coldFlows flowCounter
+	tags      balancerTags
 	table     *route.Table
 	admission admission
-	pace      pace
+	latencies latencies
 	outcomes  outcomes
-	// recall is what control remembers of earlier flows, until it is acted on;
-	// ended are flows that it is to be told are over.
+	// recall is control's record of earlier flows until it is applied; ended are the
+	// recorded flows that control has yet to be told are over.
 	recall *flowlog.Update
 	ended  []packet.Flow
 	// startedAt is when the agent began to listen for announcements.
@@ -150,42 +151,43 @@
 // New returns an engine without a target.
 func New(cfg Config) *Engine {
 	return &Engine{
-		cfg: cfg, flows: map[packet.Flow]flow{}, waiting: map[packet.Flow]unanswered{},
-		tags: tags{byAddress: map[netip.AddrPort]uint16{}}, startedAt: cfg.StartedAt, load: load{meanAt: cfg.StartedAt},
+		cfg: cfg, flows: map[packet.Flow]flow{}, unanswered: map[packet.Flow]unansweredFirst{},
+		tags: balancerTags{byAddress: map[netip.AddrPort]uint16{}}, startedAt: cfg.StartedAt, load: load{meanUpdatedAt: cfg.StartedAt},
 	}
 }
 
-// Flows returns how many flows are open.
+// Flows returns the number of open flows.
 func (e *Engine) Flows() int { return e.load.flows }
 
-// FromBalancer takes a client's packet.
+// FromBalancer handles a client's packet that a balancer delivered.
 func (e *Engine) FromBalancer(now time.Duration, from netip.AddrPort, h peer.Head, p packet.Packet, raw []byte) {
 	f := p.FromClient()
-	if why := e.misdirected(now, h, p); why != 0 {
-		e.refuse(now, from, f, p, why, now-h.Waited(), raw)
+	if reason := e.misdirected(now, h, p); reason != 0 {
+		e.refuse(now, from, f, p, reason, now-h.Waited(), raw)
 		return
 	}
 	x, known := e.flows[f]
 	switch {
 	case p.Opens():
-		e.first(now, firstOf(p, now-h.Waited(), from, raw), x, known)
-	case known && x.stage != lacking:
-		e.later(now, from, f, x, p, raw)
+		e.handleFirst(now, newFirst(p, now-h.Waited(), from, raw), x, known)
+	case known && x.stage != notHeld:
+		e.handleLater(now, from, f, x, p, raw)
 	case e.unsure(now) && !known:
-		e.toTarget(from, raw) // it is handed back if the target lacks the flow
+		e.sendToTarget(from, raw) // the target returns it if it lacks the flow
 	default:
 		e.refuse(now, from, f, p, peer.NotHeld, now, raw)
 	}
 }
 
-// misdirected tells why a packet isn't for the target here. Addresses are used
-// again by other services, and balancers learn of it a moment later.
+// misdirected returns why a packet isn't for this agent's target, 0 if it is. Addresses
+// are reused by other services, and balancers learn of it with a delay.
 func (e *Engine) misdirected(now time.Duration, h peer.Head, p packet.Packet) peer.Reason {
 	switch {
 	case !e.target.known && !p.Opens() && !e.empty(now) && (h.Service == 0 || h.Service == route.IDOf(e.cfg.Service)):
-		// The agent may have restarted beside a target that lives. Balancers that
-		// have a report of the new process don't know its service yet, and send 0;
-		// refused, they would reset an open flow as one that nobody has.
+		// The agent may have restarted next to a live target. Balancers that have only a
+		// report of the new process don't know its service and send 0. If such a packet
+		// were refused, the balancer would take an open flow for one that no agent holds,
+		// and reset it.
 		return 0
 	case !e.target.known:
 		return peer.NoTarget
@@ -195,26 +197,27 @@
 	return 0
 }
 
-// refuse hands a packet back that its client sent at sentAt, as far as is known.
-func (e *Engine) refuse(now time.Duration, to netip.AddrPort, f packet.Flow, p packet.Packet, why peer.Reason, sentAt time.Duration, raw []byte) {
+// refuse returns a packet to a balancer. sentAt is when its client sent it, as far as
+// known.
+func (e *Engine) refuse(now time.Duration, to netip.AddrPort, f packet.Flow, p packet.Packet, reason peer.Reason, sentAt time.Duration, raw []byte) {
 	verdict := RefusedLater
 	if p.Opens() {
 		verdict = RefusedFirst
 	}
-	e.cfg.Out.Refuse(to, why, now-sentAt, raw)
-	e.note(now, Decision{Verdict: verdict, Flow: f, Reason: why})
+	e.cfg.Out.Refuse(to, reason, now-sentAt, raw)
+	e.noteDecision(now, Decision{Verdict: verdict, Flow: f, Reason: reason})
 }
 
-// first takes a first packet or a copy of one.
-func (e *Engine) first(now time.Duration, p arrival, x flow, known bool) {
+// handleFirst handles a first packet or a retransmission of one.
+func (e *Engine) handleFirst(now time.Duration, p arrival, x flow, known bool) {
 	switch {
-	case known && x.stage != lacking && x.stage != ended:
-		e.toTarget(p.from, p.raw)
+	case known && x.stage != notHeld && x.stage != ended:
+		e.sendToTarget(p.from, p.raw)
 	case e.target.draining || e.leaving:
 		e.refuseFirst(now, p, peer.Draining)
 	case e.evacuated:
 		e.refuseFirst(now, p, peer.Evacuated)
-	case !e.atHome(p.flow):
+	case !e.regionAllowed(p.flow):
 		e.refuseFirst(now, p, peer.NotHome)
 	case e.coldFull(now):
 		e.refuseFirst(now, p, peer.Cold)
@@ -223,7 +226,7 @@
 	case len(e.flows) >= maxFlows:
 		e.refuseFirst(now, p, peer.Full)
 	case e.busy(now) || len(e.admission.queue) > 0:
-		if !e.queueFirst(p) {
+		if !e.enqueueFirst(p) {
 			e.refuseFirst(now, p, peer.Full)
 		}
 		e.admitQueued(now)
@@ -234,45 +237,46 @@
 
 // admit sends a first packet to the target.
 func (e *Engine) admit(now time.Duration, p arrival) {
-	e.cold.admitted(now)
+	e.coldFlows.add(now)
 	e.expect(now, p.flow)
-	e.put(p.flow, flow{stage: opening, seenAt: now})
-	if len(e.waiting) < maxWaiting {
-		e.waiting[p.flow] = unanswered{arrival: p.kept(), since: now}
+	e.storeFlow(p.flow, flow{stage: halfOpen, seenAt: now})
+	if len(e.unanswered) < maxUnanswered {
+		e.unanswered[p.flow] = unansweredFirst{arrival: p.clone(), since: now}
 	}
-	e.toTarget(p.from, p.raw)
+	e.sendToTarget(p.from, p.raw)
 }
 
-// later takes a packet of a known flow. A caller that completes the handshake of
-// another target, which answered a copy of its first packet, is sent there.
-func (e *Engine) later(now time.Duration, from netip.AddrPort, f packet.Flow, x flow, p packet.Packet, raw []byte) {
-	if x.stage == opening && !x.completedBy(p.Ack) {
+// handleLater handles a packet of a known flow. If the caller completes the handshake of
+// another target, which answered a retransmission of the first packet, the packet is
+// returned, so that the balancer sends it there.
+func (e *Engine) handleLater(now time.Duration, from netip.AddrPort, f packet.Flow, x flow, p packet.Packet, raw []byte) {
+	if x.stage == halfOpen && !x.completesHandshake(p.Ack) {
 		e.refuse(now, from, f, p, peer.NotHeld, now, raw)
 		return
 	}
 	x.seenAt = now
 	if p.Flags.Has(packet.ACK) {
-		x.ack = p.Ack
+		x.clientAck = p.Ack
 	}
-	if x.stage == opening {
+	if x.stage == halfOpen {
 		x.stage = open
 		x.openedAt = now
 	}
-	begins := x.newData(p) && !x.running
-	if x.held && e.whileHeld(now, f, &x, p, raw) {
-		e.put(f, x)
+	begins := x.noteClientData(p) && !x.running
+	if x.held && e.handleWhileHeld(now, f, &x, p, raw) {
+		e.storeFlow(f, x)
 		return
 	}
 	if begins {
-		expectedSince, admitted := e.came(f)
-		if !admitted && !p.Closes() && e.mayHold(now) {
+		expectedSince, admitted := e.stopExpecting(f)
+		if !admitted && !p.Closes() && e.shouldHold(now) {
 			x.held = true
-			e.put(f, x)
-			e.queueRequest(now, f, from, p.Seq, raw)
+			e.storeFlow(f, x)
+			e.enqueueRequest(now, f, from, p.Seq, raw)
 			return
 		}
 		if admitted {
-			observe(&e.pace.handshake, now-expectedSince)
+			observe(&e.latencies.handshake, now-expectedSince)
 		}
 		x.running = true
 		x.runningAt = now
@@ -283,101 +287,103 @@
 	if p.Flags.Has(packet.RST) || x.finClient && x.finTarget {
 		x.stage = ended
 	}
-	e.put(f, x)
-	e.owe(now)
-	e.toTarget(from, raw)
+	e.storeFlow(f, x)
+	e.expectResponse(now)
+	e.sendToTarget(from, raw)
 }
 
-// whileHeld takes a packet of a flow whose request waits here. It tells whether the
-// packet is to go no further.
-func (e *Engine) whileHeld(now time.Duration, f packet.Flow, x *flow, p packet.Packet, raw []byte) bool {
+// handleWhileHeld handles a packet of a flow whose request is held. It reports whether
+// the packet has been dealt with and must not be sent to the target.
+func (e *Engine) handleWhileHeld(now time.Duration, f packet.Flow, x *flow, p packet.Packet, raw []byte) bool {
 	if p.Closes() {
-		e.whenLeaving(now, f, x, p)
+		e.handleCloseWhileHeld(now, f, x, p)
 		return false
 	}
 	if p.Data == 0 {
 		return false
 	}
-	e.queueMore(f, p.Seq, raw)
+	e.enqueueMore(f, p.Seq, raw)
 	return true
 }
 
-// whenLeaving ends the wait of a flow whose client closes it: after a reset nobody
-// wants the answer.
-func (e *Engine) whenLeaving(now time.Duration, f packet.Flow, x *flow, p packet.Packet) {
-	at := e.queuedAt(f)
+// handleCloseWhileHeld ends the hold of a flow that its client closes. After a FIN the
+// request is released to the target; after a RST it is discarded, because nobody waits
+// for the answer.
+func (e *Engine) handleCloseWhileHeld(now time.Duration, f packet.Flow, x *flow, p packet.Packet) {
+	at := e.queueIndex(f)
 	if at < 0 {
 		return
 	}
-	q := e.unqueue(at)
+	q := e.dequeue(at)
 	if p.Flags.Has(packet.FIN) {
-		e.letIn(now, q)
+		e.release(now, q)
 		x.running, x.runningAt = true, now
 	}
 	x.held = false
 }
 
-// completedBy tells whether an acknowledgement is of this target's handshake.
-func (x flow) completedBy(ack uint32) bool {
+// completesHandshake reports whether an acknowledgement belongs to this target's
+// handshake.
+func (x flow) completesHandshake(ack uint32) bool {
 	return x.answered && ack-x.targetSeq < ackWindow
 }
 
-// newData takes note of a client's data and tells whether it is new. A copy of a
-// request that was answered already must not count as one in progress: after an
-// agent's restart each caller sends several, and the target would look busy for
-// seconds. What the target has acknowledged counts as seen, since the agent may
-// see the answer before the first copy.
-func (x *flow) newData(p packet.Packet) bool {
+// noteClientData records a client's data and reports whether it is new. A retransmission
+// of an answered request must not count as one in progress: after an agent's restart each
+// caller sends several, and the target would look busy for seconds. Data that the target
+// has acknowledged counts as seen, because the agent may see the answer before the first
+// copy.
+func (x *flow) noteClientData(p packet.Packet) bool {
 	end := p.Seq + uint32(p.Data)
-	if p.Data == 0 || x.hasSent && int32(end-x.sent) <= 0 {
+	if p.Data == 0 || x.hasClientData && int32(end-x.clientEnd) <= 0 {
 		return false
 	}
-	x.sent = end
-	x.hasSent = true
+	x.clientEnd = end
+	x.hasClientData = true
 	return true
 }
 
-func (e *Engine) toTarget(from netip.AddrPort, raw []byte) {
-	e.cfg.Codec.Mark(raw, e.tags.of(from))
+func (e *Engine) sendToTarget(from netip.AddrPort, raw []byte) {
+	e.cfg.Codec.Mark(raw, e.tags.tagOf(from))
 	e.cfg.Out.ToTarget(raw)
 }
 
-// FromTarget takes a packet that the target sent.
+// FromTarget handles a packet that the target sent.
 func (e *Engine) FromTarget(now time.Duration, p packet.Packet, raw []byte) {
-	e.lives(now)
+	e.noteAlive(now)
 	if p.Flags.Has(packet.Bounced) {
-		e.bounced(now, p, raw)
+		e.handleBounced(now, p, raw)
 		return
 	}
 	f := p.FromTarget()
-	delete(e.waiting, f)
+	delete(e.unanswered, f)
 	x, known := e.flows[f]
-	if !known || x.stage == lacking {
+	if !known || x.stage == notHeld {
 		x = flow{stage: open, openedAt: now}
 	}
 	x.seenAt = now
 	x.answered = true
-	if p.Flags.Has(packet.ACK) && !p.Flags.Has(packet.SYN) && (!x.hasSent || int32(p.Ack-x.sent) > 0) {
-		x.sent = p.Ack
-		x.hasSent = true
+	if p.Flags.Has(packet.ACK) && !p.Flags.Has(packet.SYN) && (!x.hasClientData || int32(p.Ack-x.clientEnd) > 0) {
+		x.clientEnd = p.Ack
+		x.hasClientData = true
 	}
 	switch {
 	case p.Flags.Has(packet.SYN | packet.ACK):
 		x.targetSeq = p.Seq
 		if !known {
-			x.stage = opening
+			x.stage = halfOpen
 		}
 	case p.Flags.Has(packet.RST):
 		x.stage = ended
 		if x.running && !x.finTarget {
-			e.brokeOff(now, 1)
+			e.countBroken(now, 1)
 		}
 	}
 	if p.Data > 0 && x.running {
 		x.running = false
-		e.outcomes.note(now, 1, 0)
+		e.outcomes.add(now, 1, 0)
 		e.cfg.Out.Answered(now - x.runningAt)
-		observe(&e.pace.service, now-x.runningAt)
+		observe(&e.latencies.service, now-x.runningAt)
 	}
 	if p.Flags.Has(packet.FIN) {
 		x.finTarget = true
@@ -386,40 +392,40 @@
 	if x.finClient && x.finTarget {
 		x.stage = ended
 	}
-	e.put(f, x)
+	e.storeFlow(f, x)
 	e.cfg.Out.ToClient(f.Client, raw)
 	e.admitQueued(now)
 }
 
-// bounced takes a packet that the target handed back.
-func (e *Engine) bounced(now time.Duration, p packet.Packet, raw []byte) {
+// handleBounced handles a packet that the target returned.
+func (e *Engine) handleBounced(now time.Duration, p packet.Packet, raw []byte) {
 	f := p.FromClient()
-	why := peer.NotHeld
+	reason := peer.NotHeld
 	sentAt := now
 	if p.Opens() {
-		why = peer.Full
-		if w, ok := e.waiting[f]; ok {
+		reason = peer.Full
+		if w, ok := e.unanswered[f]; ok {
 			sentAt = w.sentAt
 		}
-		delete(e.waiting, f)
-		e.came(f)
-		e.remove(f)
+		delete(e.unanswered, f)
+		e.stopExpecting(f)
+		e.removeFlow(f)
 	} else {
-		e.put(f, flow{stage: lacking, seenAt: now})
+		e.storeFlow(f, flow{stage: notHeld, seenAt: now})
 	}
 	to, ok := e.tags.address(p.Tag)
 	if !ok {
-		return // from before this process; the caller sends it again
+		return // the packet precedes this process; the caller retransmits it
 	}
 	e.cfg.Codec.Mark(raw, 0)
-	e.refuse(now, to, f, p, why, sentAt, raw)
+	e.refuse(now, to, f, p, reason, sentAt, raw)
 }
 
-func (e *Engine) note(now time.Duration, d Decision) {
+func (e *Engine) noteDecision(now time.Duration, d Decision) {
 	d.Target = e.target.id
 	d.Born = e.target.born
-	if e.target.lifeAt > 0 {
-		d.Age = now - e.target.lifeAt
+	if e.target.lastSeenAt > 0 {
+		d.Age = now - e.target.lastSeenAt
 	}
 	e.cfg.Out.Note(d)
 }
--- a/internal/passthrough/flowtable/pace_test.go
+++ b/internal/passthrough/flowtable/latency_test.go
@@ -9,22 +9,22 @@
 	"bergamotstall/internal/passthrough/packet"
 )
 
-// play lets some callers open flows and ask, one after the other.
-func play(r *rig, handshake, work time.Duration) {
+// runRequests has callers open flows and send a request each, one after the other.
+func runRequests(r *rig, handshake, work time.Duration) {
 	for port := uint16(500); port < 540; port++ {
 		r.syn(port)
 		r.fromTarget(port, packet.SYN|packet.ACK, 1000, 11, 0)
-		r.pass(handshake)
-		r.ask(port, 0)
-		r.pass(work)
-		r.answered(port, 0)
+		r.advance(handshake)
+		r.sendRequest(port, 0)
+		r.advance(work)
+		r.sendAnswer(port, 0)
 	}
 }
 
-// Callers are far away and requests short: while a new flow's handshake is under way
-// two of four slots come free, and would be idle without two more flows admitted.
-// With callers nearby that room would only make requests wait in the target's queue.
-func TestRoomFollowsHandshakeAndPace(t *testing.T) {
+// With distant callers and short requests two of four slots become free during a
+// handshake, and would be idle unless two more flows are admitted. With nearby callers
+// such room would only make requests wait in the target's queue.
+func TestCapacityFollowsLatencies(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		handshake, work time.Duration
@@ -37,9 +37,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			r := newRig(t)
-			is.Equal(r.engine.room(), 5) // nothing observed yet
-			play(r, c.handshake, c.work)
-			is.Equal(r.engine.room(), c.room)
+			is.Equal(r.engine.capacity(), 5) // nothing observed yet
+			runRequests(r, c.handshake, c.work)
+			is.Equal(r.engine.capacity(), c.room)
 		})
 	}
 }
--- a/internal/passthrough/flowtable/load.go
+++ b/internal/passthrough/flowtable/load.go
@@ -8,55 +8,56 @@
 	"bergamotstall/internal/passthrough/packet"
 )
 
-// load counts what a target carries.
+// load counts the flows and requests of the target.
 type load struct {
-	// flows are open, running of them wait for an answer.
+	// flows is the number of open flows, running the number of requests waiting for an
+	// answer.
 	flows, running int
-	// hung of those running hang, as of the last look.
-	hung   int
-	hungAt time.Duration
-	mean   float64
-	meanAt time.Duration
+	// hung is how many running requests hang, as of the last scan.
+	hung          int
+	nextHungScan  time.Duration
+	meanRunning   float64
+	meanUpdatedAt time.Duration
 }
 
-// meanOver is the time constant of the mean load: about as long as a feed waits
-// between two requests, so that flows that are idle just now still count.
-const meanOver = time.Second
+// meanTimeConstant is the time constant of the mean load. It is about the time that a
+// feed waits between two requests, so that flows that are idle at the moment still count.
+const meanTimeConstant = time.Second
 
-// settle lets the mean follow what has run since the last change.
-func (l *load) settle(now time.Duration) {
-	if past := now - l.meanAt; past > 0 {
-		keep := math.Exp(-float64(past) / float64(meanOver))
-		l.mean = l.mean*keep + float64(l.running)*(1-keep)
-		l.meanAt = now
+// updateMean adds the requests that ran since the last update to the mean.
+func (l *load) updateMean(now time.Duration) {
+	if past := now - l.meanUpdatedAt; past > 0 {
+		keep := math.Exp(-float64(past) / float64(meanTimeConstant))
+		l.meanRunning = l.meanRunning*keep + float64(l.running)*(1-keep)
+		l.meanUpdatedAt = now
 	}
 }
 
-// put stores a flow and keeps the counts.
-func (e *Engine) put(f packet.Flow, x flow) {
-	if x.stage == ended || x.stage == lacking {
+// storeFlow stores a flow and updates the counts.
+func (e *Engine) storeFlow(f packet.Flow, x flow) {
+	if x.stage == ended || x.stage == notHeld {
 		x.running = false
 	}
 	if x.stage != open && x.recorded {
 		e.noteEnded(f, x)
 		x.recorded = false
 	}
-	e.uncount(e.flows[f])
+	e.uncountFlow(e.flows[f])
 	e.flows[f] = x
-	e.count(x)
+	e.countFlow(x)
 }
 
-func (e *Engine) remove(f packet.Flow) {
+func (e *Engine) removeFlow(f packet.Flow) {
 	if e.flows[f].held {
-		e.unqueue(e.queuedAt(f))
+		e.dequeue(e.queueIndex(f))
 	}
 	e.noteEnded(f, e.flows[f])
-	e.uncount(e.flows[f])
+	e.uncountFlow(e.flows[f])
 	delete(e.flows, f)
 }
 
-func (e *Engine) count(x flow) {
-	if x.stage == open || x.stage == opening {
+func (e *Engine) countFlow(x flow) {
+	if x.stage == open || x.stage == halfOpen {
 		e.load.flows++
 	}
 	if x.running {
@@ -64,8 +65,8 @@
 	}
 }
 
-func (e *Engine) uncount(x flow) {
-	if x.stage == open || x.stage == opening {
+func (e *Engine) uncountFlow(x flow) {
+	if x.stage == open || x.stage == halfOpen {
 		e.load.flows--
 	}
 	if x.running {
@@ -73,15 +74,15 @@
 	}
 }
 
-// tags stand for balancers in packets: a target that hands a packet back leaves
-// the tag in place, and so the packet goes back to the balancer that sent it.
-type tags struct {
+// balancerTags maps balancers to tags in packets. A target that returns a packet leaves
+// the tag in place, which tells the agent which balancer sent the packet.
+type balancerTags struct {
 	list      []netip.AddrPort
 	byAddress map[netip.AddrPort]uint16
 }
 
-// of returns the tag of a balancer, 0 if there are too many.
-func (t *tags) of(a netip.AddrPort) uint16 {
+// tagOf returns the tag of a balancer, 0 if there are too many.
+func (t *balancerTags) tagOf(a netip.AddrPort) uint16 {
 	if tag, ok := t.byAddress[a]; ok {
 		return tag
 	}
@@ -94,7 +95,7 @@
 	return tag
 }
 
-func (t *tags) address(tag uint16) (netip.AddrPort, bool) {
+func (t *balancerTags) address(tag uint16) (netip.AddrPort, bool) {
 	if tag == 0 || int(tag) > len(t.list) {
 		return netip.AddrPort{}, false
 	}
--- a/internal/passthrough/flowtable/outcomes.go
+++ b/internal/passthrough/flowtable/outcomes.go
@@ -2,65 +2,66 @@
 
 import "time"
 
-// A target that goes down and up, or that breaks requests off while it announces
-// itself well, looks best when it is worst: it has next to nothing in progress.
-// Placement by load alone would send it more than its share, and callers would
-// spend all their tries there. The agent sees each request go in and whether an
-// answer begins, so it tells balancers when too many end without one.
+// A target that goes down and up, or that breaks requests off while its announcements
+// look healthy, has next to nothing in progress. Placement by load alone would send it
+// more than its share, and callers would spend all their attempts there. The agent sees
+// each request and whether its answer begins, so it tells balancers when too many
+// requests end without one.
 const (
-	// outcomesWindow is over how long outcomes are counted: a target of two slots
-	// ends some thirty requests in it.
+	// outcomesWindow is the interval over which outcomes are counted: a target of two
+	// slots finishes some thirty requests in it.
 	outcomesWindow = time.Second
-	// brokenEnough and brokenShare are how many requests, and which part of all,
-	// must have been broken off: three in a row of few, a quarter of many. Targets
-	// that are well break none off.
-	brokenEnough = 3
-	brokenShare  = 4
-	// unsteadyFor is how long a target counts as unsteady after that. Targets that
-	// go down and up by turns of a second or two stay so through their good times.
-	unsteadyFor = 3 * time.Second
+	// minBroken is how many requests must have been broken off to make a target unsteady,
+	// and brokenRatio is how many requests there may be for each of them: three in a row
+	// on a quiet target, a quarter of all on a busy one. Healthy targets break none off.
+	minBroken   = 3
+	brokenRatio = 4
+	// unsteadyPeriod is how long a target counts as unsteady after that. A target that
+	// goes down and up every second or two stays unsteady through the times when it is
+	// up.
+	unsteadyPeriod = 3 * time.Second
 )
 
 // outcomes counts how the target's requests end.
 type outcomes struct {
 	since            time.Duration
 	answered, broken int
-	unsteadyTill     time.Duration
+	unsteadyUntil    time.Duration
 }
 
-// note counts requests that were answered, and that were broken off. It tells
-// whether the target has just become unsteady.
-func (o *outcomes) note(now time.Duration, answered, broken int) bool {
+// add counts answered and broken requests. It reports whether the target has just become
+// unsteady.
+func (o *outcomes) add(now time.Duration, answered, broken int) bool {
 	if now-o.since > outcomesWindow {
 		o.since = now
 		o.answered, o.broken = 0, 0
 	}
 	o.answered += answered
 	o.broken += broken
-	if o.broken < brokenEnough || o.broken*brokenShare < o.answered+o.broken {
+	if o.broken < minBroken || o.broken*brokenRatio < o.answered+o.broken {
 		return false
 	}
 	before := o.unsteady(now)
-	o.unsteadyTill = now + unsteadyFor
+	o.unsteadyUntil = now + unsteadyPeriod
 	return !before
 }
 
-// unsteady tells whether too many requests were broken off of late.
-func (o *outcomes) unsteady(now time.Duration) bool { return now < o.unsteadyTill }
+// unsteady reports whether too many requests were broken off recently.
+func (o *outcomes) unsteady(now time.Duration) bool { return now < o.unsteadyUntil }
 
-// died notes the end of the target here, unless it had said that it leaves: what
-// was in progress is lost.
-func (e *Engine) died(now time.Duration) {
+// countLost counts the requests in progress as broken off when the target has died,
+// unless it had announced that it leaves.
+func (e *Engine) countLost(now time.Duration) {
 	if !e.target.draining {
-		e.brokeOff(now, e.load.running)
+		e.countBroken(now, e.load.running)
 	}
 }
 
-// brokeOff notes requests that ended without an answer.
-func (e *Engine) brokeOff(now time.Duration, n int) {
-	if !e.outcomes.note(now, 0, n) {
+// countBroken counts requests that ended without an answer.
+func (e *Engine) countBroken(now time.Duration, n int) {
+	if !e.outcomes.add(now, 0, n) {
 		return
 	}
-	e.note(now, Decision{Verdict: TargetUnsteady, Answered: e.outcomes.answered, Broken: e.outcomes.broken})
+	e.noteDecision(now, Decision{Verdict: TargetUnsteady, Answered: e.outcomes.answered, Broken: e.outcomes.broken})
 	e.cfg.Out.Report()
 }
--- a/internal/passthrough/flowtable/outcomes_test.go
+++ b/internal/passthrough/flowtable/outcomes_test.go
@@ -9,37 +9,36 @@
 	"bergamotstall/internal/passthrough/packet"
 )
 
-// brokenOff has callers open flows and ask, and the target reset each of them
-// instead of an answer.
-func brokenOff(r *rig, ports ...uint16) {
+// breakRequests has callers open flows and send requests, each of which the target
+// answers by a reset.
+func breakRequests(r *rig, ports ...uint16) {
 	for _, port := range ports {
 		r.open(port, 1000)
-		r.ask(port, 0)
+		r.sendRequest(port, 0)
 		r.fromTarget(port, packet.RST, 1001, 111, 0)
 	}
 }
 
-// A target takes flows and resets them as soon as they ask, and then takes them
-// again, by turns of a second. It announces itself all the while, and is never busy.
-// After three broken requests balancers are told to leave it to the overflow; three
-// seconds after the last one it gets its place back.
+// A target resets flows as soon as they send a request, every other second, while it
+// announces itself and is never busy. After three broken requests balancers must be told
+// that it is unsteady, until three seconds after the last one.
 func TestTargetThatBreaksRequestsOffIsUnsteady(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
-	brokenOff(r, 1, 2)
+	breakRequests(r, 1, 2)
 	is.True(!r.report().Unsteady)
-	brokenOff(r, 3)
+	breakRequests(r, 3)
 	is.True(r.report().Unsteady)
-	is.Equal(r.notes[len(r.notes)-1].Verdict, TargetUnsteady)
-	is.Equal(r.notes[len(r.notes)-1].Broken, 3)
-	r.pass(unsteadyFor - 100*time.Millisecond)
+	is.Equal(r.decisions[len(r.decisions)-1].Verdict, TargetUnsteady)
+	is.Equal(r.decisions[len(r.decisions)-1].Broken, 3)
+	r.advance(unsteadyPeriod - 100*time.Millisecond)
 	is.True(r.report().Unsteady)
-	r.pass(200 * time.Millisecond)
+	r.advance(200 * time.Millisecond)
 	is.True(!r.report().Unsteady)
 }
 
-// A busy target answers a hundred requests and breaks three off, which is no reason
-// to do without it.
+// A busy target that answers a hundred requests and breaks off three must not count as
+// unsteady.
 func TestFewBrokenRequestsAmongMany(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
@@ -47,39 +46,39 @@
 		if n == 0 {
 			r.open(50, 1000)
 		}
-		r.ask(50, n)
-		r.answered(50, n)
+		r.sendRequest(50, n)
+		r.sendAnswer(50, n)
 	}
-	brokenOff(r, 1, 2, 3)
+	breakRequests(r, 1, 2, 3)
 	is.True(!r.report().Unsteady)
 }
 
-// A target crashes with four requests in progress, and comes back: they count as
-// broken off. One that said that it leaves takes what it still has with it, and
-// nobody is warned of its successor.
-func TestCrashBreaksRequestsOff(t *testing.T) {
+// A target crashes with four requests in progress and comes back: they must count as
+// broken off. If it had announced its end, they must not, and its successor is not
+// unsteady.
+func TestCrashCountsRequestsAsBroken(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
 		is := is.New(t)
 		r := newRig(t)
 		for port := uint16(1); port <= 4; port++ {
 			r.open(port, 1000)
-			r.ask(port, 0)
+			r.sendRequest(port, 0)
 		}
-		r.say("i-1", 0, 2, leaves)
+		r.announceState("i-1", 0, 2, leaves)
 		r.announce("i-2", 5000, 1)
 		is.Equal(r.report().Unsteady, !leaves)
 	}
 }
 
-// A caller asks over a flow that the target has closed already: the reset is the
-// answer to a late packet, and no request was broken off.
+// A caller sends a request over a flow that the target has closed: the reset answers a
+// late packet, and must not count as a broken request.
 func TestResetOfAClosedFlowIsNoFailure(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
 	for port := uint16(1); port <= 4; port++ {
 		r.open(port, 1000)
 		r.fromTarget(port, packet.FIN|packet.ACK, 1001, 11, 0)
-		r.ask(port, 0)
+		r.sendRequest(port, 0)
 		r.fromTarget(port, packet.RST, 1002, 111, 0)
 	}
 	is.True(!r.report().Unsteady)
--- a/internal/passthrough/flowtable/recall.go
+++ b/internal/passthrough/flowtable/recall.go
@@ -8,32 +8,33 @@
 )
 
 const (
-	// recordAfter is the age from which on a flow is told to control: most
-	// downloads are over by then and cost nothing.
-	recordAfter = 500 * time.Millisecond
-	// recordAgain is by how much a client's acknowledgements may move before a
-	// flow is told again. The platform takes a reset within 76,800 of the newest.
-	recordAgain = 30_000
-	// recallFor is how long after the agent's start control's word on earlier
-	// flows is taken, and waits for the target.
-	recallFor = 20 * time.Second
+	// recordAge is the age at which a flow is recorded with control: most downloads are
+	// over by then and cost nothing.
+	recordAge = 500 * time.Millisecond
+	// recordAckStep is how far a client's acknowledgements may advance before the flow is
+	// recorded again. The platform accepts a reset within 76,800 of the newest
+	// acknowledgement.
+	recordAckStep = 30_000
+	// recallPeriod is how long after the agent's start control's record of earlier flows
+	// is accepted. An accepted record is kept until the target is known.
+	recallPeriod = 20 * time.Second
 )
 
-// Recalled takes what control remembers of the flows of the target here. The
-// newest incarnation that any control VM remembers counts.
+// Recalled handles control's record of the flows of this agent's target. Of the records
+// of several control VMs the one of the newest incarnation counts.
 func (e *Engine) Recalled(now time.Duration, u flowlog.Update) {
-	if now-e.startedAt > recallFor || e.recall != nil && u.Born < e.recall.Born {
+	if now-e.startedAt > recallPeriod || e.recall != nil && u.Born < e.recall.Born {
 		return
 	}
 	e.recall = &u
-	e.settleRecall(now)
+	e.applyRecall(now)
 }
 
-// settleRecall acts on what control remembers once it is known who is there. If
-// the target was born after the one remembered, or nobody is there, the flows
-// remembered are gone, and their callers are told. If it is the same, the agent's
-// process has restarted, and they are known again.
-func (e *Engine) settleRecall(now time.Duration) {
+// applyRecall applies control's record once it is known which target is there. If the
+// target was born after the recorded one, or there is none, the recorded flows are gone,
+// and their callers are told by resets. If it is the recorded one, only the agent has
+// restarted, and the flows are restored.
+func (e *Engine) applyRecall(now time.Duration) {
 	t := &e.target
 	if e.recall == nil || !t.known && !e.empty(now) {
 		return
@@ -42,7 +43,7 @@
 	e.recall = nil
 	same := t.known && t.id == u.Target && t.born == u.Born
 	if t.known && !same && t.born <= u.Born {
-		return // remembered of a later one than is there; nothing is sure
+		return // the recorded incarnation is not older than this target: no safe conclusion
 	}
 	n := 0
 	for _, r := range u.Opened {
@@ -52,7 +53,7 @@
 		}
 		n++
 		if same {
-			e.put(f, flow{stage: open, seenAt: now, openedAt: now, ack: r.Ack, answered: true, recorded: true, recordedAck: r.Ack})
+			e.storeFlow(f, flow{stage: open, seenAt: now, openedAt: now, clientAck: r.Ack, answered: true, recorded: true, recordedAck: r.Ack})
 			continue
 		}
 		e.cfg.Out.Reset(f, r.Ack)
@@ -61,34 +62,34 @@
 	if same {
 		verdict = FlowsRecalled
 	}
-	e.note(now, Decision{Verdict: verdict, Flows: n})
+	e.noteDecision(now, Decision{Verdict: verdict, Flows: n})
 }
 
-// Settled tells whether control's memory of earlier flows may be replaced: it was
-// acted on, or there was time enough for it to come.
+// Settled reports whether control's record of earlier flows may be replaced: there was
+// enough time for it to arrive, and none is left to apply.
 func (e *Engine) Settled(now time.Duration) bool {
-	return e.recall == nil && (e.target.known || e.empty(now)) && now-e.startedAt > settleAfter
+	return e.recall == nil && (e.target.known || e.empty(now)) && now-e.startedAt > recallWait
 }
 
-// settleAfter is how long after its start an agent leaves control's memory alone:
-// control VMs that restart with it come half a second later.
-const settleAfter = 3 * time.Second
+// recallWait is how long after its start an agent leaves control's record unchanged:
+// control VMs that restart at the same time come half a second later.
+const recallWait = 3 * time.Second
 
-// Changes returns what control should be told since the last call; false if
-// nothing. whole asks for all.
+// Changes returns the changes since the last call that control should record; false if
+// there are none. With whole set it returns all flows that control should record.
 func (e *Engine) Changes(now time.Duration, whole bool) (flowlog.Update, bool) {
 	u := flowlog.Update{Target: e.target.id, Born: e.target.born, Whole: whole}
 	for f, x := range e.flows {
-		if x.stage != open || now-x.openedAt < recordAfter {
+		if x.stage != open || now-x.openedAt < recordAge {
 			continue
 		}
-		if !whole && x.recorded && x.ack-x.recordedAck < recordAgain {
+		if !whole && x.recorded && x.clientAck-x.recordedAck < recordAckStep {
 			continue
 		}
 		x.recorded = true
-		x.recordedAck = x.ack
+		x.recordedAck = x.clientAck
 		e.flows[f] = x
-		u.Opened = append(u.Opened, flowlog.Of(f, x.ack))
+		u.Opened = append(u.Opened, flowlog.Of(f, x.clientAck))
 	}
 	for _, f := range e.ended {
 		u.Ended = append(u.Ended, flowlog.Of(f, 0))
@@ -97,7 +98,7 @@
 	return u, whole || len(u.Opened) > 0 || len(u.Ended) > 0
 }
 
-// noteEnded remembers a recorded flow that is over.
+// noteEnded queues the end of a recorded flow for control.
 func (e *Engine) noteEnded(f packet.Flow, x flow) {
 	if x.recorded {
 		e.ended = append(e.ended, f)
--- a/internal/passthrough/flowtable/report.go
+++ b/internal/passthrough/flowtable/report.go
@@ -6,36 +6,37 @@
 	"bergamotstall/internal/passthrough/peer"
 )
 
-// Empty tells whether no target is there that could hold flows.
+// Empty reports whether there is certainly no target that could hold flows.
 func (e *Engine) Empty(now time.Duration) bool { return e.empty(now) }
 
-// empty tells whether no target is there that could hold flows.
+// empty reports whether there is certainly no target that could hold flows.
 func (e *Engine) empty(now time.Duration) bool {
-	return !e.target.known && (e.target.absent || now-max(e.target.leftAt, e.startedAt) >= e.unannounced())
+	return !e.target.known && (e.target.notListening || now-max(e.target.leftAt, e.startedAt) >= e.absenceTimeout())
 }
 
-// unannounced is how long an agent without a target waits before it says that
-// there is none: a target that lives announces itself twice meanwhile. Until
-// then a balancer doesn't reset flows that nobody claims.
-func (e *Engine) unannounced() time.Duration {
+// absenceTimeout is how long an agent without a target waits before it reports that there
+// is none: a live target announces itself twice in this time. Until the report, balancers
+// don't reset flows that no agent holds.
+func (e *Engine) absenceTimeout() time.Duration {
 	if e.target.leftAt > 0 {
 		return 0
 	}
-	return e.overdue()
+	return e.announcementTimeout()
 }
 
-// overdue is the age of an announcement at which two more should have come.
-func (e *Engine) overdue() time.Duration {
-	return max(crashPatience, 2*e.cfg.Heartbeat+e.cfg.Heartbeat/4)
+// announcementTimeout is the age of an announcement at which two more should have
+// arrived.
+func (e *Engine) announcementTimeout() time.Duration {
+	return max(minCrashTimeout, 2*e.cfg.Heartbeat+e.cfg.Heartbeat/4)
 }
 
-// Report returns what balancers are told now.
+// Report returns the next report to balancers.
 func (e *Engine) Report(now time.Duration) peer.Report {
-	e.number++
+	e.reportNumber++
 	t := &e.target
 	r := peer.Report{
-		Process: e.cfg.Process, Number: e.number, Zone: e.cfg.Zone, Leaving: e.leaving,
-		Slots: t.slots, Running: uint32(e.load.running + len(e.admission.queue)), Load: uint32(e.load.mean * 100), Flows: uint32(e.load.flows),
+		Process: e.cfg.Process, Number: e.reportNumber, Zone: e.cfg.Zone, Leaving: e.leaving,
+		Slots: t.slots, Running: uint32(e.load.running + len(e.admission.queue)), Load: uint32(e.load.meanRunning * 100), Flows: uint32(e.load.flows),
 	}
 	if t.known {
 		r.Service = uint64(t.service)
@@ -44,8 +45,8 @@
 	}
 	r.Empty = e.empty(now)
 	r.Unsteady = e.outcomes.unsteady(now)
-	if t.coldTill > now {
-		r.ColdMS = uint32((t.coldTill - now).Milliseconds())
+	if t.coldUntil > now {
+		r.ColdMS = uint32((t.coldUntil - now).Milliseconds())
 	}
 	return r
 }
--- a/internal/passthrough/flowtable/rig_test.go
+++ b/internal/passthrough/flowtable/rig_test.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	desk    = "casework"
-	address = "10.0.0.9:8080"
+	serviceName = "casework"
+	address     = "10.0.0.9:8080"
 )
 
 var (
-	service  = packet.Endpoint{IP: [4]byte{198, 18, 0, 1}, Port: 443}
-	balancer = netip.MustParseAddrPort("10.0.0.1:7000")
-	started  = time.UnixMilli(1_000_000)
+	service   = packet.Endpoint{IP: [4]byte{198, 18, 0, 1}, Port: 443}
+	balancer  = netip.MustParseAddrPort("10.0.0.1:7000")
+	startTime = time.UnixMilli(1_000_000)
 )
 
-// rig is an engine with a clock and a record of what it sends.
+// rig is an engine with a clock. It records the engine's output.
 type rig struct {
 	t      *testing.T
 	engine *Engine
@@ -31,17 +31,17 @@
 	toTarget []uint16 // client ports
 	toClient []uint16
 	refused  []refusal
-	// refusedAge is the age told with the last refusal.
+	// refusedAge is the age in the last refusal.
 	refusedAge time.Duration
 	answers    []peer.Ruling
 	resets     []reset
 	reports    int
-	notes      []Decision
+	decisions  []Decision
 }
 
 type refusal struct {
-	port uint16
-	why  peer.Reason
+	port   uint16
+	reason peer.Reason
 }
 
 type reset struct {
@@ -58,13 +58,13 @@
 func (r *rig) Answered(time.Duration) {}
 func (r *rig) Admitted(time.Duration) {}
 func (r *rig) Report()                { r.reports++ }
-func (r *rig) Note(d Decision)        { r.notes = append(r.notes, d) }
-func (r *rig) Refuse(_ netip.AddrPort, why peer.Reason, age time.Duration, raw []byte) {
-	r.refused = append(r.refused, refusal{portOf(raw), why})
+func (r *rig) Note(d Decision)        { r.decisions = append(r.decisions, d) }
+func (r *rig) Refuse(_ netip.AddrPort, reason peer.Reason, age time.Duration, raw []byte) {
+	r.refused = append(r.refused, refusal{portOf(raw), reason})
 	r.refusedAge = age
 }
 
-// codec is a packet layout of the test's own: the client's port, then the tag.
+// codec is a packet layout for tests: the client's port, then the tag.
 type codec struct{}
 
 func (codec) Decode([]byte) (packet.Packet, error)                  { return packet.Packet{}, nil }
@@ -77,31 +77,32 @@
 	return packet.Flow{Client: packet.Endpoint{IP: [4]byte{100, 64, 0, 1}, Port: port}, Service: service}
 }
 
-// newRig returns an engine whose target has announced itself for the first time.
+// newRig returns an engine whose target has sent its first announcement.
 func newRig(t *testing.T) *rig {
 	r := &rig{t: t, now: time.Hour}
 	r.engine = New(Config{
-		Service: desk, Address: address, Process: 1, Heartbeat: time.Second,
-		StartedAt: r.now, StartedWall: started, Policy: policy, Codec: codec{}, Out: r,
+		Service: serviceName, Address: address, Process: 1, Heartbeat: time.Second,
+		StartedAt: r.now, StartedWall: startTime, Policy: policy, Codec: codec{}, Out: r,
 	})
 	r.announce("i-1", 0, 1)
 	return r
 }
 
-// announce has a target say of itself that it is ready; born is in milliseconds
-// after the agent's start.
+// announce has a target announce that it is ready; born is in milliseconds after the
+// agent's start.
 func (r *rig) announce(id string, born int64, number uint64) Ruling {
-	return r.say(id, born, number, false)
+	return r.announceState(id, born, number, false)
 }
 
-func (r *rig) say(id string, born int64, number uint64, draining bool) Ruling {
+func (r *rig) announceState(id string, born int64, number uint64, draining bool) Ruling {
 	return r.engine.Announced(r.now, Announcement{
-		ID: id, Service: desk, Address: address, Born: started.UnixMilli() + born, Number: number, Slots: 4, Draining: draining,
+		ID: id, Service: serviceName, Address: address, Born: startTime.UnixMilli() + born, Number: number, Slots: 4, Draining: draining,
 	})
 }
 
-// pass lets time pass; the target goes on announcing itself if it lives.
-func (r *rig) pass(d time.Duration) {
+// advance moves the clock and runs the engine's timers. The target doesn't announce
+// itself.
+func (r *rig) advance(d time.Duration) {
 	for end := r.now + d; r.now < end; {
 		r.now += 10 * time.Millisecond
 		r.engine.Tick(r.now)
@@ -110,7 +111,7 @@
 
 func (r *rig) fromClient(port uint16, flags packet.Flags, seq, ack uint32, data int) {
 	p := packet.Packet{Src: flowOf(port).Client, Dst: service, Flags: flags, Seq: seq, Ack: ack, Data: data}
-	h := peer.Head{Kind: peer.KindDeliver, Service: route.IDOf(desk)}
+	h := peer.Head{Kind: peer.KindDeliver, Service: route.IDOf(serviceName)}
 	r.engine.FromBalancer(r.now, balancer, h, p, rawOf(port))
 }
 
@@ -119,7 +120,7 @@
 	r.engine.FromTarget(r.now, p, rawOf(port))
 }
 
-// bounce has the target hand a client's packet back.
+// bounce has the target return a client's packet.
 func (r *rig) bounce(port uint16, flags packet.Flags, tag uint16) {
 	p := packet.Packet{Src: flowOf(port).Client, Dst: service, Flags: flags | packet.Bounced, Tag: tag}
 	r.engine.FromTarget(r.now, p, rawOf(port))
@@ -127,16 +128,16 @@
 
 func (r *rig) syn(port uint16) { r.fromClient(port, packet.SYN, 10, 0, 0) }
 
-// open opens a flow; targetSeq is where the target's sequence numbers start.
+// open opens a flow; targetSeq is the target's initial sequence number.
 func (r *rig) open(port uint16, targetSeq uint32) {
 	r.syn(port)
 	r.fromTarget(port, packet.SYN|packet.ACK, targetSeq, 11, 0)
 	r.fromClient(port, packet.ACK, 11, targetSeq+1, 0)
 }
 
-// ask has the client send its n-th request, and answered the target answer it.
-func (r *rig) ask(port uint16, n uint32) { r.fromClient(port, packet.ACK, 11+100*n, 1001, 100) }
-func (r *rig) answered(port uint16, n uint32) {
+// sendRequest has the client send its n-th request, and sendAnswer the target answer it.
+func (r *rig) sendRequest(port uint16, n uint32) { r.fromClient(port, packet.ACK, 11+100*n, 1001, 100) }
+func (r *rig) sendAnswer(port uint16, n uint32) {
 	r.fromTarget(port, packet.ACK, 1001, 111+100*n, 500)
 }
 
--- a/internal/passthrough/flowtable/target.go
+++ b/internal/passthrough/flowtable/target.go
@@ -6,84 +6,85 @@
 	"bergamotstall/internal/passthrough/route"
 )
 
-// Announcement is what a target says of itself, again and again.
+// Announcement is a target's periodic statement about itself.
 type Announcement struct {
 	ID      string
 	Service string
 	Address string
-	// Born is the target's start in Unix milliseconds, 0 if it doesn't say.
-	// It orders incarnations: an id may be used again by a later one.
+	// Born is the target's start in Unix milliseconds, 0 if not stated. It orders
+	// incarnations: a later incarnation may reuse an ID.
 	Born int64
 	// Number rises with each announcement of an incarnation.
 	Number   uint64
 	Slots    uint32
 	Draining bool
-	// Cold is how much longer the target stays slow after its start.
+	// Cold is how much longer the target is slow after its start.
 	Cold time.Duration
 }
 
-// Ruling says what became of an announcement.
+// Ruling is the result of handling an announcement.
 type Ruling uint8
 
 const (
-	// Taken: it describes the target from now on.
+	// Taken: the announcement is now the agent's view of the target.
 	Taken Ruling = iota + 1
-	// Late: a newer one of the same incarnation, or a newer incarnation, was
-	// taken before. It changes nothing.
+	// Late: a newer announcement, or one of a newer incarnation, came before. It changes
+	// nothing.
 	Late
-	// NotOurs: it is of another service or address than this VM's target.
+	// NotOurs: the announcement has another service or address than this VM's target.
 	NotOurs
 )
 
-// target is what the agent knows of its target.
+// target is what the agent knows about its target.
 type target struct {
-	known    bool
-	id       string
-	service  route.ServiceID
-	born     int64
-	number   uint64
-	slots    uint32
-	draining bool
-	coldTill time.Duration
-	// older says that the target was there before the agent, which may not know
+	known     bool
+	id        string
+	service   route.ServiceID
+	born      int64
+	number    uint64
+	slots     uint32
+	draining  bool
+	coldUntil time.Duration
+	// predatesAgent is set if the target was there before the agent, which may not know
 	// all its flows.
-	older bool
-	// metAt is when this incarnation was first heard of, lifeAt its last sign
-	// of life, announcedAt its last announcement.
-	metAt, lifeAt, announcedAt time.Duration
-	// owesAt is when it was sent the oldest packet that it should have reacted
-	// to and hasn't; 0 if it owes nothing.
-	owesAt time.Duration
-	// silent says that it owes a reaction for too long.
+	predatesAgent bool
+	// firstHeardAt is when this incarnation was first heard of, lastSeenAt when it last
+	// sent anything, announcedAt when it last announced itself.
+	firstHeardAt, lastSeenAt, announcedAt time.Duration
+	// unansweredSince is when the oldest packet was sent that the target should have
+	// reacted to and hasn't; 0 if there is none.
+	unansweredSince time.Duration
+	// silent is set while the target doesn't answer first packets.
 	silent bool
-	// leftAt is when an incarnation said that it ends.
+	// leftAt is when the target announced its end.
 	leftAt time.Duration
-	// absent says that nothing took connections at its address when last tried.
-	absent bool
+	// notListening is set if the last probe of the target's address was refused.
+	notListening bool
 }
 
 const (
-	// firstAnnouncement is the number of the first announcement of an
-	// incarnation: whoever hears it has seen all flows, since targets get none
-	// before they are known.
+	// firstAnnouncement is the number of the first announcement of an incarnation. An
+	// agent that receives it has seen all flows, because targets get none before they are
+	// known.
 	firstAnnouncement = 1
-	// bornTogether is how much older than the agent's process a target may be
-	// that no earlier process can have sent flows to: when a VM starts, target and
-	// agent start within a quarter of a second, and an agent takes longer than
-	// this to be known, to send flows, to end and to start again. If it is too long,
-	// open flows of a target are reset whose agent restarted soon after its birth.
-	bornTogether = 400 * time.Millisecond
+	// commonStartWindow is how much older than the agent's process a target may be if no
+	// earlier process can have sent it flows. When a VM starts, target and agent start
+	// within 250 ms of each other, and an agent takes longer than this window to become
+	// known, send flows, end and start again. If the window is too long and the agent
+	// restarts soon after the target's start, open flows of the target are reset.
+	commonStartWindow = 400 * time.Millisecond
 )
 
-// missed tells whether the target may have flows from before the agent's start.
-func (e *Engine) missed(a Announcement) bool {
+// mayHaveEarlierFlows reports whether the target may have flows from before the agent's
+// start.
+func (e *Engine) mayHaveEarlierFlows(a Announcement) bool {
 	if a.Number <= firstAnnouncement {
 		return false
 	}
-	return a.Born == 0 || e.cfg.StartedWall.Sub(time.UnixMilli(a.Born)) > bornTogether
+	return a.Born == 0 || e.cfg.StartedWall.Sub(time.UnixMilli(a.Born)) > commonStartWindow
 }
 
-// Announced takes what a target says of itself.
+// Announced handles an announcement of a target.
 func (e *Engine) Announced(now time.Duration, a Announcement) Ruling {
 	if e.cfg.Service != "" && a.Service != e.cfg.Service || e.cfg.Address != "" && a.Address != e.cfg.Address {
 		return NotOurs
@@ -95,140 +96,142 @@
 			return Late
 		}
 	case t.id == a.ID && t.born == a.Born && a.Number <= t.number:
-		return Late // it was taken for dead, and this was said before
+		return Late // sent before the target was taken for dead
 	case t.id != "" && a.Born < t.born:
-		e.note(now, Decision{Verdict: StaleAnnouncement})
+		e.noteDecision(now, Decision{Verdict: StaleAnnouncement})
 		return Late
 	default:
-		e.arrive(now, a)
+		e.startIncarnation(now, a)
 	}
 	t.number = a.Number
 	t.slots = a.Slots
 	t.announcedAt = now
-	t.coldTill = now + a.Cold
-	e.lives(now)
+	t.coldUntil = now + a.Cold
+	e.noteAlive(now)
 	if a.Draining && !t.draining {
 		t.draining = true
-		e.letAllIn(now)
-		e.note(now, Decision{Verdict: TargetDrains, Flows: e.load.flows})
+		e.releaseRequests(now)
+		e.noteDecision(now, Decision{Verdict: TargetDrains, Flows: e.load.flows})
 		e.cfg.Out.Report()
 	}
 	return Taken
 }
 
-// clockSlack is how far the time of day may be off between a target's birth and
-// the agent's start; clocks that are set jump by a second or two. A flow that
-// began within it may be of either incarnation, and is left to its next packet,
-// which the target hands back if it lacks the flow.
-const clockSlack = 2500 * time.Millisecond
+// clockTolerance is how far wall-clock times may be off between a target's start and the
+// agent's; setting a clock moves it by a second or two. A flow that began within the
+// tolerance may belong to either incarnation and isn't reset: if the target lacks it, the
+// target returns its next packet.
+const clockTolerance = 2500 * time.Millisecond
 
-// resetBefore resets the flows that began before a new incarnation was born. It
-// may take flows before it announces itself, and those are its own.
-func (e *Engine) resetBefore(now time.Duration, born int64) {
+// resetFlowsBefore resets the flows that began before the new incarnation was born. Later
+// ones are the new incarnation's own: it may take flows before it announces itself.
+func (e *Engine) resetFlowsBefore(now time.Duration, born int64) {
 	if born == 0 {
 		return
 	}
 	bornAt := e.startedAt + time.UnixMilli(born).Sub(e.cfg.StartedWall)
-	e.resetFlows(now, func(x flow) bool { return x.began() < bornAt-clockSlack })
+	e.resetFlows(now, func(x flow) bool { return x.beganAt() < bornAt-clockTolerance })
 }
 
-// began is when a flow began, as far as was seen.
-func (x flow) began() time.Duration {
+// beganAt returns when a flow began, as far as the agent saw it.
+func (x flow) beganAt() time.Duration {
 	if x.openedAt > 0 {
 		return x.openedAt
 	}
 	return x.seenAt
 }
 
-// arrive begins a new incarnation. What the one before held is gone.
-func (e *Engine) arrive(now time.Duration, a Announcement) {
+// startIncarnation replaces the target by a new incarnation. The flows of the one before
+// are gone.
+func (e *Engine) startIncarnation(now time.Duration, a Announcement) {
 	if e.target.known {
-		e.died(now)
-		e.resetBefore(now, a.Born)
+		e.countLost(now)
+		e.resetFlowsBefore(now, a.Born)
 	}
 	another := e.target.id != "" && (e.target.id != a.ID || e.target.born != a.Born)
 	takenForDead := e.target.id != "" && !another
 	e.target = target{
-		known: true, id: a.ID, service: route.IDOf(a.Service), born: a.Born, metAt: now,
-		older: takenForDead || !another && e.missed(a),
+		known: true, id: a.ID, service: route.IDOf(a.Service), born: a.Born, firstHeardAt: now,
+		predatesAgent: takenForDead || !another && e.mayHaveEarlierFlows(a),
 	}
-	e.note(now, Decision{Verdict: TargetArrived})
-	e.settleRecall(now)
+	e.noteDecision(now, Decision{Verdict: TargetArrived})
+	e.applyRecall(now)
 	e.cfg.Out.Report()
 }
 
-// Left takes a target's word that it ends.
+// Left handles a target's announcement that it ends.
 func (e *Engine) Left(now time.Duration, id string) {
 	if !e.target.known || e.target.id != id {
 		return
 	}
 	e.target.draining = true
 	e.target.leftAt = now
-	e.note(now, Decision{Verdict: TargetLeft, Flows: e.load.flows})
+	e.noteDecision(now, Decision{Verdict: TargetLeft, Flows: e.load.flows})
 	e.cfg.Out.Report()
 }
 
-// Stop says that the agent's process ends. If its target has left, or is dead,
-// the flows that it held are reset: nobody else could tell their callers. If it
-// lives, they are left alone, and go on once the process is back.
+// Stop is called when the agent's process is about to end. If the target has left, its
+// flows are reset, because nobody else could tell their callers. If the target is alive,
+// its flows are left alone and continue once the agent is back.
 func (e *Engine) Stop(now time.Duration) {
 	if e.target.leftAt > 0 {
 		e.resetAll(now)
 		e.target.known = false
 	}
 	e.leaving = true
-	e.letAllIn(now)
+	e.releaseRequests(now)
 	e.cfg.Out.Report()
 }
 
-// owe notes that the target should react to what it was just sent.
-func (e *Engine) owe(now time.Duration) {
-	if e.target.owesAt == 0 {
-		e.target.owesAt = now
+// expectResponse records that the target should react to the packet that it was just
+// sent.
+func (e *Engine) expectResponse(now time.Duration) {
+	if e.target.unansweredSince == 0 {
+		e.target.unansweredSince = now
 	}
 }
 
-// lives notes a sign of life of the target.
-func (e *Engine) lives(now time.Duration) {
+// noteAlive records that the target sent something.
+func (e *Engine) noteAlive(now time.Duration) {
 	t := &e.target
-	t.lifeAt = now
-	t.owesAt = 0
+	t.lastSeenAt = now
+	t.unansweredSince = 0
 	if t.silent {
 		t.silent = false
-		e.note(now, Decision{Verdict: TargetAnswers})
+		e.noteDecision(now, Decision{Verdict: TargetAnswers})
 		e.cfg.Out.Report()
 	}
 }
 
-// afterLeft is how long after its farewell a target's process may still run.
-const afterLeft = 300 * time.Millisecond
+// exitGrace is how long a target's process may still run after it announced its end.
+const exitGrace = 300 * time.Millisecond
 
-// owePatience is how long a target may owe a reaction before its address is
-// tried. It acknowledges every second packet at once and answers a lone one when
-// its request is done; the longest requests take a third of a second.
-const owePatience = 200 * time.Millisecond
+// responseTimeout is how long a target may leave a packet without reaction before its
+// address is probed. A target acknowledges every second packet at once and answers a
+// single one when its request is done; the longest requests take a third of a second.
+const responseTimeout = 200 * time.Millisecond
 
-// WantsProbe tells whether it should be tried if anything takes connections at
-// the target's address: while no target is known, since one may be there from
-// before the agent's start, and while one owes a reaction.
+// WantsProbe reports whether the target's address should be probed for a listening
+// process: while no target is known, because one may be there from before the agent's
+// start, and while the target doesn't react.
 func (e *Engine) WantsProbe(now time.Duration) bool {
 	t := &e.target
 	if !t.known {
 		return !e.empty(now)
 	}
-	return t.silent || t.owesAt > 0 && now-t.owesAt > owePatience
+	return t.silent || t.unansweredSince > 0 && now-t.unansweredSince > responseTimeout
 }
 
-// Probed takes whether anything took a connection at the target's address. A
-// refusal means that the target's process is gone, and its flows with it. No
-// answer at all isn't to be passed on: it says nothing.
+// Probed handles the result of a probe: whether the target's address accepted a
+// connection. A refused connection means that the target's process is gone, and its flows
+// with it. A probe that timed out says nothing and must not be passed to Probed.
 func (e *Engine) Probed(now time.Duration, listening bool) {
-	e.target.absent = !listening
+	e.target.notListening = !listening
 	if listening || !e.target.known {
 		return
 	}
-	e.note(now, Decision{Verdict: TargetDead, Flows: e.load.flows})
-	e.died(now)
+	e.noteDecision(now, Decision{Verdict: TargetDead, Flows: e.load.flows})
+	e.countLost(now)
 	e.resetAll(now)
 	e.target.known = false
 	e.cfg.Out.Report()
--- a/internal/passthrough/flowtable/target_test.go
+++ b/internal/passthrough/flowtable/target_test.go
@@ -10,45 +10,44 @@
 	"bergamotstall/internal/passthrough/peer"
 )
 
-// A target that leaves gets no flow from the moment its announcement is taken,
-// whatever balancers believe; its open flows go on.
-func TestDrainHoldsAtOnce(t *testing.T) {
+// A draining target must get no flow once its announcement was received, whatever
+// balancers have in their tables; its open flows continue.
+func TestDrainTakesEffectAtOnce(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
 	r.open(9, 1000)
-	is.Equal(r.say("i-1", 0, 2, true), Taken)
+	is.Equal(r.announceState("i-1", 0, 2, true), Taken)
 	is.Equal(r.reports > 0, true)
 	is.Equal(r.report().Open, false)
 	r.syn(10)
 	is.Equal(r.refused, []refusal{{10, peer.Draining}})
-	r.ask(9, 0)
+	r.sendRequest(9, 0)
 	is.Equal(len(r.toTarget), 3)
-	is.Equal(r.say("i-1", 0, 3, false), Taken) // one that drains doesn't come back
+	is.Equal(r.announceState("i-1", 0, 3, false), Taken) // a draining target doesn't become ready again
 	is.Equal(r.report().Open, false)
 }
 
-// A target ends as planned. Its process may run a little after its farewell;
-// then the flows that are left are reset, and balancers learn that nothing is
-// held here.
-func TestFarewell(t *testing.T) {
+// A target announces its end. Its process may run a little longer; after that its
+// remaining flows must be reset, and balancers must learn that no flows are held here.
+func TestTargetLeaves(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
 	r.open(9, 1000)
-	r.say("i-1", 0, 2, true)
-	r.engine.Left(r.now, "i-0") // another one's
+	r.announceState("i-1", 0, 2, true)
+	r.engine.Left(r.now, "i-0") // another target's
 	r.engine.Left(r.now, "i-1")
 	is.Equal(len(r.resets), 0)
 	is.Equal(r.report().Empty, false)
-	r.pass(afterLeft + 20*time.Millisecond)
+	r.advance(exitGrace + 20*time.Millisecond)
 	is.Equal(r.resets, []reset{{9, 1001}})
 	is.Equal(r.report().Empty, true)
 	r.syn(10)
 	is.Equal(r.refused, []refusal{{10, peer.NoTarget}})
 }
 
-// The agent's process is stopped while its target lives: flows wait for its next
-// start, and none is reset.
-func TestStopLeavesFlowsOfALivingTarget(t *testing.T) {
+// The agent stops while its target is alive: no flow may be reset, they continue after
+// the agent's next start.
+func TestStopKeepsFlowsOfALiveTarget(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
 	r.open(9, 1000)
@@ -60,9 +59,9 @@
 	is.Equal(r.refused, []refusal{{10, peer.Draining}})
 }
 
-// The agent's process is stopped after its target has said its farewell: the
-// flows that are left are reset, and balancers learn that nothing is held here.
-func TestStopAfterTheFarewell(t *testing.T) {
+// The agent stops after its target has announced its end: the remaining flows must be
+// reset, and balancers must learn that no flows are held here.
+func TestStopAfterTargetLeft(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
 	r.open(9, 1000)
@@ -72,76 +71,75 @@
 	is.Equal(r.report().Empty, true)
 }
 
-// A target crashed and came back under its id. Its callers' flows are gone with
-// the old incarnation and are reset; a late announcement of the old one, held up
-// on its way, must not bring that one back.
-func TestReborn(t *testing.T) {
+// A target crashed and came back under its ID. The flows of the old incarnation must be
+// reset, and a delayed announcement of the old incarnation must not restore it.
+func TestNewIncarnation(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
 	r.open(9, 1000)
 	is.Equal(r.announce("i-1", 5_000, 1), Taken)
 	is.Equal(r.resets, []reset{{9, 1001}})
-	is.Equal(r.say("i-1", 0, 50, true), Late)
+	is.Equal(r.announceState("i-1", 0, 50, true), Late)
 	is.Equal(r.report().Open, true)
-	is.Equal(r.announce("i-1", 5_000, 1), Late) // the same again
+	is.Equal(r.announce("i-1", 5_000, 1), Late) // a duplicate
 	is.Equal(r.verdictOn(9, 5), peer.Lacks)
 }
 
-// Announcements of another service or address on this VM name no target here.
-func TestAnnouncementOfAnother(t *testing.T) {
+// An announcement of another service or address must not become this VM's target.
+func TestAnnouncementOfAnotherTarget(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
 	a := Announcement{ID: "i-7", Service: "mapdocs", Address: address, Born: 9e15, Number: 1}
 	is.Equal(r.engine.Announced(r.now, a), NotOurs)
-	a.Service, a.Address = desk, "10.0.0.8:8080"
+	a.Service, a.Address = serviceName, "10.0.0.8:8080"
 	is.Equal(r.engine.Announced(r.now, a), NotOurs)
 	is.Equal(r.report().Open, true)
 }
 
-// An agent whose VM never gets a target says so after a while, and not before:
-// until a target's announcements are overdue it may hold flows.
+// An agent whose VM has no target must report that, but not before a target's
+// announcements would be overdue: until then one may hold flows.
 func TestAgentWithoutATarget(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
-	r.engine = New(Config{Service: desk, Address: address, Heartbeat: time.Second, StartedAt: r.now, Policy: policy, Codec: codec{}, Out: r})
+	r.engine = New(Config{Service: serviceName, Address: address, Heartbeat: time.Second, StartedAt: r.now, Policy: policy, Codec: codec{}, Out: r})
 	is.Equal(r.report().Empty, false)
-	r.pass(3 * time.Second)
+	r.advance(3 * time.Second)
 	is.Equal(r.report().Empty, true)
 }
 
-// A target that just started is slow, and balancers are told for how long.
-func TestColdTarget(t *testing.T) {
+// A target that just started is slow, and the report must say for how long.
+func TestColdTimeIsReported(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
-	r.engine.Announced(r.now, Announcement{ID: "i-1", Service: desk, Address: address, Born: started.UnixMilli(), Number: 2, Slots: 4, Cold: time.Second})
+	r.engine.Announced(r.now, Announcement{ID: "i-1", Service: serviceName, Address: address, Born: startTime.UnixMilli(), Number: 2, Slots: 4, Cold: time.Second})
 	is.Equal(r.report().ColdMS, uint32(1000))
-	r.pass(time.Second)
+	r.advance(time.Second)
 	is.Equal(r.report().ColdMS, uint32(0))
 }
 
-// The mean load follows what runs, so that flows that are idle just now count.
+// The mean load must follow the running requests, so that flows that are idle at the
+// moment count.
 func TestMeanLoad(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
 	r.open(9, 1000)
-	r.ask(9, 0)
-	r.pass(meanOver)
+	r.sendRequest(9, 0)
+	r.advance(meanTimeConstant)
 	is.True(r.report().Load >= 60 && r.report().Load <= 66) // 1-1/e of one request
 	r.fromTarget(9, packet.ACK, 1001, 111, 500)
-	r.pass(5 * meanOver)
+	r.advance(5 * meanTimeConstant)
 	is.True(r.report().Load < 5)
 }
 
-// The agent restarted after all VMs lost power, on a VM without a target. Nothing
-// takes connections at the target's address, so nothing is held here, and the
-// agent says so at once. As long as it said nothing, balancers couldn't reset
-// callers' dead flows.
-func TestNobodyAtTheTargetsAddress(t *testing.T) {
+// The agent restarted after all VMs lost power, and its VM has no target. A probe is
+// refused, so the agent must report at once that no flows are held here; until then
+// balancers can't reset callers' dead flows.
+func TestRefusedProbeMeansNoTarget(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
-	r.engine = New(Config{Service: desk, Address: address, Heartbeat: time.Second, StartedAt: r.now, Policy: policy, Codec: codec{}, Out: r})
+	r.engine = New(Config{Service: serviceName, Address: address, Heartbeat: time.Second, StartedAt: r.now, Policy: policy, Codec: codec{}, Out: r})
 	is.True(r.engine.WantsProbe(r.now))
-	r.engine.Probed(r.now, true) // somebody is there
+	r.engine.Probed(r.now, true) // a process is listening
 	is.Equal(r.report().Empty, false)
 	r.engine.Probed(r.now, false)
 	is.Equal(r.report().Empty, true)
@@ -151,29 +149,29 @@
 	is.Equal(r.engine.WantsProbe(r.now), false)
 }
 
-// The target crashed with a request in hand. Its process is gone, and the
-// address refuses connections: callers are told a quarter of a second after, not
-// when its announcements are overdue.
-func TestCrashIsSeenByRefusedConnections(t *testing.T) {
+// The target crashed with a request in progress, and its address refuses connections.
+// Callers must be told after a quarter of a second, not only when its announcements are
+// overdue.
+func TestCrashIsDetectedByRefusedProbe(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
 	r.open(9, 1000)
-	r.ask(9, 0)
+	r.sendRequest(9, 0)
 	is.Equal(r.engine.WantsProbe(r.now), false)
-	r.pass(owePatience + 10*time.Millisecond)
+	r.advance(responseTimeout + 10*time.Millisecond)
 	is.True(r.engine.WantsProbe(r.now))
-	r.engine.Probed(r.now, true) // only slow
+	r.engine.Probed(r.now, true) // it is only slow
 	is.Equal(len(r.resets), 0)
 	r.engine.Probed(r.now, false)
 	is.Equal(r.resets, []reset{{9, 1001}})
 	is.Equal(r.report().Open, false)
 	is.Equal(r.report().Empty, true)
-	r.announce("i-1", 3000, 1) // reborn
+	r.announce("i-1", 3000, 1) // a new incarnation
 	is.Equal(r.report().Open, true)
 }
 
-// A target was taken for dead, and announces itself on: it lives, with flows
-// that this agent has forgotten.
+// A target that was taken for dead announces itself again: it is alive, with flows that
+// the agent has forgotten.
 func TestTargetTakenForDeadComesBack(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
@@ -183,16 +181,15 @@
 	is.Equal(r.verdictOn(9, 5), peer.Unsure)
 }
 
-// A target crashed and was back a moment later, before its agent had noticed. It
-// takes flows at once and announces itself only half a second after. Its callers'
-// flows must outlive that announcement; only those of the incarnation before are
-// gone.
+// A target crashed and came back before its agent noticed. It takes flows at once and
+// announces itself half a second later. The announcement must reset only the flows of the
+// incarnation before.
 func TestFlowsOfTheNewIncarnationStay(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
 	r.open(9, 1000) // at the first incarnation
 	r.now += 10 * time.Second
-	r.open(10, 5000) // at the second one, born a moment ago
+	r.open(10, 5000) // at the second incarnation, which has just started
 	is.Equal(r.announce("i-1", 9_900, 1), Taken)
 	is.Equal(r.resets, []reset{{9, 1001}})
 	is.Equal(r.verdictOn(10, 5001), peer.Holds)
@@ -200,18 +197,17 @@
 	is.Equal(r.report().Flows, uint32(1))
 }
 
-// Targets that don't say when they were born can't be told apart by it: nothing
-// is reset for an announcement alone, and callers learn of the loss by their next
-// packet.
-func TestUnknownBirthResetsNothing(t *testing.T) {
+// Targets that don't state their start can't be told apart by it: an announcement alone
+// must reset nothing, and callers learn of the loss by their next packet.
+func TestUnknownStartTimeResetsNothing(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
-	r.engine = New(Config{Service: desk, Address: address, StartedAt: r.now, StartedWall: started, Policy: policy, Codec: codec{}, Out: r})
-	say := func(id string) {
-		r.engine.Announced(r.now, Announcement{ID: id, Service: desk, Address: address, Number: 1, Slots: 4})
+	r.engine = New(Config{Service: serviceName, Address: address, StartedAt: r.now, StartedWall: startTime, Policy: policy, Codec: codec{}, Out: r})
+	announceState := func(id string) {
+		r.engine.Announced(r.now, Announcement{ID: id, Service: serviceName, Address: address, Number: 1, Slots: 4})
 	}
-	say("i-1")
+	announceState("i-1")
 	r.open(9, 1000)
-	say("i-2")
+	announceState("i-2")
 	is.Equal(len(r.resets), 0)
 }
--- a/internal/passthrough/flowtable/tick.go
+++ b/internal/passthrough/flowtable/tick.go
@@ -7,20 +7,20 @@
 	"bergamotstall/internal/passthrough/peer"
 )
 
-// Tick lets time pass.
+// Tick runs the engine's timers. It must be called regularly, see NextTick.
 func (e *Engine) Tick(now time.Duration) {
-	e.load.settle(now)
-	e.rescue(now)
+	e.load.updateMean(now)
+	e.expireUnanswered(now)
 	e.tickAdmission(now)
-	e.settleRecall(now)
+	e.applyRecall(now)
 	t := &e.target
-	if t.known && t.leftAt > 0 && now-t.leftAt > afterLeft {
+	if t.known && t.leftAt > 0 && now-t.leftAt > exitGrace {
 		e.resetAll(now)
 		t.known = false
 		e.cfg.Out.Report()
 	}
 	if t.known && t.silent && e.dead(now) {
-		e.note(now, Decision{Verdict: TargetDead, Flows: e.load.flows})
+		e.noteDecision(now, Decision{Verdict: TargetDead, Flows: e.load.flows})
 		e.resetAll(now)
 	}
 	if now >= e.sweepAt {
@@ -29,26 +29,25 @@
 	}
 }
 
-// dead tells whether the target is gone for sure: it owes an answer, and its
-// announcements have stopped too. A target that is only slow still announces
-// itself.
+// dead reports whether a target that owes an answer is certainly gone: its announcements
+// have stopped too. A target that is only slow still announces itself.
 func (e *Engine) dead(now time.Duration) bool {
-	return len(e.flows) > 0 && now-e.target.announcedAt > e.overdue() && now-e.target.lifeAt > crashPatience
+	return len(e.flows) > 0 && now-e.target.announcedAt > e.announcementTimeout() && now-e.target.lastSeenAt > minCrashTimeout
 }
 
-// rescue hands first packets back that the target hasn't answered in time, so
-// that another target answers the caller well within its patience.
-func (e *Engine) rescue(now time.Duration) {
-	for f, w := range e.waiting {
-		if now-w.since < firstPatience {
+// expireUnanswered returns the first packets that the target hasn't answered in time, so
+// that another target can answer well before the caller gives up.
+func (e *Engine) expireUnanswered(now time.Duration) {
+	for f, w := range e.unanswered {
+		if now-w.since < firstPacketTimeout {
 			continue
 		}
-		delete(e.waiting, f)
-		e.came(f)
-		e.remove(f)
-		if !e.target.silent && e.target.lifeAt < w.since {
+		delete(e.unanswered, f)
+		e.stopExpecting(f)
+		e.removeFlow(f)
+		if !e.target.silent && e.target.lastSeenAt < w.since {
 			e.target.silent = true
-			e.note(now, Decision{Verdict: TargetSilent, Flow: f})
+			e.noteDecision(now, Decision{Verdict: TargetSilent, Flow: f})
 			e.cfg.Out.Report()
 		}
 		e.cfg.Codec.Mark(w.raw, 0)
@@ -56,68 +55,68 @@
 	}
 }
 
-// resetAll resets the flows of a target that is gone, so that callers needn't
-// wait for their deadline.
+// resetAll resets all flows of a target that is gone, so that callers don't wait until
+// their deadline.
 func (e *Engine) resetAll(now time.Duration) {
 	e.resetFlows(now, func(flow) bool { return true })
-	e.waiting = map[packet.Flow]unanswered{}
+	e.unanswered = map[packet.Flow]unansweredFirst{}
 	e.admission.expected = nil
 }
 
-// resetFlows resets and forgets the flows that are gone.
+// resetFlows resets and forgets the flows for which gone returns true.
 func (e *Engine) resetFlows(now time.Duration, gone func(flow) bool) {
 	n := 0
 	for f, x := range e.flows {
 		if !gone(x) {
 			continue
 		}
-		if x.stage == open || x.stage == opening {
-			e.cfg.Out.Reset(f, x.ack)
+		if x.stage == open || x.stage == halfOpen {
+			e.cfg.Out.Reset(f, x.clientAck)
 			n++
 		}
-		e.came(f)
-		e.remove(f)
+		e.stopExpecting(f)
+		e.removeFlow(f)
 	}
 	if n > 0 {
-		e.note(now, Decision{Verdict: FlowsReset, Flows: n})
+		e.noteDecision(now, Decision{Verdict: FlowsReset, Flows: n})
 	}
 }
 
 const (
-	// unknownTimeout stands for the timeout of a route that the agent doesn't
-	// know yet.
-	unknownTimeout = 10 * time.Second
-	// overtime is how much longer than its route's timeout a request may count as
-	// in progress: its caller has left by then, and so will the target.
-	overtime = time.Second
+	// defaultRequestTimeout is used for a route that the agent doesn't know yet.
+	defaultRequestTimeout = 10 * time.Second
+	// requestGrace is how much longer than its route's timeout a request may count as in
+	// progress: by then its caller has given up, and so will the target.
+	requestGrace = time.Second
 )
 
-// longest is how long a request of the flow can be in progress.
-func (e *Engine) longest(f packet.Flow) time.Duration {
+// maxRequestTime is how long a request of the flow can be in progress.
+func (e *Engine) maxRequestTime(f packet.Flow) time.Duration {
 	if timeout := e.table.Timeout(f.Service); timeout > 0 {
-		return timeout + overtime
+		return timeout + requestGrace
 	}
-	return unknownTimeout
+	return defaultRequestTimeout
 }
 
-// sweep forgets what is long over.
+// sweep forgets flows whose time to live has passed and ends requests that ran for too
+// long.
 func (e *Engine) sweep(now time.Duration) {
 	for f, x := range e.flows {
-		kept := openKept
+		ttl := openFlowTTL
 		switch x.stage {
-		case opening:
-			kept = halfOpenKept
+		case halfOpen:
+			ttl = halfOpenFlowTTL
 		case ended:
-			kept = endedKept
-		case lacking:
-			kept = lacksKept
+			ttl = endedFlowTTL
+		case notHeld:
+			ttl = notHeldTTL
 		}
 		switch {
-		case now-x.seenAt > kept:
-			e.remove(f)
-		case x.running && now-x.runningAt > e.longest(f):
+		case now-x.seenAt > ttl:
+			e.removeFlow(f)
+		case x.running && now-x.runningAt > e.maxRequestTime(f):
 			x.running = false
-			e.put(f, x)
+			e.storeFlow(f, x)
 		}
 	}
 }
