--- a/internal/passthrough/placement/placement.go
+++ b/internal/passthrough/placement/placement.go
@@ -1,70 +1,71 @@
-// Package placement decides which target gets a new pass-through flow. It has no
-// network and no clock; loads and randomness come in as arguments.
+// Package placement selects the target of a new pass-through flow. It does no network I/O
+// and reads no clock; loads and the random source are arguments.
 //
-// Load patterns and rules:
+// The load patterns and the rules that answer them:
 //
-//   - Long flows make early choices last: a target is judged by what its open
-//     flows asked for lately, not only by what runs just now, and of two targets
-//     the one with fewer open flows is preferred: those that are idle at the moment
-//     of choice ask again later.
-//   - Many balancers with the same reports: of two targets drawn at random the
-//     better one is taken. With the best of all, every balancer sends its next
-//     flows to the same target until its next report.
+//   - Long flows: each choice has lasting effects. A target is judged by what its open
+//     flows requested recently, not only by what runs at the moment, and of two targets
+//     the one with fewer open flows is preferred, because flows that are idle now will
+//     send requests later.
+//   - Many balancers with the same reports: of two targets drawn at random the better one
+//     is taken (power of two choices). If the best of all targets were taken, every
+//     balancer would send its next flows to the same target until its next report.
 //   - A burst between two reports: flows sent since the last report count.
-//   - A target that has just started is slow and counts as smaller until warm.
-//   - An outage or a burst that leaves one service of a route without a free slot
-//     while another one of the same route has many idle: flows overflow to it
-//     (Policy.Overflow), and to busy ones where callers wait for much less
-//     (Policy.Relieves). The weights say how the operator shares the work out while
-//     there is room; nobody waits for a share. Without it callers queue
-//     at every target of one service beside free ones of the other.
-//   - A target that goes down and up, or breaks requests off: with nothing in
-//     progress it looks best, and what it gets is lost. Such targets are left to the
-//     others' overflow for a while.
-//   - Distance: targets of the same data centre first; another one's only while
-//     the near ones are busy and the far one clearly isn't. Bytes between data
-//     centres are paid for, and each packet pays the way both ways.
+//   - A target that has just started is slow and counts as smaller until it is warm.
+//   - An outage or a burst that leaves one service of a route without a free slot while
+//     another service of the route has many idle ones: flows overflow to the other
+//     service (Policy.Overflow), even to busy targets if callers wait much less there
+//     (Policy.Relieves). Weights say how the operator divides the load while there is
+//     room; no caller waits to keep to them. Without overflow, callers queue at every
+//     target of one service next to free targets of the other.
+//   - A target that goes down and up, or breaks requests off: as nothing is in progress
+//     there, its load looks best, and the flows that it gets are lost. Such targets only
+//     get the overflow of the others for a while.
+//   - Distance: targets of the same data centre come first. Another data centre's target
+//     is taken only if the near ones are busy and it clearly isn't. Traffic between data
+//     centres costs money, and adds the distance to each packet and to its answer.
 package placement
 
 import "math/rand/v2"
 
-// Policy holds the thresholds of placing.
+// Policy holds the thresholds of placement.
 type Policy struct {
-	// FlowShare is the part of a slot that an open flow counts for, besides what it
-	// runs, where one of two targets is taken: one that is idle just now asks again
-	// later. What flows ask for on the mean shows in the load; counted there again,
-	// targets with many long flows would all look saturated.
+	// FlowShare is the fraction of a slot that an open flow counts for, in addition to
+	// its requests, when two targets are compared: a flow that is idle now will send
+	// requests later. It isn't part of the score, because the mean load has the flows'
+	// requests already, and targets with many long flows would all look saturated.
 	FlowShare float64
-	// SentShare is the part of a slot that a flow sent since the last report
-	// counts for: its first request runs at once, or waits there.
+	// SentShare is the fraction of a slot that a flow sent since the last report counts
+	// for: its first request runs, or waits, at the target at once.
 	SentShare float64
-	// SpillFrom is the load, as a part of the slots, from which on a far target
-	// is looked at. Under it a slot is free with the near one almost surely.
+	// SpillFrom is the load, as a fraction of the slots, above which a far target is
+	// considered. Below it the near target almost certainly has a free slot.
 	SpillFrom float64
-	// SpillGain is how much less loaded a far target must be; under it flows
-	// would move back and forth between data centres on the noise of reports.
+	// SpillGain is by how much a far target's load must be lower. With less, flows would
+	// move back and forth between data centres on the noise of reports.
 	SpillGain float64
-	// ColdSlowdown is how much longer a target takes that has just started, where
-	// nothing was observed yet.
+	// ColdSlowdown is how many times longer requests take at a target that has just
+	// started. It applies where nothing was observed yet.
 	ColdSlowdown float64
-	// Saturated is the load, as a part of the slots, from which on a flow's request
+	// Saturated is the load, as a fraction of the slots, from which a flow's request
 	// waits for others at the target.
 	Saturated float64
-	// Idle is the load under which a target takes the overflow of others: the rest
-	// of its slots stay free for what it is meant for.
+	// Idle is the load below which a target takes the overflow of other services: the
+	// rest of its slots stays free for its own service.
 	Idle float64
-	// OverflowGain is how much less loaded than all targets of a flow's own service
-	// one that isn't idle must be to take the overflow all the same. Under it services
+	// OverflowGain is by how much the load of a target that isn't idle must be lower than
+	// that of all targets of a flow's own service to take the flow. With less, services
 	// would fill each other's queues.
 	OverflowGain float64
-	// Draws is 2 to take the less loaded of two targets drawn, 1 to take any.
+	// Draws is 2 to take the less loaded of two targets drawn at random, 1 to take any.
 	Draws int
-	// Spread gives up the preference for the own data centre; Trusting ignores that
-	// targets are unsteady; Strict never lets a service's flows overflow to another.
+	// Spread turns off the preference for targets in the same data centre; Trusting
+	// treats unsteady targets like others; Strict turns off the overflow to other
+	// services.
 	Spread, Trusting, Strict bool
 }
 
-// Default is the policy in use.
+// Default returns the policy used in production.
 func Default() Policy {
 	return Policy{
 		FlowShare: 0.05, SentShare: 1, SpillFrom: 0.7, SpillGain: 0.25, ColdSlowdown: 1.6,
@@ -72,31 +73,32 @@
 	}
 }
 
-// Target is one that may get the flow.
+// Target is a candidate for a flow.
 type Target struct {
-	// Near is set for targets of the same data centre.
+	// Near is set for targets in the balancer's data centre.
 	Near bool
-	// Slots is how many requests it runs at once; 0 counts as 1.
+	// Slots is how many requests the target runs at once; 0 counts as 1.
 	Slots uint32
-	// Running is what runs there by its last report, Mean the mean of the last
-	// second.
+	// Running is the number of running requests in its last report, Mean their mean over
+	// the last second.
 	Running, Mean float64
-	// Flows is how many flows it holds, Sent how many more it was sent since.
+	// Flows is the number of flows that it holds, Sent the number sent to it since the
+	// report.
 	Flows, Sent uint32
-	// Cold is set while it is slow after its start.
+	// Cold is set while the target is warming up after its start.
 	Cold bool
-	// Unsteady is set while it is likely to break requests off.
+	// Unsteady is set while the target is likely to break requests off.
 	Unsteady bool
 }
 
-// Score is a target's expected load as a part of its slots.
+// Score returns a target's expected load as a fraction of its slots.
 func (p *Policy) Score(t *Target) float64 {
 	load := max(t.Mean, (t.Mean+t.Running)/2)
-	return (load + p.SentShare*float64(t.Sent)) / p.slots(t)
+	return (load + p.SentShare*float64(t.Sent)) / p.effectiveSlots(t)
 }
 
-// slots is how many slots a target counts as.
-func (p *Policy) slots(t *Target) float64 {
+// effectiveSlots returns a target's slots, reduced while it is cold.
+func (p *Policy) effectiveSlots(t *Target) float64 {
 	slots := float64(max(t.Slots, 1))
 	if t.Cold {
 		slots /= p.ColdSlowdown
@@ -104,13 +106,13 @@
 	return slots
 }
 
-// preference orders two targets drawn; the lower one is taken.
+// preference ranks two drawn targets; the one with the lower value is taken.
 func (p *Policy) preference(t *Target) float64 {
-	return p.Score(t) + p.FlowShare*float64(t.Flows)/p.slots(t)
+	return p.Score(t) + p.FlowShare*float64(t.Flows)/p.effectiveSlots(t)
 }
 
-// Overflow tells whether a flow should go to another service of its route: all
-// targets of its own are saturated.
+// Overflow reports whether a flow should go to another service of its route: all targets
+// of its own service are saturated.
 func (p *Policy) Overflow(own []Target) bool {
 	if p.Strict {
 		return len(own) == 0
@@ -123,8 +125,8 @@
 	return true
 }
 
-// HasSlot tells whether a steady target among near ones has a slot free almost surely,
-// so that no other data centre's need be looked at.
+// HasSlot reports whether one of the near targets is steady and almost certainly has a
+// free slot, so that other data centres needn't be considered.
 func (p *Policy) HasSlot(near []Target) bool {
 	if p.Spread {
 		return false
@@ -137,11 +139,11 @@
 	return false
 }
 
-// HasRoom tells whether a target has room for the overflow of another service.
+// HasRoom reports whether a target has room for the overflow of another service.
 func (p *Policy) HasRoom(t *Target) bool { return p.Score(t) < p.Idle }
 
-// Relieves tells whether a target takes a flow of another service, all of whose targets
-// are saturated: it has room, or its callers wait for much less.
+// Relieves reports whether a target takes a flow of another service whose targets are all
+// saturated: it has room, or callers wait much less there.
 func (p *Policy) Relieves(t *Target, own []Target) bool {
 	if p.HasRoom(t) {
 		return true
@@ -154,7 +156,7 @@
 	return true
 }
 
-// Pick returns the index of the chosen target, false if there is none.
+// Pick returns the index of the selected target, and false if there is none.
 func (p *Policy) Pick(rng *rand.Rand, targets []Target) (int, bool) {
 	steady := p.pickAmong(rng, targets, false)
 	if steady >= 0 && p.Score(&targets[steady]) < p.Saturated {
@@ -167,8 +169,8 @@
 	return steady, true
 }
 
-// pickAmong picks among the steady or the unsteady targets, near ones first; -1 if
-// there are none.
+// pickAmong picks among the steady or the unsteady targets and prefers near ones. It
+// returns -1 if there are none.
 func (p *Policy) pickAmong(rng *rand.Rand, targets []Target, unsteady bool) int {
 	near, far := p.draw(rng, targets, unsteady, true), p.draw(rng, targets, unsteady, false)
 	switch {
@@ -184,8 +186,8 @@
 	return near
 }
 
-// draw returns the less loaded of two targets drawn at random among those that
-// are unsteady, or steady, and near, or far; -1 if there are none.
+// draw returns the less loaded of two targets drawn at random, among those that are
+// steady or unsteady, and near or far, as given. It returns -1 if there are none.
 func (p *Policy) draw(rng *rand.Rand, targets []Target, unsteady, near bool) int {
 	first, second, seen := -1, -1, 0
 	for i := range targets {
@@ -193,7 +195,7 @@
 			continue
 		}
 		seen++
-		// A reservoir of two.
+		// Reservoir sampling of two targets.
 		switch {
 		case first < 0:
 			first = i
@@ -214,7 +216,8 @@
 		return second
 	}
 	a, b := p.preference(&targets[first]), p.preference(&targets[second])
-	// Equal ones share: the places of the reservoir aren't drawn alike.
+	// A random choice between equal targets, because the two places of the reservoir
+	// aren't equally likely for each target.
 	if a < b || a == b && rng.IntN(2) == 0 {
 		return first
 	}
--- a/internal/passthrough/placement/placement_test.go
+++ b/internal/passthrough/placement/placement_test.go
@@ -25,14 +25,14 @@
 	return count
 }
 
-func TestNothingToPick(t *testing.T) {
+func TestPickWithoutTargets(t *testing.T) {
 	is := is.New(t)
 	_, ok := policy.Pick(rng(), nil)
 	is.Equal(ok, false)
 }
 
-// A slow target's requests pile up, and it gets next to none of the new flows.
-func TestSlowTarget(t *testing.T) {
+// Requests pile up at a slow target, and it must get next to none of the new flows.
+func TestSlowTargetGetsFewFlows(t *testing.T) {
 	targets := []Target{
 		{Near: true, Slots: 7, Running: 2, Mean: 2}, {Near: true, Slots: 7, Running: 2, Mean: 2},
 		{Near: true, Slots: 7, Running: 20, Mean: 15},
@@ -42,24 +42,24 @@
 	}
 }
 
-// A target that has just started takes longer for each request, and gets less
-// than one that is warm at the same load.
-func TestColdTarget(t *testing.T) {
+// A target that has just started takes longer for each request, and must get less than a
+// warm one at the same load.
+func TestColdTargetScoresHigher(t *testing.T) {
 	is := is.New(t)
 	cold, warm := Target{Slots: 4, Mean: 1, Cold: true}, Target{Slots: 4, Mean: 1}
 	is.True(policy.Score(&cold) > policy.Score(&warm))
 }
 
-// Flows that are idle just now count: a target that holds a hundred feeds isn't
-// preferred to one that holds ten, also where it runs a little less.
+// Idle flows must count: a target with a hundred feeds isn't preferred to one with ten,
+// even if it runs a little less.
 func TestIdleFlowsCount(t *testing.T) {
 	is := is.New(t)
 	many, few := Target{Near: true, Slots: 4, Flows: 100}, Target{Near: true, Slots: 4, Flows: 10, Mean: 1}
 	is.Equal(picks(t, []Target{many, few}, 100)[0], 0)
 }
 
-// Guards against targets that look saturated since they hold many long flows, though
-// their slots are free: callers then queue at the other service of their route.
+// Guards against targets that look saturated because they hold many long flows, though
+// their slots are free: callers would queue at the other service of their route.
 func TestIdleFlowsLeaveSlotsFree(t *testing.T) {
 	is := is.New(t)
 	idle := []Target{{Near: true, Slots: 2, Flows: 75, Mean: 0.5}, {Near: true, Slots: 2, Flows: 80, Mean: 0.5}}
@@ -68,9 +68,9 @@
 	is.True(policy.HasRoom(&idle[0]))
 }
 
-// The near data centre has room: nothing crosses. It is full and the other one
-// idle: flows cross. Both are full: they stay.
-func TestFarTargets(t *testing.T) {
+// While the near data centre has room, no flow crosses. If it is full and the other one
+// idle, flows cross. If both are full, they stay.
+func TestFarTargetsAreUsedOnlyWhenNearAreBusy(t *testing.T) {
 	is := is.New(t)
 	near, far := Target{Near: true, Slots: 4, Mean: 2}, Target{Slots: 4}
 	is.Equal(picks(t, []Target{near, far}, 100)[1], 0)
@@ -81,8 +81,8 @@
 	is.Equal(picks(t, []Target{far}, 10)[0], 10)
 }
 
-// Targets of the same load get the same share, wherever they stand in the list.
-func TestEqualTargets(t *testing.T) {
+// Targets with the same load must get the same share, whatever their place in the list.
+func TestEqualTargetsGetEqualShares(t *testing.T) {
 	targets := make([]Target, 8)
 	for i := range targets {
 		targets[i] = Target{Near: true, Slots: 4, Mean: 1}
@@ -94,8 +94,8 @@
 	}
 }
 
-// Work leaves its own service only when no target of it has a free slot, and only
-// for targets that keep half of theirs for their own service's flows.
+// Flows must go to another service only if no target of their own has a free slot, and
+// only to targets that keep half of their slots free for their own service.
 func TestOverflow(t *testing.T) {
 	is := is.New(t)
 	full, half := Target{Slots: 4, Mean: 4, Running: 9}, Target{Slots: 4, Mean: 3}
@@ -106,10 +106,10 @@
 	is.True(policy.HasRoom(&Target{Slots: 4, Mean: 1}))
 }
 
-// Two of four targets go down and up. What is sent to one while it is up dies with
-// it; they get nothing while the steady ones have a free slot, and then only what
-// they have room for. If all are unsteady, all are used.
-func TestUnsteadyTargetsGetTheOverflowOnly(t *testing.T) {
+// Two of four targets go down and up and lose what is sent to them. They must get nothing
+// while the steady targets have a free slot, and then only what they have room for. If
+// all targets are unsteady, all are used.
+func TestUnsteadyTargetsGetOverflowOnly(t *testing.T) {
 	is := is.New(t)
 	targets := []Target{
 		{Near: true, Slots: 4, Mean: 3}, {Near: true, Slots: 4, Mean: 3},
@@ -124,11 +124,11 @@
 	n = picks(t, targets, 100)
 	is.Equal(n[2]+n[3], 0)
 	n = picks(t, targets[2:], 100)
-	is.Equal(n[0], 100) // the near one
+	is.Equal(n[0], 100) // the near target
 }
 
-// A target of two slots that was idle at its last report was sent two flows since. It
-// is as full as one that reports two requests, and a third flow goes to another.
+// A target of two slots that was idle in its last report was sent two flows since. It is
+// as full as one that reports two requests, and a third flow must go to another.
 func TestFlowsSentSinceTheReportFillSlots(t *testing.T) {
 	is := is.New(t)
 	sent := Target{Near: true, Slots: 2, Sent: 2}
