--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,23 +1,23 @@
-// Package placement decides which other agent of the service gets a request that
-// this host can't run now. It has no network and no clock; loads and randomness
-// come in as arguments.
+// Package placement selects another agent of the service for a request that this host
+// can't run now. It does no network I/O and reads no clock; loads and the random source
+// are arguments.
 //
-// Load patterns and rules:
+// The load patterns and the rules that answer them:
 //
-//   - A burst on one host while others are idle, long work among short, a slow
-//     target: flows are spread by a hash, so one host may be full for seconds
-//     while its neighbours have free slots. Without hand-over its callers wait
-//     for nothing.
-//   - Lagging or lying load reports: hosts that look idle in a ten-second-old
-//     report get everybody's overflow at once. So a few peers are asked at the
-//     moment of need, and their agents answer with what they carry themselves.
-//   - Everybody choosing the best: of two peers drawn at random the better one
-//     is taken (power of two choices). Two draws are enough to avoid full hosts,
-//     and too few for all to pick the same one.
-//   - Distance: peers of the same data centre are asked first, others only where
-//     none of these has room.
-//   - Saturation: with no room anywhere a request stays where it is; moving it
-//     from queue to queue costs messages and gains nothing.
+//   - A burst on one host while others are idle, long requests among short ones, a slow
+//     target: flows are distributed by a hash, so one host may be full for seconds while
+//     others have free slots. Without handing requests over, its callers would wait
+//     needlessly.
+//   - Load reports that lag or are wrong: hosts that look idle in a ten-second-old report
+//     would get every host's overflow at once. Therefore a few peers are probed when the
+//     request arrives, and their agents answer with their present load.
+//   - Every host selecting the best peer: of two peers drawn at random the better one is
+//     taken (power of two choices). Two draws are enough to avoid full hosts, and too few
+//     for all hosts to select the same one.
+//   - Distance: peers in the same data centre are probed first, others only if none of
+//     these has room.
+//   - Saturation: if no peer has room, a request stays where it is; moving it from queue
+//     to queue costs messages and gains nothing.
 package placement
 
 import (
@@ -29,37 +29,38 @@
 )
 
 const (
-	// Draws is how many peers are asked at once; see docs/PLACEMENT.md.
+	// Draws is how many peers are probed at once; see docs/PLACEMENT.md.
 	Draws = 2
-	// From is the part of its slots at which a host begins to look for a peer
-	// with less to do; see docs/PLACEMENT.md.
+	// From is the fraction of its slots in use from which a host looks for a less loaded
+	// peer; see docs/PLACEMENT.md.
 	From = 0.5
 )
 
-// Peer is another agent that may get work.
+// Peer is another agent that a request may be handed to.
 type Peer struct {
 	Agent table.AgentNumber
-	// Near is set for peers of the same data centre.
+	// Near is set for peers in the same data centre.
 	Near bool
-	// Share is the peer's relative weight for new work (package slowstart).
+	// Share is the peer's relative weight for new requests (package slowstart).
 	Share float64
 }
 
-// Load is what a peer says about itself when asked.
+// Load is a peer's answer to a probe.
 type Load struct {
-	// Slots is its limit, Running and Waiting what is there now.
+	// Slots is the limit of running requests, Running and Waiting are the present
+	// numbers.
 	Slots, Running, Waiting int
-	// Hold is the mean time that a request keeps a slot there.
+	// Hold is the mean time that a request occupies a slot.
 	Hold time.Duration
-	// Closed is set by a peer that takes no new work.
+	// Closed is set by a peer that takes no new requests.
 	Closed bool
 }
 
-// Room tells whether a request would start at once.
+// Room reports whether a request would start at once.
 func (l Load) Room() bool { return !l.Closed && l.Waiting == 0 && l.Running < l.Slots }
 
-// Draw picks up to Draws peers to ask, by share, near ones only or far ones
-// only. tried peers are left out.
+// Draw draws up to Draws peers to probe, weighted by their share. It draws among the near
+// or among the far peers, and leaves out the peers in tried.
 func Draw(rng *rand.Rand, peers []Peer, near bool, tried []table.AgentNumber) []Peer {
 	return DrawUpTo(rng, peers, near, tried, Draws)
 }
@@ -74,15 +75,16 @@
 	}
 	var out []Peer
 	for len(out) < draws && len(fit) > 0 {
-		i := drawOne(rng, fit)
+		i := drawWeighted(rng, fit)
 		out = append(out, fit[i])
 		fit = append(fit[:i], fit[i+1:]...)
 	}
 	return out
 }
 
-// drawOne picks an index with a probability in proportion to the share.
-func drawOne(rng *rand.Rand, peers []Peer) int {
+// drawWeighted returns the index of a peer drawn with a probability proportional to its
+// share.
+func drawWeighted(rng *rand.Rand, peers []Peer) int {
 	sum := 0.0
 	for _, p := range peers {
 		sum += p.Share
@@ -97,34 +99,34 @@
 	return len(peers) - 1
 }
 
-// LookAround tells whether a host with this load asks peers about a new request,
-// though it may have a slot free.
+// LookAround reports whether a host with this load probes peers for a new request, even
+// if it has a free slot.
 func LookAround(home Load) bool { return LookAroundFrom(home, From) }
 
-// LookAroundFrom is LookAround from another part of the slots, for experiments.
+// LookAroundFrom is LookAround with another threshold, for experiments.
 func LookAroundFrom(home Load, from float64) bool {
 	return !home.Room() || float64(home.Running) >= from*float64(home.Slots)
 }
 
-// Best returns the index of the peer that promises the earliest answer among
-// those with room, -1 where none has. A home with room keeps the request unless
-// the peer promises better.
+// Best returns the index of the peer with the earliest expected answer among those with
+// room, -1 if none has room. If the home host has room, it returns -1 unless a peer is
+// expected to be faster.
 func Best(home Load, loads []Load) int {
 	best := -1
 	for i, l := range loads {
-		if l.Room() && (best < 0 || expected(l) < expected(loads[best])) {
+		if l.Room() && (best < 0 || expectedTime(l) < expectedTime(loads[best])) {
 			best = i
 		}
 	}
-	if best >= 0 && home.Room() && expected(loads[best]) >= expected(home) {
+	if best >= 0 && home.Room() && expectedTime(loads[best]) >= expectedTime(home) {
 		return -1
 	}
 	return best
 }
 
-// expected is the cost of one more request: the usual time there, more where
-// much runs already. A slow target shows in Hold, a busy one in Running.
-func expected(l Load) time.Duration {
+// expectedTime estimates the time for one more request: the mean time at the host, scaled
+// by its load. A slow target shows in Hold, a busy one in Running.
+func expectedTime(l Load) time.Duration {
 	hold := max(l.Hold, time.Millisecond)
 	return hold * time.Duration(l.Running+1) / time.Duration(max(l.Slots, 1))
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -10,7 +10,7 @@
 	"bergamotstall/internal/table"
 )
 
-func TestDrawKeepsToSharesAndDistance(t *testing.T) {
+func TestDrawFollowsSharesAndDistance(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
 	peers := []Peer{
@@ -20,7 +20,7 @@
 	first := map[table.AgentNumber]int{}
 	for range 2000 {
 		drawn := Draw(rng, peers, true, []table.AgentNumber{4})
-		is.Equal(len(drawn), 2) // 1 and 2: 3 has no share, 4 was tried, 5 is far
+		is.Equal(len(drawn), 2) // agents 1 and 2: 3 has no share, 4 was tried, 5 is far
 		first[drawn[0].Agent]++
 	}
 	is.True(first[1] > 1700 && first[1] < 1900)
@@ -28,9 +28,10 @@
 	is.Equal(Draw(rng, peers, false, nil), []Peer{peers[4]})
 }
 
-// A burst at home: a request stays while home has little to do, asks around from
-// half of the slots on, and moves only to who promises better.
-func TestBurstMovesOnlyToBetterPeers(t *testing.T) {
+// During a burst a request must stay at home while home has little load. From half of the
+// slots on peers are probed, and the request moves only to a peer that is expected to be
+// faster.
+func TestBurstMovesOnlyToFasterPeers(t *testing.T) {
 	is := is.New(t)
 	work := 50 * time.Millisecond
 	is.True(!LookAround(Load{Slots: 7, Running: 3}))
@@ -43,12 +44,12 @@
 
 	full := Load{Slots: 7, Running: 7, Hold: work}
 	is.Equal(Best(full, []Load{full, busy}), 1)
-	// Saturation: nobody has room, the request stays.
+	// Saturation: no host has room, and the request stays.
 	is.Equal(Best(full, []Load{full, {Slots: 7, Closed: true}}), -1)
 }
 
-// A slow target has a free slot, a quick one has less room: the quick one gets
-// the request, since its answer comes earlier.
+// A slow target has a free slot, a fast one has less room: the fast one must get the
+// request, because its answer comes earlier.
 func TestSlowTargetIsAvoided(t *testing.T) {
 	is := is.New(t)
 	slow := Load{Slots: 7, Running: 1, Hold: 400 * time.Millisecond}
