--- a/internal/steering/chooser_test.go
+++ b/internal/steering/chooser_test.go
@@ -19,10 +19,10 @@
 	return out
 }
 
-// uneven gives shares from 50 to 150.
-func uneven(i int) float64 { return 50 + float64(i*37%101) }
+// unevenShare returns shares from 50 to 150.
+func unevenShare(i int) float64 { return 50 + float64(i*37%101) }
 
-// pick is what both choosers under comparison can do.
+// pick is the lookup function of a chooser under comparison.
 type pick func(flow uint64) table.AgentNumber
 
 func rendezvous(c []Candidate) pick {
@@ -33,7 +33,7 @@
 	}
 }
 
-// tally counts the flows that each target gets, of a fixed sequence.
+// tallyFlows counts the flows that each target gets out of a fixed sequence.
 func tallyFlows(p pick, flows int) map[table.AgentNumber]int {
 	random := rand.New(rand.NewPCG(1, 2))
 	out := make(map[table.AgentNumber]int)
@@ -43,7 +43,8 @@
 	return out
 }
 
-// worstError is the largest relative distance of a target's flows from its share.
+// worstError returns the largest relative difference between a target's flows and its
+// share.
 func worstError(c []Candidate, p pick, flows int) float64 {
 	got := tallyFlows(p, flows)
 	sum := 0.0
@@ -58,8 +59,8 @@
 	return worst
 }
 
-// moved is the part of the flows that two choosers place differently.
-func moved(a, b pick, flows int) float64 {
+// movedFraction returns the fraction of the flows that two choosers place differently.
+func movedFraction(a, b pick, flows int) float64 {
 	random := rand.New(rand.NewPCG(3, 4))
 	n := 0
 	for range flows {
@@ -70,11 +71,11 @@
 	return float64(n) / float64(flows)
 }
 
-// New flows follow the shares: a target with twice the share gets twice the
-// flows, one without a share gets none.
+// New flows must follow the shares: a target with twice the share gets twice the flows,
+// one without a share gets none.
 func TestNewFlowsFollowShares(t *testing.T) {
 	is := is.New(t)
-	c := candidates(7, uneven)
+	c := candidates(7, unevenShare)
 	c = append(c, Candidate{Agent: 8})
 	p := rendezvous(c)
 	is.Equal(tallyFlows(p, 1000)[8], 0)
@@ -83,11 +84,11 @@
 	is.True(!ok)
 }
 
-// A target that leaves gives its own flows up and moves nobody else's; the flows
-// that it gave up go where After says.
-func TestOnlyTheLeaversFlowsMove(t *testing.T) {
+// When a target leaves, only its own flows may move, each to the target that After
+// returns.
+func TestOnlyFlowsOfALeavingTargetMove(t *testing.T) {
 	is := is.New(t)
-	c := candidates(20, uneven)
+	c := candidates(20, unevenShare)
 	before, after := NewChooser(c), NewChooser(c[1:])
 	random := rand.New(rand.NewPCG(5, 6))
 	for range 10_000 {
@@ -103,10 +104,10 @@
 	}
 }
 
-// A flow that each target refuses in turn meets every target once.
-func TestAfterWalksAllTargetsOnce(t *testing.T) {
+// A flow that each target refuses in turn must try every target once.
+func TestAfterReturnsAllTargetsOnce(t *testing.T) {
 	is := is.New(t)
-	c := NewChooser(candidates(9, uneven))
+	c := NewChooser(candidates(9, unevenShare))
 	seen := make(map[table.AgentNumber]bool)
 	agent, ok := c.Choose(77)
 	for ; ok; agent, ok = c.After(77, agent) {
@@ -116,12 +117,12 @@
 	is.Equal(len(seen), c.Len())
 }
 
-// BenchmarkChoosers compares weighted rendezvous with a Maglev table at three
-// sizes: time to build and to look up, memory, the worst error against the
-// shares, and the part of the flows moved by one target that leaves.
+// BenchmarkChoosers compares weighted rendezvous hashing with a Maglev table at three
+// sizes: time to build and to look up, memory, the worst error against the shares, and
+// the fraction of flows that move when one target leaves.
 func BenchmarkChoosers(b *testing.B) {
 	for _, n := range []int{7, 100, 1000} {
-		c := candidates(n, uneven)
+		c := candidates(n, unevenShare)
 		b.Run(fmt.Sprintf("rendezvous/%d", n), func(b *testing.B) {
 			compare(b, c, rendezvous, n*24)
 		})
@@ -151,7 +152,7 @@
 			p(mix(f))
 		}
 		b.ReportMetric(100*worstError(c, p, flows), "worst-error-%")
-		b.ReportMetric(100*moved(p, build(c[1:]), flows), "moved-%")
+		b.ReportMetric(100*movedFraction(p, build(c[1:]), flows), "moved-%")
 		b.ReportMetric(100*c[0].Share/total(c), "moved-ideal-%")
 	})
 }
--- a/internal/steering/header.go
+++ b/internal/steering/header.go
@@ -2,18 +2,17 @@
 
 import "bergamotstall/internal/connid"
 
-// Shape is what QUIC promises never to change about a packet (RFC 8999): the
-// form bit, the version, and the destination connection ID.
+// Shape is the version-independent part of a QUIC packet (RFC 8999): the header form bit,
+// the version and the destination connection ID.
 type Shape struct {
-	// Long is set for packets that open a flow or finish its handshake.
+	// Long is set for a long header: the packet opens a flow or belongs to its handshake.
 	Long    bool
 	Version uint32
-	// Destination is the connection ID that the packet is meant for. It is a
-	// part of the packet.
+	// Destination is the destination connection ID, a slice of the packet.
 	Destination []byte
-	// Opening is set for first flights, Initial and 0-RTT, in versions 1 and 2;
-	// of other versions it is set for every long header, as the agent answers
-	// them with version negotiation.
+	// Opening is set for Initial and 0-RTT packets of versions 1 and 2, and for every
+	// long header of other versions, because the agent answers these with version
+	// negotiation.
 	Opening bool
 }
 
@@ -26,8 +25,8 @@
 	typeMask      = 0x03
 )
 
-// ReadShape reads the invariant part of a packet, and returns false for one
-// that has none.
+// ReadShape reads the version-independent part of a packet. It returns false if the
+// packet is too short.
 func ReadShape(packet []byte, shape *Shape) bool {
 	if len(packet) == 0 {
 		return false
@@ -64,7 +63,8 @@
 	return true
 }
 
-// opening judges the packet type. Version 2 shifts the types by one.
+// opening reports whether a packet type opens a flow. In version 2 the types are shifted
+// by one (RFC 9369).
 func opening(version uint32, kind byte) bool {
 	switch version {
 	case version1:
--- a/internal/steering/maglev_test.go
+++ b/internal/steering/maglev_test.go
@@ -2,15 +2,15 @@
 
 import "bergamotstall/internal/table"
 
-// maglev is the lookup table of Eisenbud et al. (NSDI 2016) with shares, kept
-// here for the comparison that chose the rendezvous.
+// maglev is the lookup table of Eisenbud et al. (NSDI 2016), extended by shares. It is
+// the alternative that the rendezvous chooser is compared with.
 type maglev struct {
 	table []uint16
 	names []table.AgentNumber
 }
 
-// maglevSize is a prime of about a hundred entries for each target, as the paper
-// advises for an error of a percent.
+// maglevSize returns a prime of about a hundred entries for each target, as the paper
+// advises for an error of one percent.
 func maglevSize(targets int) int {
 	switch {
 	case targets <= 10:
--- a/internal/steering/map.go
+++ b/internal/steering/map.go
@@ -14,36 +14,35 @@
 	"bergamotstall/internal/table"
 )
 
-// Agent is what steering knows of one agent.
+// Agent is an agent as known to steering.
 type Agent struct {
 	Number  table.AgentNumber
 	Service table.ServiceID
-	// Tunnel is where its envelopes go.
+	// Tunnel is the address for its envelopes.
 	Tunnel netip.AddrPort
 	State  table.State
-	// Reach is what is known of its answers. It outlives the table.
+	// Reach records whether the agent answers. It is carried over to newer tables.
 	Reach *reachability.Record
 }
 
-// Service is one service, ready for steering.
+// Service is a service compiled for steering.
 type Service struct {
 	ID      table.ServiceID
 	Name    string
 	Address netip.AddrPort
-	// Limit bounds the open flows of one target; 0 leaves it to the target's
-	// own limit.
+	// Limit bounds the open flows of one target; 0 leaves the bound to the target.
 	Limit int
 
 	chooser *Chooser
-	// fallback chooses among all live agents, where none is active.
+	// fallback chooses among all live agents. It is used if none is active.
 	fallback *Chooser
 }
 
-// Map is a table compiled for steering. It is read-only; a newer table gives a
-// new one.
+// Map is a table compiled for steering. It is read-only; a newer table is compiled to a
+// new Map.
 type Map struct {
 	Revision table.Revision
-	// Generation is that of the keys that sign and encrypt.
+	// Generation is the generation of the keys for signing and encryption.
 	Generation uint8
 	ConnIDs    *connid.Ring
 	Envelopes  *envelope.Ring
@@ -51,7 +50,7 @@
 	Balancers  []netip.AddrPort
 
 	table *table.Table
-	// step is the time that the shares were taken at.
+	// step is the time step, in units of stepMS, at which the shares were computed.
 	step     int64
 	services map[table.ServiceID]*Service
 	agents   map[table.AgentNumber]*Agent
@@ -62,15 +61,15 @@
 const hashKeySize = 16
 
 var (
-	// ErrHashKey is returned for a placement key of the wrong length.
+	// ErrHashKey is returned for a flow hash key of the wrong length.
 	ErrHashKey = errors.New("steering: hash key must have 16 bytes")
 	// ErrAddress is returned for an address that isn't "ip:port".
-	ErrAddress = errors.New("steering: bad address")
+	ErrAddress = errors.New("steering: address must be \"ip:port\"")
 )
 
-// Compile prepares a table, with the shares that targets have at the given time.
-// What old, which may be nil, knows of agents' answers is taken over. A table
-// that can't be steered by is refused whole.
+// Compile compiles a table with the targets' shares at the given time. The reachability
+// records are taken over from old, which may be nil. If any part of the table is invalid,
+// Compile returns an error and no Map.
 func Compile(t *table.Table, now time.Time, old *Map) (*Map, error) {
 	m := &Map{
 		Revision: t.Revision,
@@ -111,10 +110,10 @@
 	m.k0 = binary.LittleEndian.Uint64(current.Hash)
 	m.k1 = binary.LittleEndian.Uint64(current.Hash[8:])
 	if m.ConnIDs, err = connid.NewRing(t.Keys); err != nil {
-		return errors.Wrap(err, "steering: keys")
+		return errors.Wrap(err, "steering: build key ring")
 	}
 	if m.Envelopes, err = envelope.NewRing(t.Keys); err != nil {
-		return errors.Wrap(err, "steering: keys")
+		return errors.Wrap(err, "steering: build key ring")
 	}
 	return nil
 }
@@ -156,13 +155,13 @@
 	return nil
 }
 
-// Agent returns what is known of an agent.
+// Agent returns the agent with the given number.
 func (m *Map) Agent(number table.AgentNumber) (*Agent, bool) {
 	a, ok := m.agents[number]
 	return a, ok
 }
 
-// record returns what is known of an agent's answers.
+// record returns an agent's reachability record, a new one if the agent is unknown.
 func (m *Map) record(number table.AgentNumber) *reachability.Record {
 	if m != nil {
 		if a, ok := m.agents[number]; ok {
@@ -172,7 +171,7 @@
 	return new(reachability.Record)
 }
 
-// Probes calls send for each agent that is due a probe.
+// Probes calls send for each agent that is due for a probe.
 func (m *Map) Probes(now time.Time, send func(*Agent)) {
 	for _, a := range m.agents {
 		if a.State != table.Retired && a.Reach.Judge(now) {
@@ -181,8 +180,8 @@
 	}
 }
 
-// Newest returns the highest agent number of the table. Control gives numbers
-// out in rising order, so that a higher one belongs to a newer table.
+// Newest returns the highest agent number of the table. Control assigns rising numbers,
+// so a higher one belongs to a newer table.
 func (m *Map) Newest() table.AgentNumber { return m.newest }
 
 // ServiceNamed returns the service with the given name.
@@ -201,19 +200,19 @@
 	return s, ok
 }
 
-// Chooser returns the service's chooser of new flows.
+// Chooser returns the chooser of the service's new flows.
 func (s *Service) Chooser() *Chooser { return s.chooser }
 
 const flowKeySize = 20 + 16 + 2
 
-// FlowKey hashes what marks a new flow: the connection ID that the caller made
-// up and its address. The hash is keyed, so that a caller can't aim all its
-// flows at one target.
+// FlowKey hashes the connection ID that the caller generated for a new flow, and the
+// caller's address. The hash is keyed, so that a caller can't direct all its flows to one
+// target.
 func (m *Map) FlowKey(destination []byte, caller netip.AddrPort) uint64 {
 	return HashFlow(m.k0, m.k1, destination, caller)
 }
 
-// HashFlow is FlowKey under any key.
+// HashFlow is FlowKey with an explicit key.
 func HashFlow(k0, k1 uint64, destination []byte, caller netip.AddrPort) uint64 {
 	var raw [flowKeySize]byte
 	n := copy(raw[:20], destination)
--- a/internal/steering/route.go
+++ b/internal/steering/route.go
@@ -1,12 +1,11 @@
-// Package steering decides where a caller's packet goes, from the packet and the
-// table alone. A balancer keeps no table of flows: the fabric may hand any
-// packet to any balancer, and the budget for control traffic is too small to
-// tell the others of each flow.
+// Package steering decides where a caller's packet goes, from the packet and the table
+// alone. A balancer keeps no flow table: the fabric may send any packet to any balancer,
+// and the budget for control traffic is too small to announce each flow to the others.
 //
-// Pattern of load it answers: thousands of new flows a second and hundreds of
-// thousands open ones over balancers that die, join and lag behind each other's
-// tables. Without the agent's number in the packet, each change of the table
-// would move open flows to targets that don't know them.
+// The expected load is thousands of new flows a second and hundreds of thousands of open
+// ones, over balancers that fail, join, and have different versions of the table.
+// Therefore packets carry the agent's number. Without it, each change of the table would
+// move open flows to targets that don't know them.
 package steering
 
 import (
@@ -16,38 +15,38 @@
 	"bergamotstall/internal/table"
 )
 
-// Outcome is what steering made of a packet. Those from DropMalformed on are
+// Outcome is the result of routing a packet. From DropMalformed on the outcomes are
 // drops.
 type Outcome uint8
 
 const (
 	// Named packets carry the number of an agent that the table knows.
 	Named Outcome = iota
-	// New packets open a flow and went to the flow's choice.
+	// New packets open a flow and went to its first choice.
 	New
-	// NewAvoiding packets open a flow whose choice doesn't answer; they went to
-	// the next in the flow's order that does.
+	// NewAvoiding packets open a flow whose first choice doesn't answer; they went to the
+	// next agent in the flow's order that does.
 	NewAvoiding
-	// Behind packets name an agent or a key that this table doesn't know; they
-	// go to any live agent of the service, which may know more.
+	// Behind packets carry an agent number or key generation that this table doesn't
+	// know; they went to any live agent of the service, which may have a newer table.
 	Behind
-	// Gone packets name a retired agent; they go to any live agent of the
-	// service, which answers with a stateless reset.
+	// Gone packets carry the number of a retired agent; they went to any live agent of
+	// the service, which answers with a stateless reset.
 	Gone
-	// Unreachable packets name an agent that doesn't answer; they go to another
-	// of the service, which finds out for itself and answers with a stateless
-	// reset where it comes to the same.
+	// Unreachable packets carry the number of an agent that doesn't answer; they went to
+	// another agent of the service, which checks this itself and, if it agrees, answers
+	// with a stateless reset.
 	Unreachable
 	// DropMalformed packets aren't QUIC.
 	DropMalformed
-	// DropForeign packets belong to no flow of ours and open none.
+	// DropForeign packets belong to none of our flows and don't open one.
 	DropForeign
-	// DropOtherService packets name an agent of another service than the one
-	// whose address they came to.
+	// DropOtherService packets carry the number of an agent of another service than the
+	// one that they were addressed to.
 	DropOtherService
 	// DropNoTarget packets found no live agent.
 	DropNoTarget
-	// DropOversize packets don't fit the envelope.
+	// DropOversize packets are too large for the envelope.
 	DropOversize
 
 	outcomes
@@ -64,19 +63,19 @@
 // String returns the outcome's name in counters.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Dropped tells whether the packet goes nowhere.
+// Dropped reports whether the packet is dropped.
 func (o Outcome) Dropped() bool { return o >= DropMalformed }
 
-// Router routes packets for one goroutine.
+// Router routes packets. It must be used by one goroutine only.
 type Router struct {
 	scratch connid.Scratch
 	shape   Shape
-	// Avoided is the agent that the last NewAvoiding packet was kept from.
+	// Avoided is the agent that was the first choice of the last NewAvoiding packet.
 	Avoided table.AgentNumber
 }
 
-// Route returns the agent that a packet to the service goes to, nil where it is
-// dropped. It allocates nothing.
+// Route returns the agent that a packet to the service is sent to, or nil if it is
+// dropped. It doesn't allocate memory.
 func (r *Router) Route(m *Map, s *Service, caller netip.AddrPort, packet []byte) (*Agent, Outcome) {
 	if !ReadShape(packet, &r.shape) {
 		return nil, DropMalformed
@@ -86,9 +85,9 @@
 	case origin == connid.Ours:
 		return r.established(m, s, caller, number)
 	case r.shape.Opening:
-		return r.any(m, s, caller, New)
+		return r.choose(m, s, caller, New)
 	case origin == connid.UnknownGeneration:
-		return r.any(m, s, caller, Behind)
+		return r.choose(m, s, caller, Behind)
 	}
 	return nil, DropForeign
 }
@@ -97,20 +96,20 @@
 	agent, ok := m.Agent(number)
 	switch {
 	case !ok:
-		return r.any(m, s, caller, Behind)
+		return r.choose(m, s, caller, Behind)
 	case agent.Service != s.ID:
 		return nil, DropOtherService
 	case agent.State == table.Retired:
-		return r.any(m, s, caller, Gone)
+		return r.choose(m, s, caller, Gone)
 	case agent.Reach.Down():
-		return r.any(m, s, caller, Unreachable)
+		return r.choose(m, s, caller, Unreachable)
 	}
 	return agent, Named
 }
 
-// any picks the flow's choice among the active agents that answer; a packet that
-// opens no flow may go to a draining one too.
-func (r *Router) any(m *Map, s *Service, caller netip.AddrPort, outcome Outcome) (*Agent, Outcome) {
+// choose returns the first active agent in the flow's order that answers. A packet that
+// doesn't open a flow may also go to a draining agent.
+func (r *Router) choose(m *Map, s *Service, caller netip.AddrPort, outcome Outcome) (*Agent, Outcome) {
 	key := m.FlowKey(r.shape.Destination, caller)
 	first, agent := m.answering(s.chooser, key)
 	if agent == nil && outcome != New {
@@ -126,9 +125,9 @@
 	return agent, outcome
 }
 
-// answering returns the first agent in a flow's order, and the first that isn't
-// judged unreachable. Where all are, that is the first of all: the judgement may
-// be wrong.
+// answering returns the first agent in a flow's order, and the first that isn't judged
+// unreachable. If all are judged unreachable, it returns the first agent twice, because
+// the judgement may be wrong.
 func (m *Map) answering(c *Chooser, key uint64) (first, agent *Agent) {
 	number, ok := c.Choose(key)
 	if !ok {
--- a/internal/steering/route_test.go
+++ b/internal/steering/route_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// settled is long after all changes of the tables here.
+// settled is long after all changes in the tables here.
 var settled = time.Unix(1_000_000, 0)
 
 var someCaller = netip.MustParseAddrPort("192.0.2.7:4444")
@@ -35,8 +35,8 @@
 	return table.KeySet{Generation: generation, ConnID: fill(16), Envelope: fill(32), Reset: fill(32), Token: fill(32), Hash: fill(16)}
 }
 
-// twoServices has agents 1 to 3 for service 1, of which 3 is retired, and agent 4
-// for service 2.
+// twoServices returns a table with agents 1 to 3 for service 1, of which 3 is retired,
+// and agent 4 for service 2.
 func twoServices() *table.Table {
 	return &table.Table{
 		Revision: 5,
@@ -70,13 +70,13 @@
 	return append(out, append(destination, make([]byte, 1200)...)...)
 }
 
-// Each kind of packet goes where its flow is, or to somebody who can say more,
-// or nowhere for a reason that is counted.
-func TestRouteByKindOfPacket(t *testing.T) {
+// Each kind of packet must go to its flow's agent, or to another agent that can answer
+// it, or be dropped for a reason that is counted.
+func TestRouteByPacketKind(t *testing.T) {
 	is := is.New(t)
 	m := compiled(is, twoServices())
 	desk, _ := m.ServiceNamed("desk")
-	theirs := []byte{9, 9, 9, 9, 9, 9, 9, 9}
+	callerID := []byte{9, 9, 9, 9, 9, 9, 9, 9}
 	foreign := make([]byte, 17)
 	foreign[0] = 1
 	unknown := make([]byte, 17)
@@ -91,15 +91,15 @@
 		{"flow of a draining agent", shortPacket(m, 2), 2, Named},
 		{"flow of a retired agent", shortPacket(m, 3), 1, Gone},
 		{"flow of an agent of another service", shortPacket(m, 4), 0, DropOtherService},
-		{"flow of an agent that came later", shortPacket(m, 77), 1, Behind},
-		{"first packet", longPacket(0xc0, theirs), 1, New},
-		{"0-RTT packet", longPacket(0xd0, theirs), 1, New},
-		{"handshake packet of nobody's flow", longPacket(0xe0, theirs), 0, DropForeign},
-		{"short packet of nobody's flow", append([]byte{0x40}, append(foreign, 1, 2, 3)...), 0, DropForeign},
+		{"flow of an agent of a newer table", shortPacket(m, 77), 1, Behind},
+		{"first packet", longPacket(0xc0, callerID), 1, New},
+		{"0-RTT packet", longPacket(0xd0, callerID), 1, New},
+		{"handshake packet of an unknown flow", longPacket(0xe0, callerID), 0, DropForeign},
+		{"short packet of an unknown flow", append([]byte{0x40}, append(foreign, 1, 2, 3)...), 0, DropForeign},
 		{"short packet under a newer key", append([]byte{0x40}, append(unknown, 1, 2, 3)...), 1, Behind},
 		{"empty", nil, 0, DropMalformed},
-		{"cut in the connection ID", shortPacket(m, 1)[:10], 0, DropMalformed},
-		{"long, cut", longPacket(0xc0, theirs)[:9], 0, DropMalformed},
+		{"truncated connection ID", shortPacket(m, 1)[:10], 0, DropMalformed},
+		{"truncated long packet", longPacket(0xc0, callerID)[:9], 0, DropMalformed},
 	} {
 		var r Router
 		agent, outcome := r.Route(m, desk, someCaller, x.packet)
@@ -109,19 +109,19 @@
 	}
 }
 
-// New flows avoid an agent that doesn't answer, and its open flows' packets go
-// to another; where nobody answers, the judgement is not believed.
+// New flows must avoid an agent that doesn't answer, and packets of its open flows must
+// go to another. If no agent answers, the judgement is ignored.
 func TestRouteAroundUnreachableAgent(t *testing.T) {
 	is := is.New(t)
 	tab := twoServices()
 	tab.Targets[1].State = table.Active
 	m := compiled(is, tab)
 	desk, _ := m.ServiceNamed("desk")
-	silence := func(number table.AgentNumber) {
+	markUnreachable := func(number table.AgentNumber) {
 		a, _ := m.Agent(number)
 		a.Reach.GiveUp()
 	}
-	silence(1)
+	markUnreachable(1)
 	var r Router
 	avoided := 0
 	for i := range byte(50) {
@@ -131,24 +131,24 @@
 			avoided++
 		}
 	}
-	is.True(avoided > 10 && avoided < 40) // only those whose choice was agent 1
+	is.True(avoided > 10 && avoided < 40) // only those whose first choice was agent 1
 	agent, outcome := r.Route(m, desk, someCaller, shortPacket(m, 1))
 	is.Equal(agent.Number, table.AgentNumber(2))
 	is.Equal(outcome, Unreachable)
 
-	// A newer table keeps what is known.
+	// A newer table keeps the reachability records.
 	tab.Revision++
 	newer, err := Compile(tab, settled, m)
 	is.NoErr(err)
 	same, _ := newer.Agent(1)
 	is.True(same.Reach.Down())
 
-	silence(2)
+	markUnreachable(2)
 	_, outcome = r.Route(m, desk, someCaller, longPacket(0xc0, []byte{1, 2, 3, 4, 5, 6, 7, 8}))
 	is.Equal(outcome, New)
 }
 
-// Arbitrary bytes are routed or dropped, never more.
+// Arbitrary bytes must be routed or dropped without a panic.
 func TestRouteTakesArbitraryBytes(t *testing.T) {
 	m := compiled(is.New(t), twoServices())
 	desk, _ := m.ServiceNamed("desk")
@@ -162,10 +162,11 @@
 	})
 }
 
-// A table that can't be steered by is refused whole, so that the one before stays.
-func TestCompileRefusesBadTables(t *testing.T) {
+// A table with an invalid part must be refused as a whole, so that the previous table
+// stays in use.
+func TestCompileRefusesInvalidTables(t *testing.T) {
 	is := is.New(t)
-	for name, spoil := range map[string]func(*table.Table){
+	for name, invalidate := range map[string]func(*table.Table){
 		"no keys":          func(x *table.Table) { x.Keys = nil },
 		"short ID key":     func(x *table.Table) { x.Keys[0].ConnID = []byte{1} },
 		"short MAC key":    func(x *table.Table) { x.Keys[0].Envelope = []byte{1} },
@@ -175,7 +176,7 @@
 		"balancer address": func(x *table.Table) { x.Balancers = []table.Balancer{{Name: "b", Tunnel: "b"}} },
 	} {
 		tab := twoServices()
-		spoil(tab)
+		invalidate(tab)
 		if _, err := Compile(tab, settled, nil); err == nil {
 			t.Errorf("%s: accepted", name)
 		}
@@ -184,7 +185,7 @@
 	is.NoErr(err)
 }
 
-// A packet costs no allocation, whatever its kind.
+// Routing a packet of any kind must not allocate memory.
 func TestRouteAllocatesNothing(t *testing.T) {
 	is := is.New(t)
 	m := compiled(is, twoServices())
@@ -215,10 +216,10 @@
 	}
 }
 
-// A target that joins gets a tenth of its share at first and the whole of it ten
-// seconds later, though no newer table comes; flows of services without a change
-// are placed as before.
-func TestSharesMoveWithoutANewTable(t *testing.T) {
+// A target that joins must get a tenth of its share at first and all of it ten seconds
+// later without a newer table. Flows of services without a change must be placed as
+// before.
+func TestSharesChangeWithoutANewTable(t *testing.T) {
 	is := is.New(t)
 	tab := twoServices()
 	tab.Targets[1].State = table.Active
@@ -248,8 +249,8 @@
 	is.True(ok && again.Chooser().Len() == 2)
 }
 
-// BenchmarkCompile and BenchmarkReshare have a table of 12,000 hosts and 2,100
-// services, of which one has a target that joined.
+// BenchmarkCompile and BenchmarkReshare use a table of 12,000 hosts and 2,100 services,
+// one of which has a target that has just joined.
 func BenchmarkCompile(b *testing.B) {
 	tab := largeTable()
 	b.ReportAllocs()
@@ -290,8 +291,8 @@
 	return t
 }
 
-// BenchmarkReshareAll is a step of the shift after a switch of preset that
-// changes every target's weight.
+// BenchmarkReshareAll measures one time step after a switch of presets that changes every
+// target's weight.
 func BenchmarkReshareAll(b *testing.B) {
 	tab := largeTable()
 	for i := range tab.Targets {
--- a/internal/steering/shares.go
+++ b/internal/steering/shares.go
@@ -8,10 +8,10 @@
 	"bergamotstall/internal/table"
 )
 
-// stepMS is how often shares that move are taken anew, in milliseconds. All
-// processes take them at the same steps of the clock, so that they place a flow
-// alike as far as their clocks agree. At six steps a preset shift moves a sixth
-// of its flows at a time.
+// stepMS is the interval at which changing shares are recomputed, in milliseconds. All
+// processes use the same steps of the wall clock, so that they place a flow alike as far
+// as their clocks agree. A change of preset takes six steps, each of which moves a sixth
+// of its flows.
 const stepMS = 500
 
 func stepAt(now time.Time) int64 { return now.UnixMilli() / stepMS }
@@ -41,38 +41,37 @@
 	}
 }
 
-// Reshare returns the map with the shares of the given time, or the same map
-// where none has moved. Only the choosers of services with a moving target are
-// built anew.
+// Reshare returns the map with the shares at the given time, or the same map if none has
+// changed. Only the choosers of services with a changing share are rebuilt.
 func (m *Map) Reshare(now time.Time) *Map {
 	step := stepAt(now)
 	if step <= m.step {
 		return m
 	}
-	moving := m.moving()
-	if len(moving) == 0 {
+	changing := m.changingServices()
+	if len(changing) == 0 {
 		return m
 	}
 	out := *m
 	out.step = step
 	out.Services = slices.Clone(m.Services)
 	out.services = make(map[table.ServiceID]*Service, len(m.services))
-	var fresh []*Service
+	var rebuilt []*Service
 	for i, s := range out.Services {
-		if moving[s.ID] {
+		if changing[s.ID] {
 			s = &Service{ID: s.ID, Name: s.Name, Address: s.Address, Limit: s.Limit}
 			out.Services[i] = s
-			fresh = append(fresh, s)
+			rebuilt = append(rebuilt, s)
 		}
 		out.services[s.ID] = s
 	}
-	out.setChoosers(fresh)
+	out.setChoosers(rebuilt)
 	return &out
 }
 
-// moving returns the services with a target whose share wasn't at its end at the
-// map's step.
-func (m *Map) moving() map[table.ServiceID]bool {
+// changingServices returns the services with a target whose share was still changing at
+// the map's step.
+func (m *Map) changingServices() map[table.ServiceID]bool {
 	var out map[table.ServiceID]bool
 	at := m.step * stepMS
 	for i := range m.table.Targets {
