--- a/internal/passthrough/flowlog/cost_test.go
+++ b/internal/passthrough/flowlog/cost_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// BenchmarkRecord measures what a flow takes in the file.
+// BenchmarkRecord measures the size of a flow's record in the file.
 func BenchmarkRecord(b *testing.B) {
 	u := Update{Agent: "10.1.0.10:7722", Target: "i-7f3a91c2", Born: 1_700_000_000_000}
 	for port := range uint16(1000) {
--- a/internal/passthrough/flowlog/file.go
+++ b/internal/passthrough/flowlog/file.go
@@ -18,21 +18,20 @@
 )
 
 const (
-	// writeInterval is how often what agents told is written and synced: a sync
-	// takes 2 ms of the replica's disk, and flows younger than this are the ones
-	// that a power cut takes from the list.
+	// writeInterval is how often updates are written and synced. A sync takes 2 ms of the
+	// replica's disk; a power cut loses the updates of the last interval.
 	writeInterval = 500 * time.Millisecond
-	// rewriteSize is the size from which on the file is written anew with what is
-	// held: an eighth of a small disk at most.
+	// rewriteSize is the size at which the file is rewritten with the current flows only:
+	// at most an eighth of a small disk.
 	rewriteSize = 4 << 20
-	// queueBytes bounds what waits to be written while the disk hangs.
-	queueBytes = 8 << 20
-	frameHead  = 8
-	fileName   = "flows"
+	// maxPendingBytes bounds the updates that wait to be written while the disk hangs.
+	maxPendingBytes = 8 << 20
+	frameHeaderSize = 8
+	fileName        = "flows"
 )
 
-// Log is a Store with a file. Nothing waits for the disk: while it is slow, full
-// or hangs, the file falls behind, and the store goes on.
+// Log is a Store with a file. No call waits for the disk: while it is slow, full or
+// hangs, the file falls behind and the store continues.
 type Log struct {
 	*Store
 	path    string
@@ -41,15 +40,16 @@
 
 	mu      sync.Mutex
 	pending []byte
-	// stale says that updates were left out of the file.
+	// stale is set when the file lacks updates and must be rewritten.
 	stale bool
 	size  int64
 }
 
-// Open reads the folder's file, or begins one. A damaged tail is left out.
+// Open reads the file in the folder, or starts a new one. A damaged end of the file is
+// skipped.
 func Open(folder string, log logrus.FieldLogger, m *metrics.Set) (*Log, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
-		return nil, errors.Wrap(err, "flowlog: folder")
+		return nil, errors.Wrap(err, "flowlog: create folder")
 	}
 	l := &Log{Store: NewStore(), path: filepath.Join(folder, fileName), log: log, metrics: m, stale: true}
 	data, err := os.ReadFile(l.path)
@@ -62,21 +62,21 @@
 
 // replay applies the frames of a file up to the first damaged one.
 func (l *Log) replay(data []byte) {
-	for len(data) >= frameHead {
+	for len(data) >= frameHeaderSize {
 		size := int(binary.BigEndian.Uint32(data))
 		sum := binary.BigEndian.Uint32(data[4:])
-		if size > len(data)-frameHead || crc32.ChecksumIEEE(data[frameHead:frameHead+size]) != sum {
+		if size > len(data)-frameHeaderSize || crc32.ChecksumIEEE(data[frameHeaderSize:frameHeaderSize+size]) != sum {
 			break
 		}
 		var u Update
-		if _, err := u.UnmarshalMsg(data[frameHead : frameHead+size]); err != nil {
+		if _, err := u.UnmarshalMsg(data[frameHeaderSize : frameHeaderSize+size]); err != nil {
 			break
 		}
 		l.Store.Apply(u)
-		data = data[frameHead+size:]
+		data = data[frameHeaderSize+size:]
 	}
 	if len(data) > 0 {
-		l.log.WithField("bytes", len(data)).Warn("flowlog: damaged tail left out")
+		l.log.WithField("bytes", len(data)).Warn("flowlog: skipped the damaged end of the file")
 	}
 }
 
@@ -90,24 +90,24 @@
 	return append(to, body...), nil
 }
 
-// Apply takes an update; it is on disk a little later.
+// Apply applies an update to the store and queues it for the file.
 func (l *Log) Apply(u Update) {
 	l.Store.Apply(u)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.pending) > queueBytes {
+	if len(l.pending) > maxPendingBytes {
 		l.stale = true
 		return
 	}
 	next, err := appendFrame(l.pending, &u)
 	if err != nil {
-		l.log.WithError(err).Error("flowlog: update left out")
+		l.log.WithError(err).Error("flowlog: update can't be encoded; the file lacks it")
 		return
 	}
 	l.pending = next
 }
 
-// Run writes until ctx is done, and once more then.
+// Run writes until ctx is done, and then once more.
 func (l *Log) Run(ctx context.Context) {
 	ticker := time.NewTicker(writeInterval)
 	defer ticker.Stop()
@@ -118,7 +118,7 @@
 		}
 		if err := l.write(); err != nil {
 			l.metrics.Counter("flowlog_write_failed").Add(1)
-			l.log.WithError(err).Debug("flowlog: write")
+			l.log.WithError(err).Debug("flowlog: write failed; the file will be rewritten")
 		}
 		if ctx.Err() != nil {
 			return
@@ -126,8 +126,8 @@
 	}
 }
 
-// write brings the file up to date: by a frame for each update, or, after some
-// were left out and once it has grown, whole.
+// write brings the file up to date: it appends a frame for each update, or rewrites the
+// file if updates are missing or the file has grown too large.
 func (l *Log) write() error {
 	l.mu.Lock()
 	pending := l.pending
@@ -138,16 +138,16 @@
 	if len(pending) == 0 && !whole {
 		return nil
 	}
-	err := l.put(pending, whole)
+	err := l.appendOrRewrite(pending, whole)
 	if err != nil {
 		l.mu.Lock()
-		l.stale = true // whatever is in the file now
+		l.stale = true // the content of the file is unknown
 		l.mu.Unlock()
 	}
 	return err
 }
 
-func (l *Log) put(pending []byte, whole bool) error {
+func (l *Log) appendOrRewrite(pending []byte, whole bool) error {
 	if whole {
 		return l.rewrite()
 	}
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// rewrite replaces the file by what is held.
+// rewrite replaces the file by the current content of the store.
 func (l *Log) rewrite() error {
 	var data []byte
 	for _, u := range l.All() {
@@ -179,8 +179,8 @@
 	if err := renameio.WriteFile(l.path, data, 0o600); err != nil {
 		return errors.Wrap(err, "flowlog: rewrite")
 	}
-	// The name lasts only once its folder is synced: a power cut could take the
-	// whole file otherwise, however often it was synced itself.
+	// A new name is durable only after its folder is synced. Without it a power cut could
+	// remove the whole file, however often the file itself was synced.
 	if err := (journal.Disk{}).SyncDir(filepath.Dir(l.path)); err != nil {
 		return errors.Wrap(err, "flowlog: sync folder")
 	}
--- a/internal/passthrough/flowlog/flowlog.go
+++ b/internal/passthrough/flowlog/flowlog.go
@@ -1,15 +1,15 @@
-// Package flowlog keeps on a control VM's disk which flows the targets hold.
+// Package flowlog keeps a list of the targets' open flows on a control VM's disk.
 //
-// The failure it answers: all VMs lose power, or a target's VM does. Balancers
-// and agents come back without a memory, and so do the targets, but the callers
-// still have their flows. Whoever sends a submission over such a flow loses it: the
-// flow was open, so it may not be sent again. With the list, an agent whose target
-// was born anew resets the flows of the one before at once, callers open new ones,
-// and their next submissions run.
+// It answers a power loss of all VMs, or of a target's VM: balancers, agents and targets
+// restart without memory, but the callers still have their flows. A submission sent over
+// such a flow is lost, because the flow was open and the submission may not be sent
+// again. With the list, an agent whose target has restarted resets the flows of the
+// previous incarnation at once. Their callers open new flows, and their next submissions
+// run.
 //
-// The list is a hint. What is missing costs a caller what it costs without the
-// list; what is there too much is a reset for a flow that is over. It needs no
-// agreement: agents tell every control VM that they reach, and take the newest
+// The list is a hint. A missing flow costs its caller what it would cost without the
+// list; a flow that is listed but over gets a needless reset. Therefore the list needs no
+// agreement: agents send updates to every control VM that they reach, and take the newest
 // incarnation that any of them recalls.
 package flowlog
 
@@ -42,24 +42,24 @@
 	}
 }
 
-// held is what one agent told.
-type held struct {
+// agentFlows holds the flows that one agent reported.
+type agentFlows struct {
 	target string
 	born   int64
 	flows  map[packet.Flow]uint32
 }
 
-// Store holds what agents told, in memory. It is safe for concurrent use.
+// Store holds the flows reported by agents, in memory. It is safe for concurrent use.
 type Store struct {
 	mu     sync.Mutex
-	agents map[string]*held
+	agents map[string]*agentFlows
 }
 
 // NewStore returns an empty store.
-func NewStore() *Store { return &Store{agents: map[string]*held{}} }
+func NewStore() *Store { return &Store{agents: map[string]*agentFlows{}} }
 
-// Apply takes an update. One of another incarnation than the one held begins
-// anew.
+// Apply applies an update. An update of another incarnation than the stored one replaces
+// the agent's flows.
 func (s *Store) Apply(u Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,7 +68,7 @@
 		return
 	}
 	if h == nil || u.Whole || h.target != u.Target || h.born != u.Born {
-		h = &held{target: u.Target, born: u.Born, flows: map[packet.Flow]uint32{}}
+		h = &agentFlows{target: u.Target, born: u.Born, flows: map[packet.Flow]uint32{}}
 		s.agents[u.Agent] = h
 	}
 	for _, r := range u.Opened {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Recall returns what an agent told last, as one whole update; false if nothing.
+// Recall returns an agent's flows as one whole update; false if there are none.
 func (s *Store) Recall(agent string) (Update, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +92,7 @@
 	return h.update(agent), true
 }
 
-func (h *held) update(agent string) Update {
+func (h *agentFlows) update(agent string) Update {
 	u := Update{Agent: agent, Target: h.target, Born: h.born, Whole: true}
 	for f, ack := range h.flows {
 		u.Opened = append(u.Opened, Of(f, ack))
@@ -100,7 +100,7 @@
 	return u
 }
 
-// All returns whole updates of all agents, in the order of their names.
+// All returns whole updates of all agents, ordered by name.
 func (s *Store) All() []Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/passthrough/flowlog/flowlog_test.go
+++ b/internal/passthrough/flowlog/flowlog_test.go
@@ -14,7 +14,7 @@
 	"bergamotstall/internal/passthrough/packet"
 )
 
-func quiet() logrus.FieldLogger {
+func discardLogger() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
@@ -29,7 +29,7 @@
 
 func open(t *testing.T, folder string) *Log {
 	t.Helper()
-	l, err := Open(folder, quiet(), metrics.New())
+	l, err := Open(folder, discardLogger(), metrics.New())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,9 +42,9 @@
 	return u
 }
 
-// The VM loses power and comes back: what was written is remembered, an ended
-// flow isn't.
-func TestFlowsOutliveARestart(t *testing.T) {
+// The VM loses power and restarts: updates that were written must be read back, without
+// flows that ended.
+func TestFlowsSurviveARestart(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	l := open(t, folder)
@@ -53,7 +53,7 @@
 	l.Apply(Update{Agent: "a", Target: "i-1", Born: 5, Ended: []Record{record(1, 0)}})
 	l.Apply(Update{Agent: "b", Target: "i-2", Born: 6, Opened: []Record{record(3, 30)}})
 	is.NoErr(l.write())
-	l.Apply(Update{Agent: "b", Target: "i-2", Born: 6, Opened: []Record{record(4, 40)}}) // not written
+	l.Apply(Update{Agent: "b", Target: "i-2", Born: 6, Opened: []Record{record(4, 40)}}) // never written
 
 	back := open(t, folder)
 	is.Equal(recall(t, back, "a").Opened, []Record{record(2, 20)})
@@ -62,9 +62,9 @@
 	is.Equal(ok, false)
 }
 
-// Another incarnation at the agent's address begins anew: what the one before
-// held isn't mixed with it.
-func TestNewIncarnationBeginsAnew(t *testing.T) {
+// A new incarnation at the agent's address must not be mixed with the flows of the one
+// before.
+func TestNewIncarnationReplacesFlows(t *testing.T) {
 	is := is.New(t)
 	l := open(t, t.TempDir())
 	l.Apply(Update{Agent: "a", Target: "i-1", Born: 5, Opened: []Record{record(1, 10)}})
@@ -76,9 +76,9 @@
 	is.Equal(recall(t, l, "a").Opened, []Record{record(3, 30)})
 }
 
-// The last write was torn by the power cut, at any byte. What came before it is
-// remembered, and the file is whole again after the next write.
-func TestTornTail(t *testing.T) {
+// A power cut may truncate the last write at any byte. The frames before it must be read,
+// and the next write must make the file complete again.
+func TestTruncatedOrDamagedEnd(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	l := open(t, folder)
@@ -96,7 +96,7 @@
 		is.Equal(recall(t, open(t, folder), "a").Opened, []Record{record(1, 10)})
 	}
 	damaged := append([]byte(nil), whole...)
-	damaged[len(first)+frameHead+3] ^= 1
+	damaged[len(first)+frameHeaderSize+3] ^= 1
 	is.NoErr(os.WriteFile(path, damaged, 0o600))
 	back := open(t, folder)
 	back.Apply(Update{Agent: "a", Target: "i-1", Born: 5, Opened: []Record{record(3, 30)}})
@@ -104,9 +104,9 @@
 	is.Equal(len(recall(t, open(t, folder), "a").Opened), 2)
 }
 
-// The disk takes nothing for a while. Agents and the store go on, and once the
-// disk works the file holds all.
-func TestDiskThatTakesNothing(t *testing.T) {
+// Writes fail for a while. The store must continue, and once the disk works again the
+// file must hold all updates.
+func TestFailingDisk(t *testing.T) {
 	is := is.New(t)
 	folder := filepath.Join(t.TempDir(), "disk")
 	l := open(t, folder)
@@ -120,8 +120,8 @@
 	is.Equal(recall(t, open(t, folder), "a").Opened, []Record{record(1, 10)})
 }
 
-// The file doesn't grow without end.
-func TestFileIsWrittenAnew(t *testing.T) {
+// The file must not grow without bound.
+func TestFileIsRewritten(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	l := open(t, folder)
--- a/internal/passthrough/flowlog/messages.go
+++ b/internal/passthrough/flowlog/messages.go
@@ -8,20 +8,18 @@
 	ClientPort  uint16  `msg:"p"`
 	ServiceIP   [4]byte `msg:"s"`
 	ServicePort uint16  `msg:"q"`
-	// Ack is an acknowledgement of the client's, not long ago: a reset must be
-	// near the newest one.
+	// Ack is a recent acknowledgement of the client: a reset must be near the newest one.
 	Ack uint32 `msg:"a"`
 }
 
-// Update is what an agent tells of its target's flows.
+// Update is an agent's report of changes to its target's flows.
 type Update struct {
-	// Agent is the address at which the agent takes datagrams.
+	// Agent is the address at which the agent receives datagrams.
 	Agent string `msg:"g"`
-	// Target and Born are the incarnation that holds the flows.
+	// Target and Born identify the incarnation that holds the flows.
 	Target string `msg:"t"`
 	Born   int64  `msg:"b"`
-	// Whole says that the flows opened are all there are; what was told before
-	// is void.
+	// Whole is set if Opened lists all flows, so that earlier updates are void.
 	Whole  bool     `msg:"w"`
 	Opened []Record `msg:"o"`
 	Ended  []Record `msg:"e"`
