--- a/internal/passthrough/agent/agent.go
+++ b/internal/passthrough/agent/agent.go
@@ -1,6 +1,5 @@
-// Package agent runs the agent of pass-through flows beside one target: the
-// sockets, the engine of package flowtable, the reports to balancers, and the
-// streams to control.
+// Package agent runs the agent of pass-through flows next to one target: the sockets, the
+// engine of package flowtable, the reports to balancers, and the streams to control.
 package agent
 
 import (
@@ -31,41 +30,40 @@
 )
 
 const (
-	// tickInterval is how often unanswered first packets are looked at.
+	// tickInterval is the longest time between two checks for unanswered first packets.
 	tickInterval = 20 * time.Millisecond
-	// heardFor is how long after a datagram of its own a balancer is told of changes
-	// of the target without asking.
-	heardFor = 5 * time.Second
-	// probeInterval paces tries whether the target's process is there; each takes
+	// balancerReportTTL is how long after its last datagram a balancer gets reports of
+	// changes without a probe.
+	balancerReportTTL = 5 * time.Second
+	// probeInterval is the interval between probes of the target's process; each takes
 	// probeTimeout at most, on the same VM.
 	probeInterval = 100 * time.Millisecond
 	probeTimeout  = 100 * time.Millisecond
-	// tellInterval is how often control is told of flows that began and ended.
-	tellInterval = 500 * time.Millisecond
-	// farewell is how long a stopping agent waits for its last datagrams to
-	// leave.
-	farewell = 20 * time.Millisecond
+	// flowReportInterval is how often flows that began or ended are reported to control.
+	flowReportInterval = 500 * time.Millisecond
+	// shutdownDelay is how long a stopping agent waits for its last datagrams to be sent.
+	shutdownDelay = 20 * time.Millisecond
 )
 
-// Config sets an agent up.
+// Config configures an Agent.
 type Config struct {
 	// Zone is the VM's data centre.
 	Zone string
-	// Region is the data centre's.
+	// Region is the region of the data centre.
 	Region string
-	// ColdOverage and ColdSlack: see flowtable.Config.
+	// ColdOverage and ColdSlack are described at flowtable.Config.
 	ColdOverage, ColdSlack float64
-	// Service is the one that the VM's targets belong to.
+	// Service is the service that the VM's targets belong to.
 	Service string
-	// Target is where the target takes packets.
+	// Target is the address at which the target receives packets.
 	Target netip.AddrPort
-	// Outbound is where the target's own packets come in.
+	// Outbound is the local address that receives packets from the target.
 	Outbound netip.AddrPort
-	// Nodes is where other nodes' datagrams come in.
+	// Nodes is the local address that receives datagrams from other nodes.
 	Nodes netip.AddrPort
-	// ClientPort is the port at which clients take packets.
+	// ClientPort is the port at which clients receive packets.
 	ClientPort uint16
-	// Heartbeat is the interval of the target's announcements.
+	// Heartbeat is the interval between the target's announcements.
 	Heartbeat   time.Duration
 	Seeds       func() []string
 	ControlPort uint16
@@ -74,7 +72,7 @@
 	Metrics     *metrics.Set
 }
 
-// Agent is one agent.
+// Agent handles the pass-through flows of one target.
 type Agent struct {
 	cfg      Config
 	started  time.Time
@@ -87,16 +85,16 @@
 	engine  *flowtable.Engine
 	answers datagram.Batches[peer.Ruling]
 	buf     []byte
-	// heard is when each balancer last sent something.
-	heard    map[netip.AddrPort]time.Duration
-	verdicts []*expvar.Int
+	// lastHeard is when each balancer last sent a datagram.
+	lastHeard map[netip.AddrPort]time.Duration
+	verdicts  []*expvar.Int
 
 	answeredAfter, admittedAfter *metrics.Histogram
 }
 
 // New opens the agent's sockets.
 func New(cfg Config) (*Agent, error) {
-	a := &Agent{cfg: cfg, started: time.Now(), heard: map[netip.AddrPort]time.Duration{}}
+	a := &Agent{cfg: cfg, started: time.Now(), lastHeard: map[netip.AddrPort]time.Duration{}}
 	var err error
 	if a.outbound, err = datagram.Listen(cfg.Outbound, cfg.Log, cfg.Metrics); err != nil {
 		return nil, errors.Wrap(err, "agent: listen for the target")
@@ -133,22 +131,22 @@
 
 func (a *Agent) now() time.Duration { return time.Since(a.started) + time.Hour }
 
-// Run carries packets until ctx is done. Flows of a target that lives on wait
-// for the agent's next start, so it ends without delay.
+// Run forwards packets until ctx is done. It stops without delay, because the flows of a
+// live target wait for the agent's next start.
 func (a *Agent) Run(ctx context.Context) error {
-	carry, stop := context.WithCancel(context.Background())
+	forwardCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	running := wait.Start(carry, a.readTarget, a.readNodes, a.tick, a.probe, a.tellFlows, a.client.Run, a.logTraffic)
+	running := wait.Start(forwardCtx, a.readTarget, a.readNodes, a.tick, a.probe, a.reportFlows, a.client.Run, a.logTraffic)
 	<-ctx.Done()
 	a.mu.Lock()
 	a.engine.Stop(a.now())
 	a.report()
-	retires := a.engine.Empty(a.now())
+	empty := a.engine.Empty(a.now())
 	a.mu.Unlock()
-	if retires {
+	if empty {
 		a.client.Retire()
 	}
-	time.Sleep(farewell)
+	time.Sleep(shutdownDelay)
 	stop()
 	_ = a.outbound.Close()
 	_ = a.nodes.Close()
@@ -156,10 +154,10 @@
 	return nil
 }
 
-// Ready tells whether the agent knows its target.
+// Ready reports whether the agent has received a route table from control.
 func (a *Agent) Ready() bool { return a.client.Version() > 0 }
 
-// Announced takes what a target says of itself.
+// Announced handles an announcement of a target.
 func (a *Agent) Announced(x flowtable.Announcement) flowtable.Ruling {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -170,7 +168,7 @@
 	return ruling
 }
 
-// Left takes a target's word that it ends.
+// Left handles a target's announcement that it ends.
 func (a *Agent) Left(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -192,12 +190,12 @@
 
 func (a *Agent) readNodes(ctx context.Context) { a.nodes.Read(ctx, a.fromNode) }
 
-// fromNode takes a balancer's datagram.
+// fromNode handles a balancer's datagram.
 func (a *Agent) fromNode(from netip.AddrPort, raw []byte) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
-	a.heard[from] = now
+	a.lastHeard[from] = now
 	switch peer.KindOf(raw) {
 	case peer.KindDeliver:
 		h, p, carried, err := peer.DecodeCarried(a.cfg.Codec, raw)
@@ -214,10 +212,10 @@
 		a.reportTo(from)
 		return nil
 	}
-	return errors.Errorf("agent: datagram kind %d", peer.KindOf(raw))
+	return errors.Errorf("agent: unexpected datagram kind %d", peer.KindOf(raw))
 }
 
-// setTable tells the engine which routes are urgent.
+// setTable passes the route table to the engine.
 func (a *Agent) setTable(t *route.Table) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -250,8 +248,7 @@
 
 func (a *Agent) logTraffic(ctx context.Context) { a.meter.Run(ctx, a.cfg.Log) }
 
-// probe tries the target's address while the engine wants to know whether
-// anything is there.
+// probe probes the target's address whenever the engine asks for it.
 func (a *Agent) probe(ctx context.Context) {
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
@@ -269,14 +266,15 @@
 	}
 }
 
-// probeOnce opens a connection to the target and closes it.
+// probeOnce opens a connection to the target, closes it, and passes the result to the
+// engine.
 func (a *Agent) probeOnce(ctx context.Context) {
 	dialer := net.Dialer{Timeout: probeTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", a.cfg.Target.String())
 	if err == nil {
 		_ = conn.Close()
 	} else if !errors.Is(err, syscall.ECONNREFUSED) {
-		return // no answer says nothing
+		return // a timeout doesn't say whether the process is there
 	}
 	a.cfg.Metrics.Counter("pass_target_probes").Add(1)
 	a.mu.Lock()
@@ -286,17 +284,17 @@
 	}
 }
 
-// recalled takes what a control VM remembers of the flows here.
+// recalled handles a control VM's record of the flows at this agent.
 func (a *Agent) recalled(u flowlog.Update) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.engine.Recalled(a.now(), u)
 }
 
-// tellFlows tells control of the flows held, so that they are known after a power
+// reportFlows reports the open flows to control, so that they are known after a power
 // cut.
-func (a *Agent) tellFlows(ctx context.Context) {
-	for wait.For(ctx, tellInterval) {
+func (a *Agent) reportFlows(ctx context.Context) {
+	for wait.For(ctx, flowReportInterval) {
 		a.mu.Lock()
 		settled := a.engine.Settled(a.now())
 		var changes flowlog.Update
@@ -306,12 +304,12 @@
 		}
 		a.mu.Unlock()
 		if settled {
-			a.client.TellFlows(changes, changed, a.wholeFlows)
+			a.client.TellFlows(changes, changed, a.allFlows)
 		}
 	}
 }
 
-func (a *Agent) wholeFlows() flowlog.Update {
+func (a *Agent) allFlows() flowlog.Update {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	u, _ := a.engine.Changes(a.now(), true)
--- a/internal/passthrough/agent/output.go
+++ b/internal/passthrough/agent/output.go
@@ -19,8 +19,8 @@
 	a.outbound.Send(raw, a.cfg.Target)
 }
 
-// ToClient implements flowtable.Output. Answers go straight to the client: the
-// balancers carry only the client's half.
+// ToClient implements flowtable.Output. Answers go directly to the client: balancers
+// carry only the client's packets.
 func (a *Agent) ToClient(client packet.Endpoint, raw []byte) {
 	a.outbound.Send(raw, netip.AddrPortFrom(netip.AddrFrom4(client.IP), a.cfg.ClientPort))
 }
@@ -31,8 +31,8 @@
 	a.nodes.Send(a.buf, to)
 }
 
-// Answer implements flowtable.Output; the answers to one datagram's questions
-// share one, sent once all are there.
+// Answer implements flowtable.Output. The answers to the questions of one datagram are
+// sent in one datagram.
 func (a *Agent) Answer(to netip.AddrPort, r peer.Ruling) {
 	a.answers.Add(to, r, 0, nil)
 }
@@ -51,24 +51,24 @@
 // Report implements flowtable.Output.
 func (a *Agent) Report() { a.report() }
 
-// report tells the balancers that sent something lately of the target; the lock is
-// held. Others ask before they send it a flow.
+// report sends a report to the balancers that sent a datagram recently. Others probe the
+// agent before they send it a flow. The caller holds the lock.
 func (a *Agent) report() {
 	body, ok := a.encodeReport()
 	if !ok {
 		return
 	}
 	now := a.now()
-	for to, at := range a.heard {
-		if now-at > heardFor {
-			delete(a.heard, to)
+	for to, at := range a.lastHeard {
+		if now-at > balancerReportTTL {
+			delete(a.lastHeard, to)
 			continue
 		}
 		a.nodes.Send(body, to)
 	}
 }
 
-// reportTo tells one balancer of the target; the lock is held.
+// reportTo sends a report to one balancer. The caller holds the lock.
 func (a *Agent) reportTo(to netip.AddrPort) {
 	if body, ok := a.encodeReport(); ok {
 		a.nodes.Send(body, to)
