--- a/internal/passthrough/balancer/balancer.go
+++ b/internal/passthrough/balancer/balancer.go
@@ -1,5 +1,5 @@
-// Package balancer runs a balancer of pass-through flows: the sockets, the
-// engine of package forward, and the streams to control.
+// Package balancer runs a balancer of pass-through flows: the sockets, the engine of
+// package forward, and the streams to control.
 package balancer
 
 import (
@@ -26,35 +26,37 @@
 )
 
 const (
-	// tickInterval is how often unanswered questions are looked at.
+	// tickInterval is how often unanswered questions are checked.
 	tickInterval = 20 * time.Millisecond
-	// readyAfter is how long a balancer waits after its first table, so that control
-	// has told it of all agents: those that restart with it attach one after the other.
-	readyAfter = 150 * time.Millisecond
-	// Linger is how long a stopping balancer goes on carrying packets after its
-	// readiness says no. Fabrics look twice a second and want two misses.
+	// readyDelay is how long a balancer waits after its first table before it is ready.
+	// In this time control lists the agents, which attach one after the other if they
+	// restart with the balancer.
+	readyDelay = 150 * time.Millisecond
+	// Linger is how long a stopping balancer continues to forward packets after it
+	// reports that it isn't ready. Fabrics check readiness twice a second and need two
+	// failures.
 	Linger = 1300 * time.Millisecond
-	// questionShare is the part of the link that questions to agents may fill. The
-	// rest is for the packets of flows and for control.
+	// questionShare is the fraction of the link's rate that questions to agents may use.
+	// The rest is for the packets of flows and for control.
 	questionShare = 0.2
 )
 
-// Config sets a balancer up.
+// Config configures a Balancer.
 type Config struct {
 	// Zone is the VM's data centre.
 	Zone string
-	// Regions are those of all data centres, by their names.
+	// Regions maps the names of all data centres to their regions.
 	Regions map[string]string
-	// Fabric is where the fabric's packets come in, "ip:port". Packets for
-	// clients go to the same port of the client's address.
+	// Fabric is the local "ip:port" that receives packets from the fabric. Packets to
+	// clients go to the same port at the client's address.
 	Fabric netip.AddrPort
-	// Nodes is where other nodes' datagrams come in.
+	// Nodes is the local address that receives datagrams from other nodes.
 	Nodes netip.AddrPort
-	// Seeds returns the IP numbers of control VMs; ControlPort is where they
-	// take streams.
+	// Seeds returns the IP addresses of control VMs; ControlPort is the port for streams
+	// to them.
 	Seeds       func() []string
 	ControlPort uint16
-	// LinkRate is what the VM's link carries each way, in bytes a second; 0 if
+	// LinkRate is the rate of the VM's link in each direction, in bytes a second; 0 if
 	// unknown.
 	LinkRate float64
 	Codec    packet.Codec
@@ -62,7 +64,7 @@
 	Metrics  *metrics.Set
 }
 
-// Balancer is one balancer.
+// Balancer forwards the packets of pass-through flows.
 type Balancer struct {
 	cfg     Config
 	started time.Time
@@ -71,17 +73,17 @@
 	client  *membership.Client
 	meter   *traffic.Meter
 
-	mu     sync.Mutex
-	engine *forward.Engine
-	asks   datagram.Batches[peer.Question]
-	buf    []byte
-
-	// tabledAt is since when there is a table, on the clock of now; 0 for never.
-	tabledAt atomic.Int64
-	stopping atomic.Bool
-	wasReady atomic.Bool
-	verdicts []counter
-	waits    map[forward.Verdict]*metrics.Histogram
+	mu        sync.Mutex
+	engine    *forward.Engine
+	questions datagram.Batches[peer.Question]
+	buf       []byte
+
+	// tableSince is when the first table arrived, on the clock of now; 0 if none has.
+	tableSince atomic.Int64
+	stopping   atomic.Bool
+	wasReady   atomic.Bool
+	verdicts   []counter
+	waitTimes  map[forward.Verdict]*metrics.Histogram
 }
 
 // New opens the balancer's sockets.
@@ -108,7 +110,7 @@
 		Seeds: cfg.Seeds, Port: cfg.ControlPort, Table: b.setTable, Evacuated: b.setEvacuated, Agents: b.setAgents, Meter: b.meter, Log: cfg.Log,
 	})
 	b.verdicts = counters(cfg.Metrics)
-	b.waits = waitHistograms(cfg.Metrics)
+	b.waitTimes = waitHistograms(cfg.Metrics)
 	cfg.Metrics.Gauge("pass_flows", func() int64 { return b.gauge((*forward.Engine).Flows) })
 	cfg.Metrics.Gauge("pass_searches", func() int64 { return b.gauge((*forward.Engine).Searches) })
 	return b, nil
@@ -122,15 +124,15 @@
 
 func (b *Balancer) now() time.Duration { return time.Since(b.started) + time.Hour }
 
-// Run carries packets until ctx is done, and then for Linger longer.
+// Run forwards packets until ctx is done, and then for Linger more.
 func (b *Balancer) Run(ctx context.Context) error {
-	carry, stop := context.WithCancel(context.Background())
+	forwardCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	running := wait.Start(carry, b.readFabric, b.readNodes, b.tick, b.client.Run, b.logTraffic)
+	running := wait.Start(forwardCtx, b.readFabric, b.readNodes, b.tick, b.client.Run, b.logTraffic)
 	<-ctx.Done()
 	b.stopping.Store(true)
 	b.Ready()
-	wait.For(carry, Linger)
+	wait.For(forwardCtx, Linger)
 	stop()
 	_ = b.fabric.Close()
 	_ = b.nodes.Close()
@@ -138,15 +140,15 @@
 	return nil
 }
 
-// Ready tells whether the fabric should send packets here: not before a control
-// VM in touch with a quorum has told which table is in force, and every agent
-// has had time to be listed; and not while it hears no agent, or while its table may be
-// an old one: flows would go by a definition that was replaced long ago.
+// Ready reports whether the fabric should send packets to this balancer. It is ready once
+// a control VM in contact with a quorum has sent the table in force and every agent has
+// had time to be listed. It isn't ready while it hears no agent, or while its table may
+// be out of date: flows would follow a definition that was replaced long ago.
 func (b *Balancer) Ready() bool {
-	tabled := time.Duration(b.tabledAt.Load())
-	isolated, agents := b.reach()
+	tableSince := time.Duration(b.tableSince.Load())
+	isolated, agents := b.agentStatus()
 	inTouch := b.client.InTouch(time.Now())
-	ready := !b.stopping.Load() && tabled > 0 && b.now()-tabled > readyAfter && !isolated && inTouch
+	ready := !b.stopping.Load() && tableSince > 0 && b.now()-tableSince > readyDelay && !isolated && inTouch
 	if b.wasReady.Swap(ready) != ready {
 		events.Log(b.cfg.Log, events.ReadinessChanged, logrus.Fields{
 			"ready": ready, "stopping": b.stopping.Load(), "version": uint64(b.client.Version()), "controls": b.client.Heard(),
@@ -160,7 +162,7 @@
 	b.mu.Lock()
 	b.engine.SetTable(b.now(), t)
 	b.mu.Unlock()
-	b.tabledAt.CompareAndSwap(0, int64(b.now()))
+	b.tableSince.CompareAndSwap(0, int64(b.now()))
 }
 
 // setEvacuated tells the engine which data centres take no new flows.
@@ -170,14 +172,15 @@
 	b.engine.SetEvacuated(zones)
 }
 
-// reach tells whether the balancer hears none of the agents, and how many it knows.
-func (b *Balancer) reach() (isolated bool, agents int) {
+// agentStatus reports whether the balancer hears none of the agents, and how many it
+// knows.
+func (b *Balancer) agentStatus() (isolated bool, agents int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.engine.Isolated(b.now()), b.engine.Known()
 }
 
-// setAgents tells the engine which agents there are.
+// setAgents passes changes of the membership to the engine.
 func (b *Balancer) setAgents(c membership.Changes) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -208,7 +211,7 @@
 
 func (b *Balancer) readNodes(ctx context.Context) { b.nodes.Read(ctx, b.fromNode) }
 
-// fromNode takes an agent's datagram.
+// fromNode handles an agent's datagram.
 func (b *Balancer) fromNode(from netip.AddrPort, raw []byte) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -226,12 +229,12 @@
 	case peer.KindReport:
 		var r peer.Report
 		if _, err := r.UnmarshalMsg(raw[1:]); err != nil {
-			return errors.Wrap(err, "balancer: report")
+			return errors.Wrap(err, "balancer: decode report")
 		}
 		b.engine.Reported(now, from, r)
 		return nil
 	}
-	return errors.Errorf("balancer: datagram kind %d", peer.KindOf(raw))
+	return errors.Errorf("balancer: unexpected datagram kind %d", peer.KindOf(raw))
 }
 
 func (b *Balancer) logTraffic(ctx context.Context) { b.meter.Run(ctx, b.cfg.Log) }
--- a/internal/passthrough/balancer/output.go
+++ b/internal/passthrough/balancer/output.go
@@ -17,14 +17,14 @@
 
 type counter = *expvar.Int
 
-// waitHistograms are how long packets were held back, by verdict.
+// waitHistograms returns the histograms of the time that packets were held, by verdict.
 func waitHistograms(m *metrics.Set) map[forward.Verdict]*metrics.Histogram {
 	return map[forward.Verdict]*metrics.Histogram{
 		forward.Found: m.Histogram("pass_found_after"), forward.Placed: m.Histogram("pass_placed_after"),
 	}
 }
 
-// counters are one for each verdict.
+// counters returns a counter for each verdict.
 func counters(m *metrics.Set) []counter {
 	var out []counter
 	for v := forward.Verdict(0); v.String() != "unknown"; v++ {
@@ -42,26 +42,26 @@
 }
 
 const (
-	// askPause is how long a question waits for others to the same agent: a
-	// small part of the round trip that it costs anyway.
-	askPause = 2 * time.Millisecond
-	// manySearches is from when on questions wait longer, for askPauseMany: when
-	// all flows are asked for at once, fifty agents get fifty datagrams for each
-	// pause, and datagrams cost more than what they carry.
+	// askDelay is how long a question is held for other questions to the same agent: a
+	// small part of the round trip that it takes anyway.
+	askDelay = 2 * time.Millisecond
+	// manySearches is the number of searches from which questions are held for
+	// askDelayMany. When all flows are searched for at once, fifty agents get fifty
+	// datagrams in each delay, and a datagram costs more than its content.
 	manySearches = 16
-	askPauseMany = 15 * time.Millisecond
+	askDelayMany = 15 * time.Millisecond
 )
 
 // Ask implements forward.Output.
 func (b *Balancer) Ask(to netip.AddrPort, q peer.Question) {
-	pause := askPause
+	delay := askDelay
 	if b.engine.Searches() >= manySearches {
-		pause = askPauseMany
+		delay = askDelayMany
 	}
-	b.asks.Add(to, q, pause, func() {
+	b.questions.Add(to, q, delay, func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.asks.Flush(b.sendAsk)
+		b.questions.Flush(b.sendQuestions)
 	})
 }
 
@@ -71,7 +71,7 @@
 	b.nodes.Send(b.buf, to)
 }
 
-func (b *Balancer) sendAsk(to netip.AddrPort, qs []peer.Question) {
+func (b *Balancer) sendQuestions(to netip.AddrPort, qs []peer.Question) {
 	b.buf = peer.AppendAsk(b.buf[:0], qs)
 	b.nodes.Send(b.buf, to)
 }
@@ -97,7 +97,7 @@
 		fields["waited_ms"] = d.Waited.Milliseconds()
 	}
 	if d.Verdict == forward.Found || d.Verdict == forward.Placed {
-		b.waits[d.Verdict].Record(d.Waited)
+		b.waitTimes[d.Verdict].Record(d.Waited)
 	}
 	if d.Reason != 0 {
 		fields["reason"] = d.Reason.String()
