--- a/internal/connid/connid.go
+++ b/internal/connid/connid.go
@@ -1,18 +1,16 @@
-// Package connid writes agent numbers into QUIC connection IDs and reads them
-// back. The fabric may hand any packet of a flow to any balancer, and balancers
-// share no table of flows: without the number in the ID, a flow would break at
-// the first packet that reaches a balancer whose table differs from that of the
-// one before.
+// Package connid encodes agent numbers in QUIC connection IDs and decodes them. The
+// fabric may send any packet of a flow to any balancer, and balancers share no flow
+// table: without the number in the ID, a flow would break at the first packet that
+// reaches a balancer with a different table than the one before.
 //
-// An ID is one byte whose low three bits pick the key generation, and one
-// AES-128 block over the agent number, four zero check bytes and eight random
-// bytes. Encryption keeps observers from linking the IDs of a flow and from
-// aiming at one target; the check bytes let a random ID pass for one of ours
-// only once in 2^32.
+// An ID is one byte whose low three bits select the key generation, followed by one
+// AES-128 block with the agent number, four zero check bytes and eight random bytes.
+// Encryption keeps observers from linking the IDs of a flow and from directing traffic at
+// one target. The check bytes make a random ID pass for one of ours only once in 2^32.
 //
-// The upper five bits of the first byte are random. A fixed pattern would let
-// operators tell the system's packets in a capture, but it would tell everyone
-// else too; with the key, Ring.Decode tells an operator more.
+// The upper five bits of the first byte are random. A fixed pattern would let operators
+// recognize the system's packets in a capture, but also everyone else; an operator with
+// the key can use Ring.Decode.
 package connid
 
 import (
@@ -34,39 +32,40 @@
 	checkEnd       = 8
 )
 
-// Entropy is the random part of an ID. Two IDs of one agent with the same
-// entropy are the same ID.
+// Entropy is the random part of an ID. An agent's IDs with the same entropy and key are
+// the same.
 type Entropy struct {
 	// First fills the upper five bits of the first byte.
 	First byte
-	// Block goes under the encryption.
+	// Block fills the random bytes of the encrypted block.
 	Block [8]byte
 }
 
-// Origin says whose a connection ID is.
+// Origin says where a connection ID comes from.
 type Origin uint8
 
 const (
-	// Foreign IDs were not made under any key of the ring: a caller's own
-	// first ID, or noise.
+	// Foreign IDs weren't made with any key of the ring: a caller's own initial ID, or
+	// noise.
 	Foreign Origin = iota
 	// Ours carries an agent number.
 	Ours
-	// UnknownGeneration has our length but a generation that the ring lacks. It
-	// may come from a newer table, or from a caller by chance.
+	// UnknownGeneration IDs have our length but a key generation that the ring lacks.
+	// They may come from a newer table, or from a caller by chance.
 	UnknownGeneration
 )
 
 // ErrKey is returned for a connection ID key that isn't an AES-128 key.
 var ErrKey = errors.New("connid: key must have 16 bytes")
 
-// Ring holds the valid keys by the low bits of their generation. It is
-// read-only once built.
+// Ring holds the valid keys by the low bits of their generation. It is read-only once
+// built.
 type Ring struct {
 	blocks [generationMask + 1]cipher.Block
 }
 
-// NewRing builds the ring of a table's keys. It returns ErrKey for a bad one.
+// NewRing builds a ring from a table's keys. It returns ErrKey if one has the wrong
+// length.
 func NewRing(keys []table.KeySet) (*Ring, error) {
 	r := &Ring{}
 	for _, k := range keys {
@@ -75,20 +74,19 @@
 		}
 		block, err := aes.NewCipher(k.ConnID)
 		if err != nil {
-			return nil, errors.Wrap(err, "connid: cipher")
+			return nil, errors.Wrap(err, "connid: create cipher")
 		}
 		r.blocks[k.Generation&generationMask] = block
 	}
 	return r, nil
 }
 
-// Scratch is the working memory of Decode. Each goroutine keeps one: the block
-// passes through an interface, so that a local one would be allocated for each
-// packet.
+// Scratch is working memory for Decode. Each goroutine keeps one: a local array would be
+// allocated for each packet, because it is passed through an interface.
 type Scratch [aes.BlockSize]byte
 
-// Encode returns the ID of an agent under the given generation, and false where
-// the ring has no such key.
+// Encode returns an ID for an agent with the key of the given generation, and false if
+// the ring lacks the key.
 func (r *Ring) Encode(generation uint8, agent table.AgentNumber, e Entropy) ([Size]byte, bool) {
 	var id [Size]byte
 	block := r.blocks[generation&generationMask]
@@ -102,7 +100,7 @@
 	return id, true
 }
 
-// Decode tells whose the ID is, and the agent's number where it is ours.
+// Decode returns the origin of an ID, and the agent's number if it is ours.
 func (r *Ring) Decode(id []byte, scratch *Scratch) (table.AgentNumber, Origin) {
 	if len(id) != Size {
 		return 0, Foreign
@@ -118,5 +116,5 @@
 	return table.AgentNumber(binary.BigEndian.Uint32(scratch[:numberEnd])), Ours
 }
 
-// Generation returns the low bits of the generation that an ID names.
+// Generation returns the low bits of an ID's key generation.
 func Generation(id []byte) uint8 { return id[0] & generationMask }
--- a/internal/connid/connid_test.go
+++ b/internal/connid/connid_test.go
@@ -29,36 +29,36 @@
 	return r
 }
 
-// Every ID gives back its agent to whoever has its key, and to nobody else.
-func TestIDsAreReadByTheirKeyOnly(t *testing.T) {
+// An ID must decode to its agent with its own key, and with no other.
+func TestIDDecodesWithItsKeyOnly(t *testing.T) {
 	both, other := ring(2, 3), ring(3)
-	same := ring(10) // the same low bits as 2, another key
+	same := ring(10) // the same low bits as generation 2, but another key
 	rapid.Check(t, func(t *rapid.T) {
 		agent := table.AgentNumber(rapid.Uint32().Draw(t, "agent"))
 		e := Entropy{First: rapid.Byte().Draw(t, "first")}
 		copy(e.Block[:], rapid.SliceOfN(rapid.Byte(), 8, 8).Draw(t, "block"))
 		id, ok := both.Encode(2, agent, e)
 		if !ok {
-			t.Fatal("not encoded")
+			t.Fatal("ring has no key of generation 2")
 		}
 		var s Scratch
 		if got, origin := both.Decode(id[:], &s); origin != Ours || got != agent {
-			t.Fatalf("decoded %d, %d", got, origin)
+			t.Fatalf("decoded agent %d, origin %d", got, origin)
 		}
 		if _, origin := other.Decode(id[:], &s); origin != UnknownGeneration {
-			t.Fatalf("without the key: %d", origin)
+			t.Fatalf("without the key: origin %d", origin)
 		}
 		if _, origin := same.Decode(id[:], &s); origin != Foreign {
-			t.Fatalf("with another key: %d", origin)
+			t.Fatalf("with another key: origin %d", origin)
 		}
 		if _, origin := both.Decode(id[:Size-1], &s); origin != Foreign {
-			t.Fatalf("cut: %d", origin)
+			t.Fatalf("truncated ID: origin %d", origin)
 		}
 	})
 }
 
-// Two IDs of one agent share nothing an observer could link them by.
-func TestIDsOfOneAgentLookUnrelated(t *testing.T) {
+// Two IDs of one agent must have nothing in common by which an observer could link them.
+func TestIDsOfOneAgentAreUnlinkable(t *testing.T) {
 	is := is.New(t)
 	r := ring(1)
 	a, _ := r.Encode(1, 5, Entropy{})
