--- a/internal/events/agent.go
+++ b/internal/events/agent.go
@@ -2,7 +2,7 @@
 
 import "github.com/sirupsen/logrus"
 
-// Events of the agent role as a whole, 390 to 399.
+// Events of the agent process as a whole, 390 to 399.
 var (
 	AgentStopCut = define(390, logrus.WarnLevel, "agent stopped with work left")
 )
--- a/internal/events/balancer.go
+++ b/internal/events/balancer.go
@@ -2,7 +2,7 @@
 
 import "github.com/sirupsen/logrus"
 
-// Events of a balancer, 200 to 299.
+// Events of the balancer role, 200 to 299.
 var (
 	BalancerTableRefused  = define(200, logrus.ErrorLevel, "table refused by balancer")
 	BalancerServiceOpened = define(201, logrus.InfoLevel, "service address opened")
--- a/internal/events/control.go
+++ b/internal/events/control.go
@@ -2,7 +2,7 @@
 
 import "github.com/sirupsen/logrus"
 
-// Events of the control role: catalogue, distribution, keys, 600 to 649.
+// Events of the control role: operators' commands, quorum and cluster keys, 600 to 649.
 var (
 	CommandApplied   = define(600, logrus.InfoLevel, "operator command")
 	FleetChanged     = define(601, logrus.InfoLevel, "fleet change")
--- a/internal/events/distribution.go
+++ b/internal/events/distribution.go
@@ -2,7 +2,8 @@
 
 import "github.com/sirupsen/logrus"
 
-// Events of distribution and keys, 650 to 699.
+// Events of table distribution (client 650 to 659, server 660 to 669) and of TLS
+// certificates (670 to 679).
 var (
 	ControlAttached     = define(650, logrus.InfoLevel, "attached to a control VM")
 	ControlLeft         = define(651, logrus.WarnLevel, "stream to a control VM ended")
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,6 +1,6 @@
-// Package events is the catalogue of numbered log events. A number keeps its
-// meaning for good; docs/EVENTS.md explains each to operators, and a test holds
-// the two together.
+// Package events defines the numbered log events. A number is never reused for
+// another event. docs/EVENTS.md explains each event to operators; a test checks that
+// it lists the same events as the code.
 package events
 
 import (
@@ -10,7 +10,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Event is one kind of log line.
+// Event is one kind of log line. Number identifies it; whatever differs from line to
+// line is in the line's fields.
 type Event struct {
 	Number int
 	Level  logrus.Level
@@ -28,14 +29,14 @@
 	return e
 }
 
-// All returns the catalogue in order of numbers.
+// All returns all events, ordered by number.
 func All() []Event {
 	out := slices.Clone(catalogue)
 	slices.SortFunc(out, func(a, b Event) int { return a.Number - b.Number })
 	return out
 }
 
-// Log writes one event with its number.
+// Log writes a line for e at e's level, with e.Number in the field "event".
 func Log(log logrus.FieldLogger, e Event, fields logrus.Fields) {
 	entry := log.WithField("event", e.Number).WithFields(fields)
 	switch e.Level {
@@ -50,7 +51,7 @@
 	}
 }
 
-// ErrorText returns an error's text for a field, empty for nil.
+// ErrorText returns the text of err for a log field, or "" if err is nil.
 func ErrorText(err error) string {
 	if err == nil {
 		return ""
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -11,8 +11,8 @@
 
 var row = regexp.MustCompile(`(?m)^\| (\d+) \| ([^|]+) \| ([^|]+) \| ([^|]+) \|$`)
 
-// An operator who looks a number up must find it, and must not find one that
-// the code no longer logs.
+// Guards against a page that lacks an event, has another text for it, or lists an event
+// that no code logs: an operator who looks up a number would be misled.
 func TestCatalogueAndPageAgree(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/EVENTS.md")
--- a/internal/events/flow.go
+++ b/internal/events/flow.go
@@ -2,7 +2,7 @@
 
 import "github.com/sirupsen/logrus"
 
-// Events of an agent's flows, 300 to 399.
+// Events of the flows at an agent, 300 to 389.
 var (
 	FlowAgentNumber  = define(300, logrus.InfoLevel, "agent number assigned")
 	FlowTableRefused = define(301, logrus.ErrorLevel, "table refused by flows")
--- a/internal/events/passthrough.go
+++ b/internal/events/passthrough.go
@@ -2,7 +2,7 @@
 
 import "github.com/sirupsen/logrus"
 
-// Events of pass-through flows, 700 to 799.
+// Events of pass-through flows and of the roles on the users' platform, 700 to 799.
 var (
 	PassFlowDecided     = define(700, logrus.InfoLevel, "balancer decided on a flow")
 	PassFlowRefused     = define(701, logrus.InfoLevel, "agent decided on a flow or its target")
--- a/internal/events/process.go
+++ b/internal/events/process.go
@@ -2,7 +2,7 @@
 
 import "github.com/sirupsen/logrus"
 
-// Events of every role's process, 100 to 199.
+// Events of the process of any role, 100 to 199.
 var (
 	ProcessStarted  = define(100, logrus.InfoLevel, "process started")
 	ProcessStopping = define(101, logrus.InfoLevel, "graceful stop begun")
--- a/internal/events/replica.go
+++ b/internal/events/replica.go
@@ -2,7 +2,7 @@
 
 import "github.com/sirupsen/logrus"
 
-// Events of control replicas and their journal, 500 to 599.
+// Events of control replicas and their journals, 500 to 599.
 var (
 	ReplicaStarted        = define(500, logrus.InfoLevel, "replica started")
 	ReplicaStopped        = define(501, logrus.InfoLevel, "replica stopped")
--- a/internal/events/request.go
+++ b/internal/events/request.go
@@ -2,7 +2,7 @@
 
 import "github.com/sirupsen/logrus"
 
-// Events of an agent's requests, 400 to 499.
+// Events of the requests at an agent, and of its idempotency keys, 400 to 499.
 var (
 	TargetIll           = define(400, logrus.WarnLevel, "target doesn't answer")
 	TargetWell          = define(401, logrus.InfoLevel, "target answers again")
