--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,6 +1,7 @@
-// Package logsink takes log lines without ever making their writer wait. A
-// standard output that nobody reads would otherwise stop a data path at its next
-// decision; and under a flood of decisions the log would cost more than they do.
+// Package logsink writes log lines without blocking their writers. Lines are queued, and
+// dropped and counted if the queue is full or their rate is too high. Otherwise a
+// standard output that nobody reads would block the data path at its next log line, and
+// at a high rate of decisions logging them would cost more than making them.
 package logsink
 
 import (
@@ -13,36 +14,38 @@
 )
 
 const (
-	// queueLines bounds the lines that wait to be written, about 300 kB.
-	queueLines = 1_024
-	// LinesPerSecond bounds what one process writes, with bursts of twice as
-	// many: 200 decisions a second are an ordinary second of a balancer.
+	// maxQueuedLines is how many lines are queued at most, about 300 kB.
+	maxQueuedLines = 1_024
+	// LinesPerSecond is the rate limit of one process, with bursts of twice as many
+	// lines. A balancer logs about 200 decisions a second under ordinary load.
 	LinesPerSecond = 250
-	// DropInterval is how often dropped lines are told of.
+	// DropInterval is how often the number of dropped lines is logged.
 	DropInterval = 5 * time.Second
 )
 
-// Sink is an io.Writer of whole lines.
+// Sink is an io.Writer that takes one whole line in each Write. It is safe for
+// concurrent use.
 type Sink struct {
 	out     io.Writer
 	lines   chan []byte
-	limit   *rate.Limiter
+	limiter *rate.Limiter
 	dropped atomic.Int64
-	closing chan struct{}
+	stop    chan struct{}
 	done    sync.WaitGroup
 }
 
-// New returns a sink that writes to out.
+// New returns a sink that writes to out from a goroutine of its own, until Close.
 func New(out io.Writer) *Sink {
-	s := &Sink{out: out, lines: make(chan []byte, queueLines), limit: rate.NewLimiter(LinesPerSecond, 2*LinesPerSecond), closing: make(chan struct{})}
+	s := &Sink{out: out, lines: make(chan []byte, maxQueuedLines), limiter: rate.NewLimiter(LinesPerSecond, 2*LinesPerSecond), stop: make(chan struct{})}
 	s.done.Add(1)
 	go s.run()
 	return s
 }
 
-// Write implements io.Writer for one line; it never waits and never fails.
+// Write implements io.Writer for one line. It queues a copy and never blocks or fails; a
+// line that is dropped counts as written.
 func (s *Sink) Write(line []byte) (int, error) {
-	if !s.limit.Allow() {
+	if !s.limiter.Allow() {
 		s.dropped.Add(1)
 		return len(line), nil
 	}
@@ -54,12 +57,13 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped since the last call.
+// Dropped returns the number of lines dropped since the previous call.
 func (s *Sink) Dropped() int64 { return s.dropped.Swap(0) }
 
-// Close writes what waits. Lines that come later are dropped.
+// Close writes the queued lines and stops the sink. Lines that are written to the sink
+// afterwards are lost.
 func (s *Sink) Close() {
-	close(s.closing)
+	close(s.stop)
 	s.done.Wait()
 }
 
@@ -68,26 +72,26 @@
 	for {
 		select {
 		case line := <-s.lines:
-			s.put(line)
-		case <-s.closing:
-			s.drain()
+			s.writeLine(line)
+		case <-s.stop:
+			s.flush()
 			return
 		}
 	}
 }
 
-// drain writes what is queued.
-func (s *Sink) drain() {
+// flush writes the queued lines.
+func (s *Sink) flush() {
 	for {
 		select {
 		case line := <-s.lines:
-			s.put(line)
+			s.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-func (s *Sink) put(line []byte) {
-	_, _ = s.out.Write(line) // there is nowhere left to tell of a failure
+func (s *Sink) writeLine(line []byte) {
+	_, _ = s.out.Write(line) // an error can't be reported: this is the log's output
 }
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -8,26 +8,26 @@
 	"github.com/matryer/is"
 )
 
-// stuck is an output that nobody reads.
-type stuck struct{ release chan struct{} }
+// blockedWriter is an output whose reader hangs: Write blocks until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(b []byte) (int, error) {
+func (s blockedWriter) Write(b []byte) (int, error) {
 	<-s.release
 	return len(b), nil
 }
 
-// The log's reader hangs. Writers go on without waiting; what doesn't fit is
-// dropped and counted.
-func TestStuckOutputStopsNobody(t *testing.T) {
+// Guards against a data path that blocks because nobody reads the log. Writers must
+// return at once; lines that don't fit into the queue are dropped and counted.
+func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
 	is := is.New(t)
-	out := stuck{make(chan struct{})}
+	out := blockedWriter{make(chan struct{})}
 	s := New(out)
-	began := time.Now()
-	for range 10 * queueLines {
+	start := time.Now()
+	for range 10 * maxQueuedLines {
 		_, err := s.Write([]byte("line\n"))
 		is.NoErr(err)
 	}
-	is.True(time.Since(began) < 5*time.Second)
+	is.True(time.Since(start) < 5*time.Second)
 	is.True(s.Dropped() > 0)
 	is.Equal(s.Dropped(), int64(0))
 	close(out.release)
@@ -36,8 +36,9 @@
 	is.NoErr(err)
 }
 
-// A flood of decisions is cut to the bound; the first ones are kept.
-func TestFloodIsBounded(t *testing.T) {
+// Guards against a log that costs more than the decisions it records. Lines beyond the
+// burst and the rate limit are dropped; the first ones are kept.
+func TestRateIsLimited(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	s := New(&out)
@@ -49,7 +50,7 @@
 	is.True(out.Len()/2 < 3*LinesPerSecond)
 }
 
-func TestCloseWritesWhatWaits(t *testing.T) {
+func TestCloseWritesQueuedLines(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	s := New(&out)
