--- a/internal/metrics/histogram.go
+++ b/internal/metrics/histogram.go
@@ -8,22 +8,23 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of a latency histogram: from 0.1 ms, under which no decision of the
-// system takes its callers' time, to a minute, past which no caller waits. Two
-// digits keep it at some 20 kB.
+// Bounds of a latency histogram. Latencies below 0.1 ms don't matter to callers, and no
+// caller waits longer than a minute. With two significant digits a histogram takes
+// about 20 kB.
 const (
-	histogramUnit   = 100 * time.Microsecond
-	histogramMax    = time.Minute
-	histogramDigits = 2
+	histogramResolution = 100 * time.Microsecond
+	histogramMax        = time.Minute
+	histogramDigits     = 2
 )
 
-// Histogram gathers latencies.
+// Histogram records latencies. It is safe for concurrent use and implements expvar.Var.
 type Histogram struct {
 	mu   sync.Mutex
 	hist *hdrhistogram.Histogram
 }
 
-// Quantiles are what a histogram publishes, in milliseconds.
+// Quantiles is what a histogram publishes: the number of latencies, and their quantiles
+// and maximum in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -32,43 +33,44 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Histogram returns the histogram with the given name and makes it on first use.
+// Histogram returns the histogram with the given name, which it creates on first use.
 func (s *Set) Histogram(name string) *Histogram {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if h, ok := s.vars.Get(name).(*Histogram); ok {
 		return h
 	}
-	h := &Histogram{hist: hdrhistogram.New(1, int64(histogramMax/histogramUnit), histogramDigits)}
+	h := &Histogram{hist: hdrhistogram.New(1, int64(histogramMax/histogramResolution), histogramDigits)}
 	s.vars.Set(name, h)
 	return h
 }
 
-// Record notes one latency; one over the bound counts as the bound.
+// Record adds one latency. Negative ones count as 0, and those above histogramMax as
+// histogramMax.
 func (h *Histogram) Record(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// A value within the bounds is always taken.
-	_ = h.hist.RecordValue(int64(min(max(d, 0), histogramMax) / histogramUnit))
+	// RecordValue fails only for values out of bounds.
+	_ = h.hist.RecordValue(int64(min(max(d, 0), histogramMax) / histogramResolution))
 }
 
-// Quantiles returns what was gathered so far.
+// Quantiles returns the quantiles of the latencies recorded so far.
 func (h *Histogram) Quantiles() Quantiles {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	at := func(q float64) float64 { return ms(h.hist.ValueAtQuantile(q)) }
-	return Quantiles{Count: h.hist.TotalCount(), P50: at(50), P90: at(90), P99: at(99), Max: ms(h.hist.Max())}
+	percentile := func(q float64) float64 { return milliseconds(h.hist.ValueAtQuantile(q)) }
+	return Quantiles{Count: h.hist.TotalCount(), P50: percentile(50), P90: percentile(90), P99: percentile(99), Max: milliseconds(h.hist.Max())}
 }
 
-func ms(units int64) float64 {
-	return float64(time.Duration(units)*histogramUnit) / float64(time.Millisecond)
+func milliseconds(units int64) float64 {
+	return float64(time.Duration(units)*histogramResolution) / float64(time.Millisecond)
 }
 
 // String implements expvar.Var.
 func (h *Histogram) String() string {
 	b, err := json.Marshal(h.Quantiles())
 	if err != nil {
-		return "{}" // plain numbers always encode
+		return "{}" // not reached: encoding plain numbers doesn't fail
 	}
 	return string(b)
 }
--- a/internal/metrics/histogram_test.go
+++ b/internal/metrics/histogram_test.go
@@ -8,6 +8,8 @@
 	"github.com/matryer/is"
 )
 
+// Guards against wrong units or lost latencies in what is published. Latencies out of
+// bounds count as the nearest bound.
 func TestHistogram(t *testing.T) {
 	is := is.New(t)
 	s := New()
@@ -18,11 +20,11 @@
 	}
 	h.Record(time.Hour)
 	h.Record(-time.Second)
-	var all map[string]Quantiles
-	is.NoErr(json.Unmarshal([]byte(s.String()), &all))
-	q := all["took"]
-	is.Equal(q.Count, int64(102))
-	is.True(q.P50 > 48 && q.P50 < 53)
-	is.True(q.P99 > 98 && q.P99 < 103)
-	is.True(q.Max > 59_000 && q.Max < 61_000) // the bound
+	var published map[string]Quantiles
+	is.NoErr(json.Unmarshal([]byte(s.String()), &published))
+	quantiles := published["took"]
+	is.Equal(quantiles.Count, int64(102))
+	is.True(quantiles.P50 > 48 && quantiles.P50 < 53)
+	is.True(quantiles.P99 > 98 && quantiles.P99 < 103)
+	is.True(quantiles.Max > 59_000 && quantiles.Max < 61_000) // an hour counts as histogramMax
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics publishes a process's counters through expvar. Each instance
-// of a role owns one Set, so that several roles can run in one process (the
-// demo) without sharing names.
+// Package metrics publishes counters, gauges and latency histograms as JSON through
+// expvar. Each instance of a role has a Set of its own, so that several roles can run in
+// one process, as in the demo, without sharing names.
 package metrics
 
 import (
@@ -12,17 +12,17 @@
 	"github.com/go-faster/errors"
 )
 
-// Set is one instance's counters.
+// Set is the metrics of one instance of a role. It is safe for concurrent use.
 type Set struct {
 	mu   sync.Mutex
 	vars *expvar.Map
 }
 
-// New returns an empty set that nothing publishes yet.
+// New returns an empty set. Listen publishes it.
 func New() *Set { return &Set{vars: new(expvar.Map).Init()} }
 
-// Counter returns the counter with the given name and makes it on first use.
-// Callers on a hot path keep the result.
+// Counter returns the counter with the given name, which it creates on first use. It
+// takes a lock: callers on a hot path keep the result.
 func (s *Set) Counter(name string) *expvar.Int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,17 +34,17 @@
 	return v
 }
 
-// Gauge publishes the value that read returns at each look.
+// Gauge publishes a number under the given name; read is called each time the set is read.
 func (s *Set) Gauge(name string, read func() int64) {
 	s.vars.Set(name, expvar.Func(func() any { return read() }))
 }
 
-// Text publishes the text that read returns at each look.
+// Text publishes a text under the given name; read is called each time the set is read.
 func (s *Set) Text(name string, read func() string) {
 	s.vars.Set(name, expvar.Func(func() any { return read() }))
 }
 
-// Value returns a counter's or gauge's value, 0 where the name is unknown.
+// Value returns the value of a counter or gauge, or 0 if there is none with the name.
 func (s *Set) Value(name string) int64 {
 	switch v := s.vars.Get(name).(type) {
 	case *expvar.Int:
@@ -56,7 +56,7 @@
 	return 0
 }
 
-// Counters returns every integer counter's value by name.
+// Counters returns the values of all counters, ordered by name.
 func (s *Set) Counters() []Reading {
 	var out []Reading
 	s.vars.Do(func(kv expvar.KeyValue) {
@@ -67,16 +67,16 @@
 	return out
 }
 
-// Reading is one counter at one moment.
+// Reading is the value of one counter at the time it was read.
 type Reading struct {
 	Name  string
 	Value int64
 }
 
-// String returns the set as JSON, as expvar wants it.
+// String returns the set as JSON; it implements expvar.Var.
 func (s *Set) String() string { return s.vars.String() }
 
-// Listen serves the set under /debug/vars on the given TCP address until the
+// Listen serves the set over HTTP at /debug/vars on the given TCP address until the
 // returned listener is closed.
 func (s *Set) Listen(address string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", address)
