--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings reads a role's YAML settings strictly: an unknown field, a
-// wrong type or an impossible value is an error with file, line and field, and
-// the process doesn't start. A misspelt field that was ignored would show only
-// when the safeguard it sets is needed.
+// Package settings loads and validates YAML files strictly: an unknown field, a wrong
+// type or a value that isn't allowed is an error with file, line and field, and the
+// process doesn't start. Otherwise a misspelt field would be ignored, and noticed only
+// when the safeguard that it configures is needed.
 package settings
 
 import (
@@ -21,23 +21,23 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// Problem is one impossible value in a decoded file.
+// Problem is one value that isn't allowed in a decoded file.
 type Problem struct {
-	// Path is the field, as in "control[0].address".
+	// Path is the path of the field in the file, as in "control[0].address".
 	Path string
-	// What is wrong with it.
+	// What says what is wrong with the value.
 	What string
-	// Allowed says which values the field takes.
+	// Allowed says which values are allowed.
 	Allowed string
 }
 
-// Checked is a settings type that can judge its own values.
+// Checked is a type of settings that validates its own values.
 type Checked interface {
-	// Problems returns what is wrong, nothing where all is well.
+	// Problems returns the values that aren't allowed, or nil if there are none.
 	Problems() []Problem
 }
 
-// Error is a refused file. Its text has a line for each problem.
+// Error is a file that can't be read, decoded or used. Lines has a line for each problem.
 type Error struct {
 	File  string
 	Lines []string
@@ -45,7 +45,7 @@
 
 func (e *Error) Error() string { return strings.Join(e.Lines, "\n") }
 
-// Load reads the file at path into out and checks it.
+// Load decodes the file at path into out and validates it. Its errors are *Error.
 func Load(path string, out Checked) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -54,11 +54,12 @@
 	return Decode(path, data, out)
 }
 
-// Decode reads data, which came from the named file, into out and checks it.
+// Decode decodes data into out and validates it. The name of the file is used in errors
+// only, which are *Error.
 func Decode(file string, data []byte, out Checked) error {
 	dec := yaml.NewDecoder(bytes.NewReader(data), yaml.Strict())
 	if err := dec.Decode(out); err != nil {
-		return &Error{File: file, Lines: []string{decodeLine(file, data, err)}}
+		return &Error{File: file, Lines: []string{describeDecodeError(file, data, err)}}
 	}
 	problems := out.Problems()
 	if len(problems) == 0 {
@@ -72,36 +73,37 @@
 	return e
 }
 
-// decodeLine turns the YAML library's error into one line with file and line.
-func decodeLine(file string, data []byte, err error) string {
-	var at yaml.Error
-	if value, ok := badDuration(err); ok {
-		line, field := whereIs(data, value)
+// describeDecodeError returns an error of the YAML library as one line of text that
+// begins with file and line.
+func describeDecodeError(file string, data []byte, err error) string {
+	var yamlErr yaml.Error
+	if value, ok := invalidDuration(err); ok {
+		line, field := findScalar(data, value)
 		return fmt.Sprintf("%s:%d: %s: %q is no duration (allowed: a number with a unit, as in 500ms, 10s or 24h)", file, line, field, value)
 	}
-	if !errors.As(err, &at) || at.GetToken() == nil {
+	if !errors.As(err, &yamlErr) || yamlErr.GetToken() == nil {
 		return fmt.Sprintf("%s:1: %v (allowed: one YAML mapping)", file, err)
 	}
-	tok := at.GetToken()
-	return fmt.Sprintf("%s:%d: %s: %s (allowed: see the examples directory)", file, tok.Position.Line, tok.Value, at.GetMessage())
+	tok := yamlErr.GetToken()
+	return fmt.Sprintf("%s:%d: %s: %s (allowed: see the examples directory)", file, tok.Position.Line, tok.Value, yamlErr.GetMessage())
 }
 
-// badDuration returns the text that time.ParseDuration refused. The YAML library
-// passes that error on without a position.
-func badDuration(err error) (string, bool) {
+// invalidDuration returns the value that time.ParseDuration didn't accept, if err is its
+// error. The YAML library returns that error without a position.
+func invalidDuration(err error) (string, bool) {
 	text := err.Error()
 	if !strings.HasPrefix(text, "time: ") || !strings.HasSuffix(text, `"`) {
 		return "", false
 	}
-	at := strings.LastIndex(text[:len(text)-1], `"`)
-	if at < 0 {
+	quote := strings.LastIndex(text[:len(text)-1], `"`)
+	if quote < 0 {
 		return "", false
 	}
-	return text[at+1 : len(text)-1], true
+	return text[quote+1 : len(text)-1], true
 }
 
-// whereIs finds the line and field of the first scalar with the given text.
-func whereIs(data []byte, value string) (line int, field string) {
+// findScalar returns the line and the field of the first scalar with the given text.
+func findScalar(data []byte, value string) (line int, field string) {
 	for _, tok := range lexer.Tokenize(string(data)) {
 		if tok.Value != value || tok.Prev == nil || tok.Prev.Type != token.MappingValueType {
 			continue
@@ -111,8 +113,8 @@
 	return 1, "duration"
 }
 
-// lineOf finds the line of a field; a field that is missing has the line of the
-// nearest one that encloses it.
+// lineOf returns the line of a field. For a field that is missing it is the line of the
+// innermost enclosing field that the file has, or 1.
 func lineOf(tree *ast.File, field string) int {
 	for field != "" && tree != nil {
 		if path, err := yaml.PathString("$." + field); err == nil {
@@ -120,36 +122,37 @@
 				return node.GetToken().Position.Line
 			}
 		}
-		cut := strings.LastIndexAny(field, ".[")
-		if cut < 0 {
+		end := strings.LastIndexAny(field, ".[")
+		if end < 0 {
 			break
 		}
-		field = field[:cut]
+		field = field[:end]
 	}
 	return 1
 }
 
-// Checker gathers problems; its methods each judge one field.
+// Checker collects problems. Each of its methods, except Add and Problems, validates one
+// field and adds a problem if the value isn't allowed. The zero value is ready to use.
 type Checker struct {
-	found []Problem
+	problems []Problem
 }
 
-// Problems returns what was gathered.
-func (c *Checker) Problems() []Problem { return c.found }
+// Problems returns the problems found so far.
+func (c *Checker) Problems() []Problem { return c.problems }
 
-// Add reports a problem of any other kind.
+// Add adds a problem that no other method covers.
 func (c *Checker) Add(path, what, allowed string) {
-	c.found = append(c.found, Problem{Path: path, What: what, Allowed: allowed})
+	c.problems = append(c.problems, Problem{Path: path, What: what, Allowed: allowed})
 }
 
-// Required reports an empty text.
+// Required requires a text that isn't empty.
 func (c *Checker) Required(path, value string) {
 	if value == "" {
 		c.Add(path, "missing", "a text that isn't empty")
 	}
 }
 
-// Address reports anything but "ip:port" with a port from 1 to 65535.
+// Address requires "ip:port" with a port from 1 to 65535.
 func (c *Checker) Address(path, value string) {
 	const allowed = "ip:port, port 1 to 65535"
 	if value == "" {
@@ -162,28 +165,28 @@
 	}
 }
 
-// IP reports anything but an IP number.
+// IP requires an IPv4 or IPv6 address.
 func (c *Checker) IP(path, value string) {
 	if net.ParseIP(value) == nil {
 		c.Add(path, fmt.Sprintf("%q is no IP number", value), "an IPv4 or IPv6 number")
 	}
 }
 
-// Range reports a number outside low to high.
+// Range requires a number from low to high.
 func (c *Checker) Range(path string, value, low, high int) {
 	if value < low || value > high {
 		c.Add(path, fmt.Sprintf("%d", value), fmt.Sprintf("%d to %d", low, high))
 	}
 }
 
-// Duration reports a duration outside low to high.
+// Duration requires a duration from low to high.
 func (c *Checker) Duration(path string, value, low, high time.Duration) {
 	if value < low || value > high {
 		c.Add(path, value.String(), fmt.Sprintf("%v to %v", low, high))
 	}
 }
 
-// File reports a path at which no file can be read.
+// File requires the path of a file that exists.
 func (c *Checker) File(path, value string) {
 	if value == "" {
 		c.Add(path, "missing", "the path of a file")
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -27,7 +27,9 @@
 	return c.Problems()
 }
 
-func TestErrorsNameLineFieldAndWhatIsAllowed(t *testing.T) {
+// Guards against errors that don't lead to the mistake in the file. Each text must have
+// file, line and field, and say which values are allowed.
+func TestErrorsNameLineFieldAndAllowedValues(t *testing.T) {
 	const good = "listen: 127.0.0.1:1\nslots: 7\nwait: 2s\n"
 	for _, c := range []struct{ name, data, want string }{
 		{"good", good, ""},
