--- a/cmd/bergamotctl/explain.go
+++ b/cmd/bergamotctl/explain.go
@@ -19,7 +19,7 @@
 	flow := flags.String("flow", "", "the `flow` to tell of, CALLER:PORT>SERVICE:PORT")
 	worst := flags.Bool("worst", false, "group the flows that failed or were late by cause")
 	traffic := flags.Bool("traffic", false, "tell how much the processes sent and received, by kind of message")
-	late := flags.Duration("late", explain.DefaultLate, "with -worst: the wait from which on a flow is late")
+	late := flags.Duration("late", explain.DefaultLateThreshold, "with -worst: the wait from which on a flow is late")
 	switch err := flags.Parse(c.args); {
 	case err == flag.ErrHelp:
 		return exitOK
@@ -41,15 +41,15 @@
 		explain.WriteTraffic(c.out, log.Traffic())
 		return exitOK
 	case *worst:
-		explain.WriteWorst(c.out, log.Worst(*late), examplesPerCause)
+		explain.WriteGroups(c.out, log.FailuresByCause(*late), examplesPerCause)
 		return exitOK
 	}
-	story := log.Story(*flow)
-	if len(story) == 0 {
+	lines := log.Timeline(*flow)
+	if len(lines) == 0 {
 		fmt.Fprintf(c.errOut, "no line on flow %q: name it as the logs do, and give the logs of all balancers and agents\n", *flow)
 		return exitRefused
 	}
-	explain.WriteStory(c.out, story)
+	explain.WriteTimeline(c.out, lines)
 	return exitOK
 }
 
--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -8,60 +8,62 @@
 	"time"
 )
 
-// DefaultLate is the wait from which on a flow counts as late.
-const DefaultLate = 100 * time.Millisecond
+// DefaultLateThreshold is the wait from which on a flow counts as late.
+const DefaultLateThreshold = 100 * time.Millisecond
 
-// served is the cause of a flow about which nothing is to be told.
-const served = "passed on without delay"
+// onTime is what CauseOf returns for a flow that neither failed nor was late.
+const onTime = "passed on without delay"
 
-// failing are the verdicts after which a caller has no answer from its flow.
-var failing = map[string]bool{
+// failureVerdicts are the verdicts after which the caller gets no answer on its flow.
+var failureVerdicts = map[string]bool{
 	"refused-no-route": true, "refused-no-target": true, "reset-route-gone": true, "reset-nowhere": true,
 	"dropped-unfound": true, "dropped-busy": true, "request-dropped": true,
 }
 
-// CauseOf sums a story up: the last verdict that failed the flow with its reason, if
-// nothing passed it on after that; else what made it late; else that it was passed on.
-func CauseOf(lines []Line, late time.Duration) string {
-	failed, delayed := "", ""
-	early := false
+// CauseOf returns why a flow failed or was late, given its lines in order of time: the
+// last verdict that failed the flow, with its reason, unless a packet was passed on after
+// it; otherwise why the flow was late; otherwise that it was passed on without delay.
+func CauseOf(lines []Line, threshold time.Duration) string {
+	failure, delay := "", ""
+	heldEarly := false
 	for _, x := range lines {
 		switch {
-		case failing[x.Verdict]:
-			failed = withReason(x)
+		case failureVerdicts[x.Verdict]:
+			failure = verdictWithReason(x)
 		case x.Verdict == "held-early":
-			early = true
+			heldEarly = true
 		case x.Verdict == "placed", x.Verdict == "moved", x.Verdict == "found":
-			failed = ""
-			if waited := time.Duration(x.WaitedMS) * time.Millisecond; waited >= late {
-				delayed = "late: " + withReason(x) + " after a wait"
-				if early {
-					delayed = "late: held until there was a table and agents"
+			failure = ""
+			if waited := time.Duration(x.WaitedMS) * time.Millisecond; waited >= threshold {
+				delay = "late: " + verdictWithReason(x) + " after a wait"
+				if heldEarly {
+					delay = "late: held until there was a table and agents"
 				}
 			}
 		}
 	}
-	return cmp.Or(failed, delayed, served)
+	return cmp.Or(failure, delay, onTime)
 }
 
-func withReason(x Line) string {
+func verdictWithReason(x Line) string {
 	if x.Reason == "" {
 		return x.Verdict
 	}
 	return x.Verdict + ", " + x.Reason
 }
 
-// Group is the flows with one cause.
+// Group is the flows that failed or were late for the same cause.
 type Group struct {
 	Cause string
 	Flows []string
 }
 
-// Worst groups the flows that failed or were late by cause, the largest group first.
-func (l *Log) Worst(late time.Duration) []Group {
+// FailuresByCause returns the flows that failed or were late, grouped by cause, the
+// largest group first.
+func (l *Log) FailuresByCause(threshold time.Duration) []Group {
 	byCause := map[string][]string{}
 	for flow := range l.byFlow {
-		if cause := CauseOf(l.Story(flow), late); cause != served {
+		if cause := CauseOf(l.Timeline(flow), threshold); cause != onTime {
 			byCause[cause] = append(byCause[cause], flow)
 		}
 	}
@@ -76,8 +78,9 @@
 	return out
 }
 
-// WriteWorst prints each group with its count and some of its flows.
-func WriteWorst(out io.Writer, groups []Group, examples int) {
+// WriteGroups prints the size, the cause and at most the given number of example flows
+// of each group.
+func WriteGroups(out io.Writer, groups []Group, examples int) {
 	for _, g := range groups {
 		fmt.Fprintf(out, "%7d  %s\n", len(g.Flows), g.Cause)
 		for _, flow := range g.Flows[:min(examples, len(g.Flows))] {
--- a/internal/explain/traffic.go
+++ b/internal/explain/traffic.go
@@ -9,49 +9,52 @@
 	"strings"
 )
 
-// trafficEvent is the number of the lines that count messages.
+// trafficEvent is events.Traffic.Number, the event whose lines count messages.
 const trafficEvent = 714
 
-// bytesSuffix ends the name of a field that holds bytes.
+// bytesSuffix is the end of the name of a field that counts bytes, not messages.
 const bytesSuffix = "_bytes"
 
-// Exchange is one kind of message in one direction, over all VMs that logged it.
-type Exchange struct {
-	// Name is the direction and the kind, as in "out_probe".
+// MessageStats is the traffic of one kind of message in one direction, over all VMs that
+// logged it.
+type MessageStats struct {
+	// Name is the direction and the kind of message, as in "out_probe".
 	Name string
-	// VMs is how many logged it.
+	// VMs is how many VMs logged it.
 	VMs int
-	// Messages and Bytes are a second and VM; the means, and the busiest VM's.
-	Messages, MostMessages float64
-	Bytes, MostBytes       float64
+	// Messages and Bytes are the mean rates of a VM, MaxMessages and MaxBytes those of the
+	// VM with the highest; all are per second.
+	Messages, MaxMessages float64
+	Bytes, MaxBytes       float64
 }
 
-// tally is what one VM logged of one exchange.
-type tally struct {
+// messageCount is what one VM logged of one kind of message in one direction.
+type messageCount struct {
 	messages, bytes float64
 }
 
-// vmTraffic is what one VM logged.
+// vmTraffic is what one VM logged: the sum of the intervals that its lines cover, and the
+// counts by direction and kind.
 type vmTraffic struct {
 	seconds float64
-	tallies map[string]*tally
+	counts  map[string]*messageCount
 }
 
-// takeTraffic adds a line that counts messages.
-func (l *Log) takeTraffic(vm string, raw []byte) error {
+// addTraffic adds a line that counts messages.
+func (l *Log) addTraffic(vm string, raw []byte) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &fields); err != nil {
 		return err
 	}
 	t := l.traffic[vm]
 	if t == nil {
-		t = &vmTraffic{tallies: map[string]*tally{}}
+		t = &vmTraffic{counts: map[string]*messageCount{}}
 		l.traffic[vm] = t
 	}
 	for name, value := range fields {
 		var number float64
 		if json.Unmarshal(value, &number) != nil {
-			continue // a word
+			continue // a text field, not a count
 		}
 		t.add(name, number)
 	}
@@ -66,11 +69,11 @@
 	if !strings.HasPrefix(name, "in_") && !strings.HasPrefix(name, "out_") {
 		return
 	}
-	exchange, isBytes := strings.CutSuffix(name, bytesSuffix)
-	x := t.tallies[exchange]
+	kind, isBytes := strings.CutSuffix(name, bytesSuffix)
+	x := t.counts[kind]
 	if x == nil {
-		x = &tally{}
-		t.tallies[exchange] = x
+		x = &messageCount{}
+		t.counts[kind] = x
 	}
 	if isBytes {
 		x.bytes += number
@@ -79,29 +82,30 @@
 	}
 }
 
-// Traffic returns what the VMs sent and received, the exchanges with the most bytes first.
-func (l *Log) Traffic() []Exchange {
-	byName := map[string]*Exchange{}
+// Traffic returns what the VMs sent and received, ordered by mean bytes per second, the
+// highest first.
+func (l *Log) Traffic() []MessageStats {
+	byName := map[string]*MessageStats{}
 	for _, t := range l.traffic {
-		for name, x := range t.tallies {
+		for name, x := range t.counts {
 			if t.seconds == 0 {
 				continue
 			}
 			e := byName[name]
 			if e == nil {
-				e = &Exchange{Name: name}
+				e = &MessageStats{Name: name}
 				byName[name] = e
 			}
-			e.take(x.messages/t.seconds, x.bytes/t.seconds)
+			e.addVM(x.messages/t.seconds, x.bytes/t.seconds)
 		}
 	}
-	var out []Exchange
+	var out []MessageStats
 	for _, e := range byName {
 		e.Messages /= float64(e.VMs)
 		e.Bytes /= float64(e.VMs)
 		out = append(out, *e)
 	}
-	slices.SortFunc(out, func(a, b Exchange) int {
+	slices.SortFunc(out, func(a, b MessageStats) int {
 		if c := cmp.Compare(b.Bytes, a.Bytes); c != 0 {
 			return c
 		}
@@ -110,19 +114,20 @@
 	return out
 }
 
-// take adds one VM's rates; Messages and Bytes hold their sums until all are in.
-func (e *Exchange) take(messages, bytes float64) {
+// addVM adds the rates of one VM. Messages and Bytes are sums until Traffic divides them
+// by the number of VMs.
+func (e *MessageStats) addVM(messages, bytes float64) {
 	e.VMs++
 	e.Messages += messages
 	e.Bytes += bytes
-	e.MostMessages = max(e.MostMessages, messages)
-	e.MostBytes = max(e.MostBytes, bytes)
+	e.MaxMessages = max(e.MaxMessages, messages)
+	e.MaxBytes = max(e.MaxBytes, bytes)
 }
 
-// WriteTraffic prints exchanges as a table.
-func WriteTraffic(out io.Writer, exchanges []Exchange) {
+// WriteTraffic prints stats as a table.
+func WriteTraffic(out io.Writer, stats []MessageStats) {
 	fmt.Fprintf(out, "%-14s %5s %12s %12s %12s %12s\n", "messages", "VMs", "a second", "most", "bytes/s", "most")
-	for _, e := range exchanges {
-		fmt.Fprintf(out, "%-14s %5d %12.1f %12.1f %12.0f %12.0f\n", e.Name, e.VMs, e.Messages, e.MostMessages, e.Bytes, e.MostBytes)
+	for _, e := range stats {
+		fmt.Fprintf(out, "%-14s %5d %12.1f %12.1f %12.0f %12.0f\n", e.Name, e.VMs, e.Messages, e.MaxMessages, e.Bytes, e.MaxBytes)
 	}
 }
