--- a/internal/journal/fs.go
+++ b/internal/journal/fs.go
@@ -9,35 +9,36 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is the little that a journal needs of a file system. Tests put one in
-// that cuts the power, fills the disk or slows it.
+// FS is the part of a file system that a journal needs. Tests replace it to simulate power
+// cuts, full disks and slow disks.
 type FS interface {
-	// MakeDir makes a folder unless it exists.
+	// MakeDir creates a folder and its parents unless they exist.
 	MakeDir(dir string) error
 	// List returns the names of the files in a folder.
 	List(dir string) ([]string, error)
 	Read(name string) ([]byte, error)
-	// Create makes a new, empty file; it fails if there is one.
+	// Create creates an empty file, and fails if the name exists.
 	Create(name string) (File, error)
-	// Truncate cuts a file and syncs it.
+	// Truncate shortens a file to size bytes and syncs it.
 	Truncate(name string, size int64) error
 	Rename(from, to string) error
 	Remove(name string) error
-	// SyncDir makes a folder's names durable.
+	// SyncDir makes the creation, renaming and removal of files in a folder durable.
 	SyncDir(dir string) error
-	// Lock takes a lock that ends with the process, or fails at once.
+	// Lock takes a lock that is released when the process ends. If another process has it,
+	// Lock returns ErrLocked without waiting.
 	Lock(name string) (io.Closer, error)
 }
 
-// File is a file that is only appended to.
+// File is an append-only file.
 type File interface {
 	io.Writer
-	// Sync returns once all that was written lasts.
+	// Sync returns once everything written is durable.
 	Sync() error
 	Close() error
 }
 
-// Disk is the machine's file system.
+// Disk is the FS of the operating system.
 type Disk struct{}
 
 const (
@@ -116,13 +117,12 @@
 	return f, nil
 }
 
-// writeWhole replaces a file so that after a power cut either the old or the
-// new content is there, whole: a temporary file is synced before its name
-// changes, and the folder after.
-func writeWhole(fs FS, dir, name string, data []byte) error {
-	temporary := filepath.Join(dir, name+temporarySuffix)
-	_ = fs.Remove(temporary) // left over from a power cut
-	f, err := fs.Create(temporary)
+// replaceFile replaces a file atomically: after a power cut it has either the old or the
+// new content. A temporary file is written, synced and renamed, then the folder is synced.
+func replaceFile(fs FS, dir, name string, data []byte) error {
+	tempPath := filepath.Join(dir, name+temporarySuffix)
+	_ = fs.Remove(tempPath) // left over from a power cut
+	f, err := fs.Create(tempPath)
 	if err != nil {
 		return err
 	}
@@ -133,7 +133,7 @@
 	if err := f.Close(); err != nil {
 		return err
 	}
-	if err := fs.Rename(temporary, filepath.Join(dir, name)); err != nil {
+	if err := fs.Rename(tempPath, filepath.Join(dir, name)); err != nil {
 		return err
 	}
 	return fs.SyncDir(dir)
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,9 +1,11 @@
-// Package journal keeps a replica's durable state in one data folder: who it
-// is, its term and vote, its log, and the newest snapshot. What a replica
-// acknowledges was synced here first. Without that, a power cut after an answer
-// would take back a preset that an operator was told is in force.
+// Package journal stores the durable state of a Raft replica in one data folder: its
+// identity, term and vote, its log, and the newest snapshot. A replica syncs its state to
+// the journal before it acknowledges anything. Otherwise a power cut could lose a preset
+// that an operator was told is in force.
 //
-// Files: identity, snapshot-INDEX, segment-NUMBER (hexadecimal), lock.
+// The files are identity, snapshot-INDEX, segment-NUMBER (numbers in hexadecimal) and lock.
+// A segment is a sequence of records; a new one begins when the current one is full, and
+// after each snapshot.
 package journal
 
 import (
@@ -25,22 +27,22 @@
 	segmentPrefix   = "segment-"
 	snapshotPrefix  = "snapshot-"
 	temporarySuffix = ".temporary"
-	// segmentLimit is the size at which a new segment begins. It bounds what is
-	// read at once at a start.
-	segmentLimit = 8 << 20
+	// segmentLimitBytes is the size above which a new segment begins. It limits how much
+	// is read into memory at once when the folder is opened.
+	segmentLimitBytes = 8 << 20
 )
 
-// Errors of a journal.
+// Errors of Open and of the methods of Journal.
 var (
-	// ErrLocked means that another process has the folder open. Two would
+	// ErrLocked means that another process has the folder open. Two processes would
 	// overwrite each other's votes.
 	ErrLocked = errors.New("journal: the folder is in use by another process")
-	// ErrPoisoned means that a write or sync failed before. What the disk holds
-	// is unknown: after a failed sync the system may drop the written pages and
-	// report success the next time. Only opening the folder anew, which writes
-	// and syncs everything again, ends this.
+	// ErrPoisoned means that an earlier write or sync failed, and that the content of the
+	// disk is unknown: after a failed sync the kernel may drop the written pages and report
+	// success for the next sync. The folder must be closed and opened again, which writes
+	// and syncs the whole state anew.
 	ErrPoisoned = errors.New("journal: an earlier write failed")
-	// ErrIncomplete means that files were taken out of the folder.
+	// ErrIncomplete means that files were removed from the folder.
 	ErrIncomplete = errors.New("journal: files are missing from the folder")
 )
 
@@ -51,25 +53,26 @@
 	lock     io.Closer
 	identity Identity
 
-	number  uint64
-	segment uint64
-	file    File
-	size    int
-	failure error
-	syncs   uint64
+	lastNumber    uint64
+	segmentNumber uint64
+	file          File
+	segmentSize   int
+	failure       error
+	syncs         uint64
 }
 
-// Options open a folder.
+// Options configure Open.
 type Options struct {
 	FS     FS
 	Folder string
-	// NewID draws the identity of a fresh folder.
+	// NewID returns a random replica ID for a new folder.
 	NewID func() raft.ID
 }
 
-// Open opens or makes a data folder and returns what it holds. Everything that
-// the replica will rely on is written and synced anew into a segment of its
-// own: what was read may exist only in the system's memory since a failed sync.
+// Open opens a data folder, which it creates if it doesn't exist, and returns the stored
+// state. The whole state is written and synced again into a new segment, because after a
+// failed sync what was read may be in the kernel's page cache only. Errors are
+// ErrLocked, ErrIncomplete, *CorruptError, or errors of the file system.
 func Open(o Options) (*Journal, raft.Stored, error) {
 	if err := o.FS.MakeDir(o.Folder); err != nil {
 		return nil, raft.Stored{}, errors.Wrap(err, "journal: make folder")
@@ -88,12 +91,12 @@
 }
 
 func (j *Journal) load(newID func() raft.ID) (raft.Stored, error) {
-	files, err := j.list()
+	files, err := j.listFiles()
 	if err != nil {
 		return raft.Stored{}, err
 	}
 	if !files.identity {
-		return raft.Stored{}, j.create(files, newID)
+		return raft.Stored{}, j.initialize(files, newID)
 	}
 	if err := j.readIdentity(); err != nil {
 		return raft.Stored{}, err
@@ -102,21 +105,22 @@
 	if err != nil {
 		return raft.Stored{}, err
 	}
-	whole := Batch{Hard: stored.Hard, Commit: stored.Commit, Entries: stored.Entries}
-	if err := j.restart(whole); err != nil {
+	state := Batch{Hard: stored.Hard, Commit: stored.Commit, Entries: stored.Entries}
+	if err := j.startLog(state); err != nil {
 		return raft.Stored{}, err
 	}
-	return stored, j.removeBefore(j.segment, stored.Snapshot.Index)
+	return stored, j.removeBefore(j.segmentNumber, stored.Snapshot.Index)
 }
 
-// folderFiles are the numbers in the names of a folder's files, in order.
+// folderFiles describes the files of a folder: the numbers in the names of segments and
+// snapshots in ascending order, and whether there is an identity.
 type folderFiles struct {
 	identity  bool
 	segments  []uint64
 	snapshots []uint64
 }
 
-func (j *Journal) list() (folderFiles, error) {
+func (j *Journal) listFiles() (folderFiles, error) {
 	var files folderFiles
 	names, err := j.fs.List(j.dir)
 	if err != nil {
@@ -142,12 +146,12 @@
 	return files, nil
 }
 
-func appendNumber(to []uint64, name, prefix string) ([]uint64, error) {
+func appendNumber(numbers []uint64, name, prefix string) ([]uint64, error) {
 	n, err := strconv.ParseUint(strings.TrimPrefix(name, prefix), 16, 64)
 	if err != nil {
-		return to, &CorruptError{File: name, What: "the name has no number"}
+		return numbers, &CorruptError{File: name, What: "the name has no number"}
 	}
-	return append(to, n), nil
+	return append(numbers, n), nil
 }
 
 func (j *Journal) path(name string) string { return filepath.Join(j.dir, name) }
@@ -155,10 +159,10 @@
 func segmentName(n uint64) string  { return fmt.Sprintf("%s%016x", segmentPrefix, n) }
 func snapshotName(n uint64) string { return fmt.Sprintf("%s%016x", snapshotPrefix, n) }
 
-// create makes a new replica of a fresh folder. The identity comes last: a
-// folder with an identity but no segment has lost files, and starting it empty
-// would let an old identity vote twice.
-func (j *Journal) create(files folderFiles, newID func() raft.ID) error {
+// initialize sets up a new replica in a folder without an identity. The identity is
+// written last, so that a folder with an identity but no segment has lost files. Starting
+// such a folder empty would let its replica vote twice in a term.
+func (j *Journal) initialize(files folderFiles, newID func() raft.ID) error {
 	if len(files.snapshots) > 0 || len(files.segments) > 1 {
 		return errors.Wrapf(ErrIncomplete, "%s has no identity", j.dir)
 	}
@@ -168,7 +172,7 @@
 		}
 	}
 	j.identity = Identity{Replica: newID()}
-	if err := j.restart(Batch{}); err != nil {
+	if err := j.startLog(Batch{}); err != nil {
 		return err
 	}
 	return j.writeIdentity(j.identity)
@@ -179,7 +183,7 @@
 	if err != nil {
 		return errors.Wrap(err, "journal: read identity")
 	}
-	body, rest, ok := next(data)
+	body, rest, ok := decodeFrame(data)
 	if !ok || len(rest) > 0 {
 		return &CorruptError{File: j.path(identityFile), What: "damaged"}
 	}
@@ -190,21 +194,21 @@
 }
 
 func (j *Journal) writeIdentity(id Identity) error {
-	data, err := frame(&id)
+	data, err := encodeFrame(&id)
 	if err != nil {
 		return err
 	}
-	if err := writeWhole(j.fs, j.dir, identityFile, data); err != nil {
-		return j.poison(errors.Wrap(err, "journal: write identity"))
+	if err := replaceFile(j.fs, j.dir, identityFile, data); err != nil {
+		return j.fail(errors.Wrap(err, "journal: write identity"))
 	}
 	j.identity = id
 	return nil
 }
 
-// Identity returns who the folder is.
+// Identity returns the identity of the replica that the folder belongs to.
 func (j *Journal) Identity() Identity { return j.identity }
 
-// SetCluster records the cluster that the replica has joined.
+// SetCluster stores the ID of the cluster that the replica has joined.
 func (j *Journal) SetCluster(id uint64) error {
 	if j.failure != nil {
 		return j.failure
@@ -212,21 +216,22 @@
 	return j.writeIdentity(Identity{Replica: j.identity.Replica, Cluster: id})
 }
 
-// Batch is what one sync makes durable.
+// Batch is the state that one write and sync make durable.
 type Batch struct {
 	Hard raft.HardState
-	// Commit is an entry known to be committed.
+	// Commit is the index of an entry known to be committed.
 	Commit raft.Index
 	// Entries replace the stored ones from their first index on.
 	Entries []raft.Entry
 }
 
-// Save makes a batch durable. After an error nothing more is saved.
+// Save writes and syncs a batch. After an error nothing more can be saved: all further
+// calls fail with ErrPoisoned.
 func (j *Journal) Save(b Batch) error {
 	if j.failure != nil {
 		return j.failure
 	}
-	if j.size > segmentLimit {
+	if j.segmentSize > segmentLimitBytes {
 		if err := j.rotate(); err != nil {
 			return err
 		}
@@ -234,110 +239,113 @@
 	return j.write(record{Hard: b.Hard, Commit: b.Commit, Entries: b.Entries})
 }
 
-// SaveSnapshot makes a snapshot durable, begins a segment with whole, which
-// holds all entries after it, and removes what both replace.
-func (j *Journal) SaveSnapshot(s raft.Snapshot, whole Batch) error {
+// SaveSnapshot writes and syncs a snapshot, begins a new segment with state, which must
+// have all entries after the snapshot, and removes older segments and snapshots.
+func (j *Journal) SaveSnapshot(s raft.Snapshot, state Batch) error {
 	if j.failure != nil {
 		return j.failure
 	}
-	data, err := frame(&s)
+	data, err := encodeFrame(&s)
 	if err != nil {
 		return err
 	}
-	if err := writeWhole(j.fs, j.dir, snapshotName(uint64(s.Index)), data); err != nil {
-		return j.poison(errors.Wrap(err, "journal: write snapshot"))
+	if err := replaceFile(j.fs, j.dir, snapshotName(uint64(s.Index)), data); err != nil {
+		return j.fail(errors.Wrap(err, "journal: write snapshot"))
 	}
-	if err := j.restart(whole); err != nil {
+	if err := j.startLog(state); err != nil {
 		return err
 	}
-	return j.removeBefore(j.segment, s.Index)
+	return j.removeBefore(j.segmentNumber, s.Index)
 }
 
-// restart begins a segment that needs none before it.
-func (j *Journal) restart(whole Batch) error {
+// startLog begins a new segment with a record of the whole state, so that no earlier
+// segment is needed.
+func (j *Journal) startLog(state Batch) error {
 	if err := j.rotate(); err != nil {
 		return err
 	}
-	return j.write(record{Reset: true, Hard: whole.Hard, Commit: whole.Commit, Entries: whole.Entries})
+	return j.write(record{Reset: true, Hard: state.Hard, Commit: state.Commit, Entries: state.Entries})
 }
 
+// rotate begins a new, empty segment.
 func (j *Journal) rotate() error {
 	if j.file != nil {
 		if err := j.file.Close(); err != nil {
-			return j.poison(errors.Wrap(err, "journal: close segment"))
+			return j.fail(errors.Wrap(err, "journal: close segment"))
 		}
 		j.file = nil
 	}
-	j.segment++
-	f, err := j.fs.Create(j.path(segmentName(j.segment)))
+	j.segmentNumber++
+	f, err := j.fs.Create(j.path(segmentName(j.segmentNumber)))
 	if err != nil {
-		return j.poison(errors.Wrap(err, "journal: create segment"))
+		return j.fail(errors.Wrap(err, "journal: create segment"))
 	}
 	j.file = f
-	j.size = 0
+	j.segmentSize = 0
 	if err := j.fs.SyncDir(j.dir); err != nil {
-		return j.poison(errors.Wrap(err, "journal: sync folder"))
+		return j.fail(errors.Wrap(err, "journal: sync folder"))
 	}
 	return nil
 }
 
 func (j *Journal) write(r record) error {
-	j.number++
-	r.Number = j.number
+	j.lastNumber++
+	r.Number = j.lastNumber
 	r.Replica = j.identity.Replica
-	data, err := frame(&r)
+	data, err := encodeFrame(&r)
 	if err != nil {
-		return j.poison(err)
+		return j.fail(err)
 	}
 	if err := writeAndSync(j.file, data); err != nil {
-		return j.poison(errors.Wrapf(err, "journal: write %s", segmentName(j.segment)))
+		return j.fail(errors.Wrapf(err, "journal: write %s", segmentName(j.segmentNumber)))
 	}
-	j.size += len(data)
+	j.segmentSize += len(data)
 	j.syncs++
 	return nil
 }
 
-func (j *Journal) poison(err error) error {
-	j.failure = &poisonError{cause: err}
+// fail makes all further writes fail with ErrPoisoned, and returns that error.
+func (j *Journal) fail(err error) error {
+	j.failure = &writeFailedError{cause: err}
 	return j.failure
 }
 
-type poisonError struct{ cause error }
+type writeFailedError struct{ cause error }
 
-func (e *poisonError) Error() string { return ErrPoisoned.Error() + ": " + e.cause.Error() }
+func (e *writeFailedError) Error() string { return ErrPoisoned.Error() + ": " + e.cause.Error() }
 
-func (e *poisonError) Is(target error) bool { return target == ErrPoisoned }
+func (e *writeFailedError) Is(target error) bool { return target == ErrPoisoned }
 
-func (e *poisonError) Unwrap() error { return e.cause }
+func (e *writeFailedError) Unwrap() error { return e.cause }
 
-// removeBefore removes older segments, oldest first so that those left have no
-// gap, and older snapshots.
-func (j *Journal) removeBefore(segment uint64, snapshot raft.Index) error {
-	files, err := j.list()
+// removeBefore removes the segments and snapshots with lower numbers. The oldest segment
+// is removed first, so that the remaining ones have no gap.
+func (j *Journal) removeBefore(segmentNumber uint64, snapshot raft.Index) error {
+	files, err := j.listFiles()
 	if err != nil {
-		return j.poison(err)
+		return j.fail(err)
 	}
 	for _, n := range files.segments {
-		if n < segment {
+		if n < segmentNumber {
 			if err := j.fs.Remove(j.path(segmentName(n))); err != nil {
-				return j.poison(errors.Wrap(err, "journal: remove segment"))
+				return j.fail(errors.Wrap(err, "journal: remove segment"))
 			}
 		}
 	}
 	for _, n := range files.snapshots {
 		if n < uint64(snapshot) {
 			if err := j.fs.Remove(j.path(snapshotName(n))); err != nil {
-				return j.poison(errors.Wrap(err, "journal: remove snapshot"))
+				return j.fail(errors.Wrap(err, "journal: remove snapshot"))
 			}
 		}
 	}
 	return nil
 }
 
-// Syncs returns how many records were synced.
+// Syncs returns the number of records written and synced.
 func (j *Journal) Syncs() uint64 { return j.syncs }
 
-// Close lets go of the folder. All that was saved is already synced.
+// Close closes the segment and releases the lock. It needs no sync: Save has synced.
 func (j *Journal) Close() error {
 	var err error
 	if j.file != nil {
@@ -345,7 +353,7 @@
 		j.file = nil
 	}
 	if j.failure == nil {
-		j.failure = &poisonError{cause: errors.New("journal: closed")}
+		j.failure = &writeFailedError{cause: errors.New("journal: closed")}
 	}
 	if unlockErr := j.lock.Close(); err == nil {
 		err = unlockErr
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -16,18 +16,18 @@
 
 const folder = "/data"
 
-func openMemory(m *memory, id raft.ID) (*Journal, raft.Stored, error) {
+func openInMemory(m *memoryFS, id raft.ID) (*Journal, raft.Stored, error) {
 	return Open(Options{FS: m, Folder: folder, NewID: func() raft.ID { return id }})
 }
 
-// script is what a replica does, step by step, with the state that it may rely
-// on after each.
-type script struct {
+// workload is a random sequence of writes of a replica. want is the state that the journal
+// has acknowledged so far.
+type workload struct {
 	rng  *rand.Rand
 	want raft.Stored
 }
 
-func (s *script) entries(n int) []raft.Entry {
+func (s *workload) entries(n int) []raft.Entry {
 	next := s.want.Snapshot.Index + raft.Index(len(s.want.Entries)) + 1
 	if len(s.want.Entries) > 0 && s.rng.IntN(4) == 0 {
 		next-- // a new leader replaces the last entry
@@ -41,16 +41,16 @@
 	return out
 }
 
-// step does one thing; want is only moved once it has succeeded.
-func (s *script) step(j *Journal) error {
+// step writes one batch or snapshot, and updates want if the write succeeds.
+func (s *workload) step(j *Journal) error {
 	before := s.want
 	before.Entries = append([]raft.Entry(nil), before.Entries...)
 	s.want.Hard.Term++
 	s.want.Hard.Vote = raft.ID(s.rng.Uint64())
 	var err error
 	if n := len(s.want.Entries); n > 3 && s.rng.IntN(3) == 0 {
-		at := s.want.Entries[n/2]
-		s.want.Snapshot = raft.Snapshot{Index: at.Index, Term: at.Term, Data: []byte("state")}
+		snapshotAt := s.want.Entries[n/2]
+		s.want.Snapshot = raft.Snapshot{Index: snapshotAt.Index, Term: snapshotAt.Term, Data: []byte("state")}
 		s.want.Entries = append([]raft.Entry(nil), s.want.Entries[n/2+1:]...)
 		err = j.SaveSnapshot(s.want.Snapshot, Batch{Hard: s.want.Hard, Entries: s.want.Entries})
 	} else {
@@ -64,9 +64,10 @@
 	return err
 }
 
-// holds says whether a state has all that was acknowledged: the term, and each
-// entry or a snapshot of it. It may have the step that the power cut short.
-func holds(got, want raft.Stored) bool {
+// hasAcknowledged reports whether got has everything acknowledged in want: the term and
+// vote, and each entry or a snapshot that includes it. It may also have the write that the
+// power cut interrupted.
+func hasAcknowledged(got, want raft.Stored) bool {
 	if got.Hard.Term < want.Hard.Term || got.Hard.Term == want.Hard.Term && got.Hard.Vote != want.Hard.Vote {
 		return false
 	}
@@ -78,56 +79,57 @@
 		if e.Index <= got.Snapshot.Index || replaced && i == len(want.Entries)-1 {
 			continue
 		}
-		at := int(e.Index - got.Snapshot.Index - 1)
-		if at >= len(got.Entries) || got.Entries[at].Term != e.Term || !bytes.Equal(got.Entries[at].Data, e.Data) {
+		offset := int(e.Index - got.Snapshot.Index - 1)
+		if offset >= len(got.Entries) || got.Entries[offset].Term != e.Term || !bytes.Equal(got.Entries[offset].Data, e.Data) {
 			return false
 		}
 	}
 	return true
 }
 
-// The power is cut at each operation in turn, also while the replica starts
-// after an earlier cut. An operator's command that was acknowledged must be
-// there when the VM is back, and the folder must open.
+// Guards against losing acknowledged commands in a power cut. The power is cut at each
+// operation in turn, and again while the replica starts afterwards. Then the folder must
+// open, with everything that was acknowledged.
 func TestPowerCutAtEveryOperation(t *testing.T) {
 	cuts := 0
 	for seed := range uint64(12) {
-		for budget := 0; ; budget++ {
-			s := &script{rng: rand.New(rand.NewPCG(seed, 2))}
-			m := newMemory(seed + uint64(budget)<<8)
-			m.budget = budget
-			j, _, err := openMemory(m, 7)
+		for cutAt := 0; ; cutAt++ {
+			s := &workload{rng: rand.New(rand.NewPCG(seed, 2))}
+			m := newMemory(seed + uint64(cutAt)<<8)
+			m.operationsLeft = cutAt
+			j, _, err := openInMemory(m, 7)
 			for range 12 {
 				if err == nil {
 					err = s.step(j)
 				}
 			}
 			if err == nil {
-				break // the whole script ran before the power was cut
+				break // the whole workload ran before the power cut
 			}
 			cuts++
 			if err := reopen(m, s); err != nil {
-				t.Fatalf("seed %d, cut at operation %d: %v", seed, budget, err)
+				t.Fatalf("seed %d, cut at operation %d: %v", seed, cutAt, err)
 			}
 		}
 	}
 	t.Logf("%d power cuts", cuts)
 	if cuts < 100 {
-		t.Fatal("too few cuts to mean anything")
+		t.Fatal("fewer than 100 power cuts, too few to test anything")
 	}
 }
 
-// reopen starts after a cut, with further cuts during the start, and goes on.
-func reopen(m *memory, s *script) error {
-	for again := range 4 {
-		m = m.cut()
-		m.budget = m.rng.IntN(20)
-		if again == 3 {
-			m.budget = -1
+// reopen opens the folder after a power cut, with further cuts while it opens, checks the
+// state and writes once more.
+func reopen(m *memoryFS, s *workload) error {
+	for attempt := range 4 {
+		m = m.afterPowerCut()
+		m.operationsLeft = m.rng.IntN(20)
+		if attempt == 3 {
+			m.operationsLeft = -1
 		}
-		j, got, err := openMemory(m, 8)
+		j, got, err := openInMemory(m, 8)
 		if err != nil {
-			if m.budget == 0 && again < 3 {
+			if m.operationsLeft == 0 && attempt < 3 {
 				continue
 			}
 			return err
@@ -135,12 +137,12 @@
 		if s.want.Hard.Term > 0 && j.Identity().Replica != 7 {
 			return errors.New("another identity")
 		}
-		if !holds(got, s.want) {
+		if !hasAcknowledged(got, s.want) {
 			return errors.Errorf("got term %d, %d entries after %d; want term %d, %d entries after %d",
 				got.Hard.Term, len(got.Entries), got.Snapshot.Index,
 				s.want.Hard.Term, len(s.want.Entries), s.want.Snapshot.Index)
 		}
-		if again == 3 {
+		if attempt == 3 {
 			s.want = got
 			return s.step(j)
 		}
@@ -148,44 +150,48 @@
 	return nil
 }
 
-// The disk fills up in the middle of a write. The replica must acknowledge
-// nothing from then on, also when there is room again: what the failed write
-// left is unknown. Opened anew, it has what it acknowledged.
-func TestFullDiskEndsAcknowledgements(t *testing.T) {
+// Guards against acknowledgements after a failed write, which leaves unknown content on
+// the disk. The disk fills up during a write; from then on every save must fail, even when
+// there is space again. Once reopened, the folder has what was acknowledged.
+func TestNoSaveAfterFullDisk(t *testing.T) {
 	is := is.New(t)
 	m := newMemory(1)
-	j, _, err := openMemory(m, 7)
+	j, _, err := openInMemory(m, 7)
 	is.NoErr(err)
-	s := &script{rng: rand.New(rand.NewPCG(1, 2))}
+	s := &workload{rng: rand.New(rand.NewPCG(1, 2))}
 	for range 5 {
 		is.NoErr(s.step(j))
 	}
-	m.room = 10
+	m.bytesLeft = 10
 	err = s.step(j)
-	is.True(errors.Is(err, ErrPoisoned) && errors.Is(err, errFull))
-	m.room = -1
+	is.True(errors.Is(err, ErrPoisoned) && errors.Is(err, errDiskFull))
+	m.bytesLeft = -1
 	for range 3 {
 		is.True(errors.Is(s.step(j), ErrPoisoned))
 	}
 	is.True(errors.Is(j.SetCluster(1), ErrPoisoned))
 	_ = j.Close()
-	_, got, err := openMemory(m, 8)
+	_, got, err := openInMemory(m, 8)
 	is.NoErr(err)
-	is.True(holds(got, s.want))
+	is.True(hasAcknowledged(got, s.want))
 	is.Equal(len(got.Entries), len(s.want.Entries))
 }
 
-func TestFailedSyncEndsAcknowledgements(t *testing.T) {
+// Guards against acknowledgements after a failed sync, as a later sync may report success
+// although the data of the failed one is lost.
+func TestNoSaveAfterFailedSync(t *testing.T) {
 	is := is.New(t)
 	m := newMemory(1)
-	j, _, err := openMemory(m, 7)
+	j, _, err := openInMemory(m, 7)
 	is.NoErr(err)
-	m.budget = 1 // the write succeeds, its sync doesn't
+	m.operationsLeft = 1 // the write succeeds, its sync doesn't
 	is.True(errors.Is(j.Save(Batch{Hard: raft.HardState{Term: 1}}), ErrPoisoned))
-	m.budget = -1
+	m.operationsLeft = -1
 	is.True(errors.Is(j.Save(Batch{Hard: raft.HardState{Term: 1}}), ErrPoisoned))
 }
 
+// Guards against two processes that overwrite each other's votes in one folder. What the
+// first one stored must be there when it is opened again.
 func TestSecondProcessIsLockedOut(t *testing.T) {
 	is := is.New(t)
 	o := Options{FS: Disk{}, Folder: t.TempDir(), NewID: func() raft.ID { return 7 }}
@@ -204,14 +210,15 @@
 	is.NoErr(j.Close())
 }
 
-// damagedFolder makes a real folder with some records and damages one file.
+// damagedFolder writes some records into a folder on disk, and then damages the last file
+// whose name matches the pattern, or removes it if damage is nil.
 func damagedFolder(t *testing.T, pattern string, damage func([]byte) []byte) (Options, string) {
 	t.Helper()
 	is := is.New(t)
 	o := Options{FS: Disk{}, Folder: t.TempDir(), NewID: func() raft.ID { return 7 }}
 	j, _, err := Open(o)
 	is.NoErr(err)
-	s := &script{rng: rand.New(rand.NewPCG(4, 2))}
+	s := &workload{rng: rand.New(rand.NewPCG(4, 2))}
 	for s.want.Snapshot.Index == 0 || len(s.want.Entries) < 3 {
 		is.NoErr(s.step(j))
 	}
@@ -229,11 +236,11 @@
 	return o, name
 }
 
-// A bit flips, a file is cut, a file is gone. All but a torn last write must be
-// refused, naming file and offset: a replica that went on would have forgotten
-// what it acknowledged.
+// Guards against a replica that starts without state that it acknowledged. A bit flips, a
+// file is truncated, or a file is missing: all damage but a torn last write must fail the
+// opening of the folder, with file and offset.
 func TestDamageIsRefusedWithFileAndOffset(t *testing.T) {
-	flip := func(at func([]byte) int) func([]byte) []byte {
+	flipBit := func(at func([]byte) int) func([]byte) []byte {
 		return func(b []byte) []byte { b[at(b)] ^= 0x10; return b }
 	}
 	first := func([]byte) int { return headerSize + 3 }
@@ -243,12 +250,12 @@
 		damage        func([]byte) []byte
 		want          string
 	}{
-		{"first record's body", "segment-*", flip(first), "offset 0"},
-		{"length of the first record", "segment-*", flip(func([]byte) int { return 5 }), "offset 0"},
-		{"last record's body", "segment-*", flip(last), "damaged record that was once whole"},
-		{"snapshot", "snapshot-*", flip(last), "damaged snapshot"},
+		{"first record's body", "segment-*", flipBit(first), "offset 0"},
+		{"length of the first record", "segment-*", flipBit(func([]byte) int { return 5 }), "offset 0"},
+		{"last record's body", "segment-*", flipBit(last), "damaged record that was once whole"},
+		{"snapshot", "snapshot-*", flipBit(last), "damaged snapshot"},
 		{"snapshot cut", "snapshot-*", func(b []byte) []byte { return b[:len(b)-1] }, "damaged snapshot"},
-		{"identity", "identity", flip(last), "identity: offset 0"},
+		{"identity", "identity", flipBit(last), "identity: offset 0"},
 		{"identity gone", "identity", nil, "has no identity"},
 		{"segments gone", "segment-*", nil, "has no segment"},
 		{"snapshot gone", "snapshot-*", nil, "but the log begins at"},
@@ -268,7 +275,9 @@
 	}
 }
 
-func TestTornLastWriteIsCut(t *testing.T) {
+// Guards against a replica that can't start after an ordinary power cut: a last write that
+// is incomplete, or reads as zeros, is truncated, and all before it stays.
+func TestTornLastWriteIsTruncated(t *testing.T) {
 	for _, damage := range []func([]byte) []byte{
 		func(b []byte) []byte { return b[:len(b)-1] },
 		func(b []byte) []byte { return append(b, "BSJ1"...) },
@@ -280,54 +289,55 @@
 		is.NoErr(err)
 		is.NoErr(j.Save(Batch{Hard: raft.HardState{Term: stored.Hard.Term + 1}}))
 		is.NoErr(j.Close())
-		_, again, err := Open(o)
+		_, reopened, err := Open(o)
 		is.NoErr(err)
-		is.Equal(again.Hard.Term, stored.Hard.Term+1)
-		is.Equal(len(again.Entries), len(stored.Entries))
+		is.Equal(reopened.Hard.Term, stored.Hard.Term+1)
+		is.Equal(len(reopened.Entries), len(stored.Entries))
 	}
 }
 
-// Old segments must go, or the disk fills within weeks.
+// Guards against a disk that fills within weeks because old segments and snapshots aren't
+// removed.
 func TestSnapshotRemovesOldSegments(t *testing.T) {
 	is := is.New(t)
 	m := newMemory(1)
-	j, _, err := openMemory(m, 7)
+	j, _, err := openInMemory(m, 7)
 	is.NoErr(err)
-	s := &script{rng: rand.New(rand.NewPCG(9, 2))}
+	s := &workload{rng: rand.New(rand.NewPCG(9, 2))}
 	for range 200 {
 		is.NoErr(s.step(j))
 	}
-	files, err := j.list()
+	files, err := j.listFiles()
 	is.NoErr(err)
 	is.True(len(files.segments) <= 1)
 	is.Equal(len(files.snapshots), 1)
 }
 
-// FuzzOpen opens a folder whose segment holds anything. It must not panic, must
-// not take records that were never written, and what it accepts must open the
-// same way again.
+// FuzzOpen opens a folder with arbitrary bytes in its segment. Open must not panic, its
+// errors must be *CorruptError or ErrIncomplete, and a state that it returns must be the
+// same when the folder is opened again.
 func FuzzOpen(f *testing.F) {
-	whole, err := frame(&record{Number: 1, Replica: 7, Reset: true, Hard: raft.HardState{Term: 2}})
+	first, err := encodeFrame(&record{Number: 1, Replica: 7, Reset: true, Hard: raft.HardState{Term: 2}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	second, err := frame(&record{Number: 2, Replica: 7, Hard: raft.HardState{Term: 3}, Entries: []raft.Entry{{Index: 1, Term: 3, Kind: raft.EntryCommand, Data: []byte("x")}}})
+	second, err := encodeFrame(&record{Number: 2, Replica: 7, Hard: raft.HardState{Term: 3}, Entries: []raft.Entry{{Index: 1, Term: 3, Kind: raft.EntryCommand, Data: []byte("x")}}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole)
-	f.Add(append(bytes.Clone(whole), second...))
-	f.Add(append(bytes.Clone(whole), second[:20]...))
-	f.Add(append(bytes.Clone(second), whole...))
+	f.Add(first)
+	f.Add(append(bytes.Clone(first), second...))
+	f.Add(append(bytes.Clone(first), second[:20]...))
+	f.Add(append(bytes.Clone(second), first...))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m := newMemory(1)
-		identity, _ := frame(&Identity{Replica: 7})
+		identity, _ := encodeFrame(&Identity{Replica: 7})
 		put := func(name string, data []byte) {
 			m.files[filepath.Join(folder, name)] = &memoryFile{fs: m, data: data, synced: len(data)}
 		}
 		put(identityFile, identity)
 		put(segmentName(1), data)
-		j, stored, err := openMemory(m, 8)
+		j, stored, err := openInMemory(m, 8)
 		if err != nil {
 			var corrupt *CorruptError
 			if !errors.As(err, &corrupt) && !errors.Is(err, ErrIncomplete) {
@@ -336,9 +346,9 @@
 			return
 		}
 		_ = j.Close()
-		_, again, err := openMemory(m, 8)
-		if err != nil || again.Hard != stored.Hard || len(again.Entries) != len(stored.Entries) {
-			t.Fatalf("opened once with %d entries, then %d: %v", len(stored.Entries), len(again.Entries), err)
+		_, reopened, err := openInMemory(m, 8)
+		if err != nil || reopened.Hard != stored.Hard || len(reopened.Entries) != len(stored.Entries) {
+			t.Fatalf("opened once with %d entries, then %d: %v", len(stored.Entries), len(reopened.Entries), err)
 		}
 	})
 }
--- a/internal/journal/power_test.go
+++ b/internal/journal/power_test.go
@@ -10,61 +10,61 @@
 )
 
 var (
-	errPower = errors.New("power: cut")
-	errFull  = errors.New("disk: full")
+	errPowerCut = errors.New("power cut")
+	errDiskFull = errors.New("disk full")
 )
 
-// memory is a file system whose power can be cut. Bytes last once their file
-// is synced, names once their folder is.
-type memory struct {
+// memoryFS is an FS in memory that simulates power cuts and full disks. Bytes survive a
+// power cut once their file is synced, names once their folder is synced.
+type memoryFS struct {
 	files map[string]*memoryFile
-	// synced are the names that outlive a power cut.
+	// synced has the names that survive a power cut.
 	synced map[string]*memoryFile
-	// budget is how many more operations succeed; negative for all.
-	budget int
-	// spent counts operations.
-	spent int
-	// room is how many more bytes fit; negative for any number.
-	room   int
-	locked map[string]bool
-	rng    *rand.Rand
+	// operationsLeft is how many more operations succeed; negative means all.
+	operationsLeft int
+	// operations is the number of operations that succeeded.
+	operations int
+	// bytesLeft is how many more bytes fit on the disk; negative means any number.
+	bytesLeft int
+	locked    map[string]bool
+	rng       *rand.Rand
 }
 
 type memoryFile struct {
-	fs     *memory
+	fs     *memoryFS
 	data   []byte
 	synced int
 }
 
-func newMemory(seed uint64) *memory {
-	return &memory{
+func newMemory(seed uint64) *memoryFS {
+	return &memoryFS{
 		files: map[string]*memoryFile{}, synced: map[string]*memoryFile{}, locked: map[string]bool{},
-		budget: -1, room: -1, rng: rand.New(rand.NewPCG(seed, 1)),
+		operationsLeft: -1, bytesLeft: -1, rng: rand.New(rand.NewPCG(seed, 1)),
 	}
 }
 
-func (m *memory) spend() error {
-	if m.budget == 0 {
-		return errPower
+func (m *memoryFS) countOperation() error {
+	if m.operationsLeft == 0 {
+		return errPowerCut
 	}
-	m.budget--
-	m.spent++
+	m.operationsLeft--
+	m.operations++
 	return nil
 }
 
-// cut returns what is on the disk after a power cut: of the bytes that were not
-// synced any number from the start may last, or whole sectors may read as
-// zeros; of the names that were not synced each may last or not.
-func (m *memory) cut() *memory {
+// afterPowerCut returns what is on the disk after a power cut. Of the bytes of a file that
+// weren't synced, any number from the start may survive, and a sector of those may read as
+// zeros. Each change of a name that wasn't synced may survive or not.
+func (m *memoryFS) afterPowerCut() *memoryFS {
 	after := newMemory(m.rng.Uint64())
 	for name, f := range m.synced {
 		if _, there := m.files[name]; there || m.rng.IntN(2) == 0 {
-			after.files[name] = f.cut(after)
+			after.files[name] = f.afterPowerCut(after)
 		}
 	}
 	for name, f := range m.files {
 		if m.synced[name] != f && m.rng.IntN(2) == 0 {
-			after.files[name] = f.cut(after)
+			after.files[name] = f.afterPowerCut(after)
 		}
 	}
 	for name, f := range after.files {
@@ -73,40 +73,40 @@
 	return after
 }
 
-func (f *memoryFile) cut(into *memory) *memoryFile {
+func (f *memoryFile) afterPowerCut(fs *memoryFS) *memoryFile {
 	rng := f.fs.rng
 	end := f.synced + rng.IntN(len(f.data)-f.synced+1)
 	data := append([]byte(nil), f.data[:end]...)
 	if rng.IntN(3) == 0 {
 		from := f.synced + rng.IntN(end-f.synced+1)
-		from = min((from+sector-1)/sector*sector, end)
-		clear(data[from:min(from+sector, end)])
+		from = min((from+sectorSize-1)/sectorSize*sectorSize, end)
+		clear(data[from:min(from+sectorSize, end)])
 	}
-	return &memoryFile{fs: into, data: data, synced: len(data)}
+	return &memoryFile{fs: fs, data: data, synced: len(data)}
 }
 
-func (m *memory) MakeDir(string) error { return m.spend() }
+func (m *memoryFS) MakeDir(string) error { return m.countOperation() }
 
-func (m *memory) List(dir string) ([]string, error) {
+func (m *memoryFS) List(dir string) ([]string, error) {
 	var names []string
 	for name := range m.files {
 		if filepath.Dir(name) == dir && !strings.HasSuffix(name, lockFile) {
 			names = append(names, filepath.Base(name))
 		}
 	}
-	return names, m.spend()
+	return names, m.countOperation()
 }
 
-func (m *memory) Read(name string) ([]byte, error) {
+func (m *memoryFS) Read(name string) ([]byte, error) {
 	f, ok := m.files[name]
 	if !ok {
 		return nil, errors.Errorf("%s: no such file", name)
 	}
-	return append([]byte(nil), f.data...), m.spend()
+	return append([]byte(nil), f.data...), m.countOperation()
 }
 
-func (m *memory) Create(name string) (File, error) {
-	if err := m.spend(); err != nil {
+func (m *memoryFS) Create(name string) (File, error) {
+	if err := m.countOperation(); err != nil {
 		return nil, err
 	}
 	if _, ok := m.files[name]; ok {
@@ -117,8 +117,8 @@
 	return f, nil
 }
 
-func (m *memory) Truncate(name string, size int64) error {
-	if err := m.spend(); err != nil {
+func (m *memoryFS) Truncate(name string, size int64) error {
+	if err := m.countOperation(); err != nil {
 		return err
 	}
 	f := m.files[name]
@@ -127,8 +127,8 @@
 	return nil
 }
 
-func (m *memory) Rename(from, to string) error {
-	if err := m.spend(); err != nil {
+func (m *memoryFS) Rename(from, to string) error {
+	if err := m.countOperation(); err != nil {
 		return err
 	}
 	m.files[to] = m.files[from]
@@ -136,19 +136,19 @@
 	return nil
 }
 
-func (m *memory) Remove(name string) error {
+func (m *memoryFS) Remove(name string) error {
 	if _, ok := m.files[name]; !ok {
 		return errors.Errorf("%s: no such file", name)
 	}
-	if err := m.spend(); err != nil {
+	if err := m.countOperation(); err != nil {
 		return err
 	}
 	delete(m.files, name)
 	return nil
 }
 
-func (m *memory) SyncDir(dir string) error {
-	if err := m.spend(); err != nil {
+func (m *memoryFS) SyncDir(dir string) error {
+	if err := m.countOperation(); err != nil {
 		return err
 	}
 	for name := range m.synced {
@@ -162,38 +162,38 @@
 	return nil
 }
 
-func (m *memory) Lock(name string) (io.Closer, error) {
+func (m *memoryFS) Lock(name string) (io.Closer, error) {
 	if m.locked[name] {
 		return nil, ErrLocked
 	}
 	m.locked[name] = true
-	return unlock(func() { m.locked[name] = false }), nil
+	return unlockFunc(func() { m.locked[name] = false }), nil
 }
 
-type unlock func()
+type unlockFunc func()
 
-func (u unlock) Close() error { u(); return nil }
+func (u unlockFunc) Close() error { u(); return nil }
 
 func (f *memoryFile) Write(b []byte) (int, error) {
-	if f.fs.room >= 0 && len(b) > f.fs.room {
-		n := f.fs.room
+	if f.fs.bytesLeft >= 0 && len(b) > f.fs.bytesLeft {
+		n := f.fs.bytesLeft
 		f.data = append(f.data, b[:n]...)
-		f.fs.room = 0
-		return n, errFull
+		f.fs.bytesLeft = 0
+		return n, errDiskFull
 	}
-	if f.fs.room >= 0 {
-		f.fs.room -= len(b)
+	if f.fs.bytesLeft >= 0 {
+		f.fs.bytesLeft -= len(b)
 	}
 	f.data = append(f.data, b...)
-	return len(b), f.fs.spend()
+	return len(b), f.fs.countOperation()
 }
 
 func (f *memoryFile) Sync() error {
-	if err := f.fs.spend(); err != nil {
+	if err := f.fs.countOperation(); err != nil {
 		return err
 	}
 	f.synced = len(f.data)
 	return nil
 }
 
-func (f *memoryFile) Close() error { return f.fs.spend() }
+func (f *memoryFile) Close() error { return f.fs.countOperation() }
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -8,7 +8,7 @@
 	"bergamotstall/internal/raft"
 )
 
-// replay reads the newest snapshot and all segments.
+// replay returns the state stored in the newest snapshot and all segments.
 func (j *Journal) replay(files folderFiles) (raft.Stored, error) {
 	if len(files.segments) == 0 {
 		return raft.Stored{}, errors.Wrapf(ErrIncomplete, "%s has no segment", j.dir)
@@ -21,15 +21,15 @@
 	}
 	for i, n := range files.segments {
 		if i > 0 && n != files.segments[i-1]+1 {
-			r.startOver()
+			r.discardRecords()
 		}
-		if err := r.segment(n, i == len(files.segments)-1); err != nil {
+		if err := r.readSegment(n, i == len(files.segments)-1); err != nil {
 			return raft.Stored{}, err
 		}
 	}
-	j.number = r.number
-	j.segment = files.segments[len(files.segments)-1]
-	return r.finish()
+	j.lastNumber = r.lastNumber
+	j.segmentNumber = files.segments[len(files.segments)-1]
+	return r.joinSnapshot()
 }
 
 func (j *Journal) readSnapshot(n uint64, s *raft.Snapshot) error {
@@ -38,7 +38,7 @@
 	if err != nil {
 		return errors.Wrap(err, "journal: read snapshot")
 	}
-	body, rest, ok := next(data)
+	body, rest, ok := decodeFrame(data)
 	if !ok || len(rest) > 0 {
 		return &CorruptError{File: name, What: "damaged snapshot"}
 	}
@@ -51,25 +51,26 @@
 	return nil
 }
 
-// replayer builds the stored state record by record.
+// replayer rebuilds the stored state from the records of the segments.
 type replayer struct {
-	journal *Journal
-	stored  raft.Stored
-	number  uint64
-	// whole is set once a record was seen that needs none before it.
-	whole bool
+	journal    *Journal
+	stored     raft.Stored
+	lastNumber uint64
+	// resetSeen is set after a record with Reset, which needs no record before it.
+	resetSeen bool
 }
 
-// startOver drops what segments before a gap held. A power cut may keep some
-// removals of old segments and lose others; then the segment after the gap
-// begins a log, and if it doesn't, finish refuses the folder.
-func (r *replayer) startOver() {
-	r.whole = false
-	r.number = 0
+// discardRecords drops the records of the segments before a gap. A power cut may keep the
+// removal of some old segments and undo that of others; then the segment after the gap
+// begins with a Reset record. If no later segment has one, joinSnapshot returns
+// ErrIncomplete.
+func (r *replayer) discardRecords() {
+	r.resetSeen = false
+	r.lastNumber = 0
 	r.stored = raft.Stored{Snapshot: r.stored.Snapshot}
 }
 
-func (r *replayer) segment(n uint64, last bool) error {
+func (r *replayer) readSegment(n uint64, last bool) error {
 	name := r.journal.path(segmentName(n))
 	data, err := r.journal.fs.Read(name)
 	if err != nil {
@@ -77,11 +78,11 @@
 	}
 	offset := 0
 	for offset < len(data) {
-		body, rest, ok := next(data[offset:])
+		body, rest, ok := decodeFrame(data[offset:])
 		if !ok {
-			return r.damaged(name, data, offset, last)
+			return r.handleDamage(name, data, offset, last)
 		}
-		if err := r.record(body); err != nil {
+		if err := r.applyRecord(body); err != nil {
 			return &CorruptError{File: name, Offset: int64(offset), What: err.Error()}
 		}
 		offset = len(data) - len(rest)
@@ -89,12 +90,13 @@
 	return nil
 }
 
-// damaged cuts a torn tail off and refuses all else.
-func (r *replayer) damaged(name string, data []byte, offset int, last bool) error {
+// handleDamage truncates the segment at the offset if it ends in a torn write. All other
+// damage is a CorruptError.
+func (r *replayer) handleDamage(name string, data []byte, offset int, last bool) error {
 	if !last {
 		return &CorruptError{File: name, Offset: int64(offset), What: "damaged record, and later segments exist"}
 	}
-	if !tornAt(data, offset) {
+	if !isTornWrite(data, offset) {
 		return &CorruptError{File: name, Offset: int64(offset), What: "damaged record that was once whole"}
 	}
 	if err := r.journal.fs.Truncate(name, int64(offset)); err != nil {
@@ -103,34 +105,34 @@
 	return nil
 }
 
-func (r *replayer) record(body []byte) error {
-	var x record
-	if _, err := x.UnmarshalMsg(body); err != nil {
+func (r *replayer) applyRecord(body []byte) error {
+	var rec record
+	if _, err := rec.UnmarshalMsg(body); err != nil {
 		return err
 	}
-	if x.Replica != r.journal.identity.Replica {
-		return fmt.Errorf("record of replica %s in the folder of %s", x.Replica, r.journal.identity.Replica)
+	if rec.Replica != r.journal.identity.Replica {
+		return fmt.Errorf("record of replica %s in the folder of %s", rec.Replica, r.journal.identity.Replica)
 	}
-	if r.number != 0 && x.Number != r.number+1 {
-		return fmt.Errorf("record %d follows record %d", x.Number, r.number)
+	if r.lastNumber != 0 && rec.Number != r.lastNumber+1 {
+		return fmt.Errorf("record %d follows record %d", rec.Number, r.lastNumber)
 	}
-	r.number = x.Number
-	if x.Reset {
-		r.whole = true
+	r.lastNumber = rec.Number
+	if rec.Reset {
+		r.resetSeen = true
 		r.stored.Entries = nil
 	}
-	r.stored.Hard = x.Hard
-	r.stored.Commit = max(r.stored.Commit, x.Commit)
-	for _, e := range x.Entries {
-		if err := r.entry(e); err != nil {
+	r.stored.Hard = rec.Hard
+	r.stored.Commit = max(r.stored.Commit, rec.Commit)
+	for _, e := range rec.Entries {
+		if err := r.applyEntry(e); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// entry appends e and drops what it replaces.
-func (r *replayer) entry(e raft.Entry) error {
+// applyEntry appends e to the log, and drops the entry with its index and those after.
+func (r *replayer) applyEntry(e raft.Entry) error {
 	es := r.stored.Entries
 	if len(es) == 0 {
 		r.stored.Entries = append(es, e)
@@ -144,27 +146,28 @@
 	return nil
 }
 
-// finish joins the entries with the snapshot. A power cut between the snapshot
-// and its segment leaves the segments from before it: entries up to it are
-// dropped, and those after it too unless the log agrees with the snapshot.
-func (r *replayer) finish() (raft.Stored, error) {
+// joinSnapshot returns the state with the entries after the snapshot. A power cut between
+// the writes of a snapshot and of its segment leaves older segments: entries up to the
+// snapshot's index are dropped, and the ones after it too unless the log has the
+// snapshot's term at that index.
+func (r *replayer) joinSnapshot() (raft.Stored, error) {
 	s := r.stored
-	if !r.whole {
+	if !r.resetSeen {
 		return s, errors.Wrapf(ErrIncomplete, "%s has no segment that begins a log", r.journal.dir)
 	}
-	at := s.Snapshot.Index
+	snapshotIndex := s.Snapshot.Index
 	if len(s.Entries) == 0 {
 		return s, nil
 	}
 	first, last := s.Entries[0].Index, s.Entries[len(s.Entries)-1].Index
 	switch {
-	case first > at+1:
-		return s, errors.Wrapf(ErrIncomplete, "%s has a snapshot of %d, but the log begins at %d", r.journal.dir, at, first)
-	case last <= at:
+	case first > snapshotIndex+1:
+		return s, errors.Wrapf(ErrIncomplete, "%s has a snapshot of %d, but the log begins at %d", r.journal.dir, snapshotIndex, first)
+	case last <= snapshotIndex:
 		s.Entries = nil
-	case first <= at:
-		if s.Entries[at-first].Term == s.Snapshot.Term {
-			s.Entries = s.Entries[at+1-first:]
+	case first <= snapshotIndex:
+		if s.Entries[snapshotIndex-first].Term == s.Snapshot.Term {
+			s.Entries = s.Entries[snapshotIndex+1-first:]
 		} else {
 			s.Entries = nil
 		}
