--- a/internal/report/plots.go
+++ b/internal/report/plots.go
@@ -26,21 +26,21 @@
 	grey  = color.RGBA{R: 150, G: 150, B: 150, A: 255}
 )
 
-// series is one line of a plot.
+// series is one line of a plot over the seconds of a run.
 type series struct {
 	name  string
 	color color.Color
 	value func(loadgen.Second) float64
 }
 
-func plotTimes(path string, p Page) error {
+func plotLatencies(path string, p Page) error {
 	return plotSeconds(path, p, "Answer times (downloads and submissions)", "ms", []series{
 		{"p50", blue, func(s loadgen.Second) float64 { return s.P50().Seconds() * 1000 }},
 		{"p99", red, func(s loadgen.Second) float64 { return s.P99().Seconds() * 1000 }},
 	})
 }
 
-func plotBroken(path string, p Page) error {
+func plotFailures(path string, p Page) error {
 	return plotSeconds(path, p, "Broken flows, cut and refused requests", "a second", []series{
 		{"flows broken", red, func(s loadgen.Second) float64 { return float64(s.Broken) }},
 		{"requests cut", blue, func(s loadgen.Second) float64 { return float64(s.Cut) }},
@@ -48,19 +48,20 @@
 	})
 }
 
-func plotSeconds(path string, p Page, title, unit string, all []series) error {
+// plotSeconds draws the given lines over the seconds of a run, with its marks.
+func plotSeconds(path string, p Page, title, unit string, lines []series) error {
 	pl := plot.New()
 	pl.Title.Text = title
 	pl.X.Label.Text = "seconds"
 	pl.Y.Label.Text = unit
 	pl.Y.Min = 0
 	pl.Legend.Top = true
-	top := 1.0
-	for _, s := range all {
+	maxY := 1.0
+	for _, s := range lines {
 		points := make(plotter.XYs, len(p.Seconds))
 		for i, sec := range p.Seconds {
 			points[i] = plotter.XY{X: float64(sec.At), Y: s.value(sec)}
-			top = max(top, points[i].Y)
+			maxY = max(maxY, points[i].Y)
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
@@ -70,15 +71,16 @@
 		pl.Add(line)
 		pl.Legend.Add(s.name, line)
 	}
-	if err := addMarks(pl, p.Marks, top); err != nil {
+	if err := addMarks(pl, p.Marks, maxY); err != nil {
 		return err
 	}
-	pl.Y.Max = top * 1.1
+	pl.Y.Max = maxY * 1.1
 	return save(pl, path)
 }
 
-// addMarks draws a grey line with its text at each event.
-func addMarks(pl *plot.Plot, marks []loadgen.Mark, top float64) error {
+// addMarks draws a dashed grey line with its text at the time of each mark. Texts are at
+// one of eight heights in turn, so that those of marks close together don't overlap.
+func addMarks(pl *plot.Plot, marks []loadgen.Mark, maxY float64) error {
 	if len(marks) == 0 {
 		return nil
 	}
@@ -86,14 +88,14 @@
 	var texts []string
 	for i, m := range marks {
 		x := m.At.Seconds()
-		line, err := plotter.NewLine(plotter.XYs{{X: x, Y: 0}, {X: x, Y: top}})
+		line, err := plotter.NewLine(plotter.XYs{{X: x, Y: 0}, {X: x, Y: maxY}})
 		if err != nil {
 			return errors.Wrap(err, "report: mark")
 		}
 		line.Color = grey
 		line.Dashes = []vg.Length{vg.Points(2), vg.Points(2)}
 		pl.Add(line)
-		at = append(at, plotter.XY{X: x, Y: top * (1 - 0.07*float64(i%8))})
+		at = append(at, plotter.XY{X: x, Y: maxY * (1 - 0.07*float64(i%8))})
 		texts = append(texts, m.What)
 	}
 	labels, err := plotter.NewLabels(plotter.XYLabels{XYs: at, Labels: texts})
@@ -108,7 +110,8 @@
 	return nil
 }
 
-func plotShares(path string, p Page) error {
+// plotWorkPerTarget draws a bar for each target, as high as the requests that it ran.
+func plotWorkPerTarget(path string, p Page) error {
 	pl := plot.New()
 	pl.Title.Text = "Work per target"
 	pl.Y.Label.Text = "requests run"
@@ -133,7 +136,8 @@
 	return save(pl, path)
 }
 
-// PlotGains draws what each policy gains in worth, on average, over the one in use.
+// PlotGains draws a bar for each policy: its mean gain in worth over the policy in use,
+// in hundredths. gains[i] belongs to names[i].
 func PlotGains(path string, names []string, gains []float64) error {
 	pl := plot.New()
 	pl.Title.Text = "Worth of what callers get, against the policy in use"
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,5 +1,5 @@
-// Package report turns one load or scenario run into a Markdown page with plots,
-// so that an operator sees what a switch or a drain did to callers.
+// Package report writes the results of a load or scenario run as a Markdown page with
+// plots. It shows operators how, for instance, a preset switch or a drain affected callers.
 package report
 
 import (
@@ -16,38 +16,41 @@
 )
 
 const (
-	folderMode = 0o755
-	fileMode   = 0o644
-	timesFile  = "times.png"
-	brokenFile = "broken.png"
-	sharesFile = "shares.png"
+	folderMode    = 0o755
+	fileMode      = 0o644
+	latenciesFile = "times.png"
+	failuresFile  = "broken.png"
+	sharesFile    = "shares.png"
 )
 
-// Page is what a report shows.
+// Page is the content of a report.
 type Page struct {
 	Title string
-	// Machine names where the run was made.
+	// Machine describes the machine that the run was made on, as Machine returns it.
 	Machine string
 	Summary loadgen.Report
 	Seconds []loadgen.Second
-	Marks   []loadgen.Mark
-	Shares  []check.Share
-	// Verdicts are empty where the targets' ledgers weren't read.
+	// Marks are what was done to the system during the run.
+	Marks []loadgen.Mark
+	// Shares are the requests that each target ran.
+	Shares []check.Share
+	// Verdicts are the results of the checks, or empty if the targets' ledgers, which the
+	// checks need, weren't read.
 	Verdicts []check.Verdict
 }
 
-// Write makes the folder and writes report.md and its plots into it.
+// Write writes report.md and its plots into a folder, which it creates if it doesn't exist.
 func Write(folder string, p Page) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return errors.Wrap(err, "report: folder")
 	}
-	if err := plotTimes(filepath.Join(folder, timesFile), p); err != nil {
+	if err := plotLatencies(filepath.Join(folder, latenciesFile), p); err != nil {
 		return err
 	}
-	if err := plotBroken(filepath.Join(folder, brokenFile), p); err != nil {
+	if err := plotFailures(filepath.Join(folder, failuresFile), p); err != nil {
 		return err
 	}
-	if err := plotShares(filepath.Join(folder, sharesFile), p); err != nil {
+	if err := plotWorkPerTarget(filepath.Join(folder, sharesFile), p); err != nil {
 		return err
 	}
 	file, err := os.OpenFile(filepath.Join(folder, "report.md"), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
@@ -81,21 +84,22 @@
 	for _, i := range check.Imbalances(p.Shares) {
 		fmt.Fprintf(w, "| %s | %d | %.3f | %.3f |\n", i.Service, i.Hosts, i.MaxToMean, i.Variation)
 	}
-	fmt.Fprintf(w, "\n![answer times](%s)\n\n![broken, cut and refused](%s)\n\n![work per target](%s)\n", timesFile, brokenFile, sharesFile)
+	fmt.Fprintf(w, "\n![answer times](%s)\n\n![broken, cut and refused](%s)\n\n![work per target](%s)\n", latenciesFile, failuresFile, sharesFile)
 }
 
-// WriteVerdicts prints one line for each promise, and what broke it.
-func WriteVerdicts(w io.Writer, all []check.Verdict) {
-	for _, v := range all {
-		word := "held  "
+// WriteVerdicts prints one line for each promise that was checked, and the violations
+// below it.
+func WriteVerdicts(w io.Writer, verdicts []check.Verdict) {
+	for _, verdict := range verdicts {
+		result := "held  "
 		switch {
-		case !v.Held():
-			word = "BROKEN"
-		case v.Looked == 0:
-			word = "empty "
+		case !verdict.Held():
+			result = "BROKEN"
+		case verdict.Looked == 0:
+			result = "empty "
 		}
-		fmt.Fprintf(w, "%s  %-38s %7d looked at, %d violations\n", word, v.Promise, v.Looked, v.Count)
-		for _, line := range v.Violations {
+		fmt.Fprintf(w, "%s  %-38s %7d looked at, %d violations\n", result, verdict.Promise, verdict.Looked, verdict.Count)
+		for _, line := range verdict.Violations {
 			fmt.Fprintf(w, "        %s\n", line)
 		}
 	}
