--- a/cmd/bergamotctl/call.go
+++ b/cmd/bergamotctl/call.go
@@ -16,7 +16,7 @@
 	"github.com/quic-go/quic-go/http3"
 )
 
-// callerFlags are what the callers' commands take.
+// callerFlags are the flags of the commands that act as a caller: call and load.
 type callerFlags struct {
 	flags   *flag.FlagSet
 	ca      string
@@ -24,7 +24,7 @@
 	json    bool
 }
 
-func (c *call) caller() *callerFlags {
+func (c *invocation) newCallerFlags() *callerFlags {
 	f := &callerFlags{flags: flag.NewFlagSet("bergamotctl "+c.command.name, flag.ContinueOnError)}
 	f.flags.SetOutput(c.errOut)
 	f.flags.StringVar(&f.ca, "ca", "", "`file` with the certificate that the service's is checked against, PEM; empty trusts the system's")
@@ -33,22 +33,25 @@
 	return f
 }
 
-// parse returns the exit code and true where the command ends here.
-func (f *callerFlags) parse(c *call, arguments int) (int, bool) {
+// parse parses the flags, after which argCount arguments must follow. If the command ends
+// here, because of -h or wrong usage, it returns the exit code and true.
+func (f *callerFlags) parse(c *invocation, argCount int) (int, bool) {
 	switch err := f.flags.Parse(c.args); {
 	case err == flag.ErrHelp:
 		return exitOK, true
 	case err != nil:
 		return exitUsage, true
 	}
-	if f.flags.NArg() == arguments {
+	if f.flags.NArg() == argCount {
 		return 0, false
 	}
 	fmt.Fprintf(c.errOut, "usage: bergamotctl %s [flags] %s\n", c.command.name, c.command.args)
 	return exitUsage, true
 }
 
-func (f *callerFlags) tls() (*tls.Config, error) {
+// tlsConfig returns the client's TLS configuration for HTTP/3, with the authorities in the
+// file of -ca, or the system's if there is none.
+func (f *callerFlags) tlsConfig() (*tls.Config, error) {
 	cfg := &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{http3.NextProtoH3}}
 	if f.ca == "" {
 		return cfg, nil
@@ -64,16 +67,16 @@
 	return cfg, nil
 }
 
-// runCall sends one HTTP/3 request and prints the answer.
-func runCall(ctx context.Context, c *call) int {
-	f := c.caller()
+// runCall sends one HTTP/3 request, prints the response, and returns the exit code.
+func runCall(ctx context.Context, c *invocation) int {
+	f := c.newCallerFlags()
 	method := f.flags.String("method", http.MethodGet, "HTTP `method`")
 	body := f.flags.String("body", "", "request `body`")
 	key := f.flags.String("key", "", "Idempotency-Key: a submission sent again under its `key` runs at most once")
 	if code, done := f.parse(c, 1); done {
 		return code
 	}
-	config, err := f.tls()
+	config, err := f.tlsConfig()
 	if err != nil {
 		fmt.Fprintln(c.errOut, "bergamotctl call:", err)
 		return exitUsage
@@ -85,7 +88,7 @@
 		fmt.Fprintln(c.errOut, "bergamotctl call:", err)
 		return exitUsage
 	}
-	r.GetBody = nil // the library must not send a submission again by itself
+	r.GetBody = nil // keeps the library from sending a submission again by itself
 	if *key != "" {
 		r.Header.Set("Idempotency-Key", *key)
 	}
@@ -97,13 +100,16 @@
 		return exitUnreachable
 	}
 	defer resp.Body.Close()
-	return c.printAnswer(resp)
+	return c.printResponse(resp)
 }
 
-// outcomeHeaders are what the system itself says about a request.
+// outcomeHeaders are the response headers in which the load balancer, not the target, says
+// what became of a request.
 var outcomeHeaders = []string{"Bergamotstall-Not-Run", "Bergamotstall-Unknown", "Retry-After"}
 
-func (c *call) printAnswer(resp *http.Response) int {
+// printResponse writes the body to the output, and the status and outcomeHeaders to the
+// error output. A status of 400 or more is exitRefused.
+func (c *invocation) printResponse(resp *http.Response) int {
 	fmt.Fprintln(c.errOut, resp.Proto, resp.Status)
 	for _, name := range outcomeHeaders {
 		if v := resp.Header.Get(name); v != "" {
--- a/cmd/bergamotctl/evacuate.go
+++ b/cmd/bergamotctl/evacuate.go
@@ -13,9 +13,9 @@
 	"bergamotstall/platform"
 )
 
-// runEvacuate empties a data centre of pass-through flows, takes it back, or lists those that
-// are evacuated.
-func runEvacuate(ctx context.Context, c *call) int {
+// runEvacuate evacuates a data centre, whose targets then get no new pass-through flows,
+// withdraws an evacuation, or lists the evacuated data centres.
+func runEvacuate(ctx context.Context, c *invocation) int {
 	flags := flag.NewFlagSet("bergamotctl evacuate", flag.ContinueOnError)
 	flags.SetOutput(c.errOut)
 	control := flags.String("control", "", "`addresses` where control VMs take the platform's calls, ip:port,ip:port")
@@ -52,7 +52,7 @@
 	return evacuateExit(c, err)
 }
 
-func listEvacuated(ctx context.Context, c *call, o *platform.Operator, asJSON bool) error {
+func listEvacuated(ctx context.Context, c *invocation, o *platform.Operator, asJSON bool) error {
 	zones, err := o.Evacuated(ctx)
 	if err != nil {
 		return err
@@ -69,7 +69,8 @@
 	return nil
 }
 
-func evacuateExit(c *call, err error) int {
+// evacuateExit prints err and returns its exit code.
+func evacuateExit(c *invocation, err error) int {
 	if err == nil {
 		return exitOK
 	}
--- a/cmd/bergamotctl/evacuate_test.go
+++ b/cmd/bergamotctl/evacuate_test.go
@@ -10,7 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against output and exit codes that hide whether a data centre is evacuated.
+// Guards against output or exit codes that don't tell operators and scripts whether a data
+// centre is evacuated.
 func TestEvacuate(t *testing.T) {
 	var asked []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/bergamotctl/exit_test.go
+++ b/cmd/bergamotctl/exit_test.go
@@ -10,8 +10,8 @@
 	"bergamotstall/internal/operator"
 )
 
-// Scripts branch on the exit code; each way to fail has its own, also where a
-// layer has wrapped the error.
+// Guards against scripts that take the wrong branch: each kind of failure must have its
+// exit code, also if the error is wrapped.
 func TestExitCodes(t *testing.T) {
 	conflict := catalogue.Outcome{Code: catalogue.Conflict, Version: 7}
 	for _, c := range []struct {
--- a/cmd/bergamotctl/experiment.go
+++ b/cmd/bergamotctl/experiment.go
@@ -8,14 +8,15 @@
 	"bergamotstall/internal/experiment"
 )
 
-// defaultSeeds are those of docs/PLACEMENT.md.
+// defaultSeeds is the number of runs of each case in docs/PLACEMENT.md.
 const defaultSeeds = 5
 
-// defaultDeployments takes a minute or two.
+// defaultDeployments is the number of simulated deployments; the run takes a minute or two.
 const defaultDeployments = 100
 
-// runExperiment prints the tables from which defaults were chosen.
-func runExperiment(_ context.Context, c *call) int {
+// runExperiment simulates load and prints tables that compare the values of settings and
+// policies; the defaults are based on them.
+func runExperiment(_ context.Context, c *invocation) int {
 	flags := flag.NewFlagSet("bergamotctl experiment", flag.ContinueOnError)
 	flags.SetOutput(c.errOut)
 	seeds := flags.Int("seeds", defaultSeeds, "runs of each case, for mean and worst")
--- a/cmd/bergamotctl/experiment_pass.go
+++ b/cmd/bergamotctl/experiment_pass.go
@@ -8,20 +8,22 @@
 	"bergamotstall/internal/report"
 )
 
-// passOptions say what is compared in the model of pass-through flows.
+// passOptions are the options of the simulation of pass-through flows.
 type passOptions struct {
+	// deployments is how many random deployments are simulated, drawn with seed.
 	deployments int
 	seed        uint64
-	// ablation adds each mechanism switched off, sweep each threshold a third and
-	// three times as large.
+	// ablation adds variants with one mechanism switched off each, sweep variants with one
+	// threshold each at a third and at three times its value.
 	ablation, sweep bool
-	// plot is the file that a plot of the gains goes to; "" for none.
+	// plot is the name of a PNG file for a plot of the gains, or "" for no plot.
 	plot string
 }
 
-// runPass plays drawn deployments and prints what callers get.
-func runPass(c *call, o passOptions) int {
-	began := time.Now()
+// runPass simulates the deployments with each variant, prints how they compare and plots
+// their gains.
+func runPass(c *invocation, o passOptions) int {
+	start := time.Now()
 	variants := []simulation.Variant{simulation.Reference()}
 	if o.ablation {
 		variants = append(variants, simulation.Ablation()...)
@@ -32,7 +34,7 @@
 	scenarios := simulation.Scenarios()
 	all := simulation.Compare(variants, scenarios, o.deployments, o.seed)
 	simulation.Write(c.out, scenarios, all)
-	fmt.Fprintf(c.errOut, "played in %v\n", time.Since(began).Round(time.Second))
+	fmt.Fprintf(c.errOut, "played in %v\n", time.Since(start).Round(time.Second))
 	if o.plot == "" {
 		return exitOK
 	}
--- a/cmd/bergamotctl/explain.go
+++ b/cmd/bergamotctl/explain.go
@@ -9,11 +9,11 @@
 	"bergamotstall/internal/explain"
 )
 
-// examplesPerCause is how many flows -worst names for each cause.
+// examplesPerCause is the maximum number of flows that -worst lists for each cause.
 const examplesPerCause = 3
 
-// runExplain tells from processes' logs what happened to flows.
-func runExplain(_ context.Context, c *call) int {
+// runExplain analyses logs of balancers and agents and prints what happened to flows.
+func runExplain(_ context.Context, c *invocation) int {
 	flags := flag.NewFlagSet("bergamotctl explain", flag.ContinueOnError)
 	flags.SetOutput(c.errOut)
 	flow := flags.String("flow", "", "the `flow` to tell of, CALLER:PORT>SERVICE:PORT")
@@ -53,7 +53,7 @@
 	return exitOK
 }
 
-// exactlyOne tells whether one of the choices was made.
+// exactlyOne reports whether exactly one of choices is true.
 func exactlyOne(choices ...bool) bool {
 	n := 0
 	for _, chosen := range choices {
@@ -64,7 +64,7 @@
 	return n == 1
 }
 
-// addLogs reads files, or standard input where there are none.
+// addLogs reads the files into log, or standard input if there are no files.
 func addLogs(log *explain.Log, files []string) error {
 	if len(files) == 0 {
 		return log.Add(os.Stdin)
--- a/cmd/bergamotctl/explain_test.go
+++ b/cmd/bergamotctl/explain_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// An operator asks for a flow that no log names, forgets what to ask for, or names a
-// file that isn't there: each has its own exit code, and the text says what to do.
+// Guards against misleading exit codes and texts when the operator asks for a flow that no
+// log names, gives no or two modes, or names a file that doesn't exist.
 func TestExplain(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "balancer.log")
 	line := `{"event":700,"flow":"100.64.0.1:1030>198.18.0.1:443","verdict":"reset-nowhere","asked":7,"time":"2026-07-18T01:13:05Z","vm":"entry-1"}`
--- a/cmd/bergamotctl/files_test.go
+++ b/cmd/bergamotctl/files_test.go
@@ -27,8 +27,9 @@
           - {host: casework-1, weight: 10}
 `
 
-// Bad catalogue files: the operator reads file, line, field and what is
-// allowed, the exit code is 2, and nothing was sent to any control VM.
+// Guards against invalid catalogue files that are sent to control, or refused without
+// saying why. The error must have file, line, field and the allowed values, the exit code
+// must be 2, and nothing may be sent.
 func TestBadCatalogueFiles(t *testing.T) {
 	for _, c := range []struct{ name, old, new, want string }{
 		{"unknown field", "address: 127.0.0.1:8444", "adress: 127.0.0.1:8444", `:5: adress: unknown field "adress"`},
@@ -59,8 +60,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			is.True(strings.Contains(goodCatalogue, c.old)) // the case changes the good file
-			file := write(t, strings.Replace(goodCatalogue, c.old, c.new, 1))
-			code, out, errOut := run("apply", "-f", file, "-control", "127.0.0.1:1")
+			file := writeFile(t, strings.Replace(goodCatalogue, c.old, c.new, 1))
+			code, out, errOut := runCommand("apply", "-f", file, "-control", "127.0.0.1:1")
 			is.Equal(code, exitUsage)
 			is.Equal(out, "")
 			if !strings.HasPrefix(errOut, file+c.want) {
@@ -70,22 +71,24 @@
 	}
 }
 
-// The good file passes the same checks and fails only at the network.
+// Guards against valid files that are refused: they must pass all checks, and fail only
+// because no control VM can be reached.
 func TestGoodFilesPass(t *testing.T) {
 	is := is.New(t)
-	files := []string{write(t, goodCatalogue)}
+	files := []string{writeFile(t, goodCatalogue)}
 	examples, err := filepath.Glob("../../examples/catalogue-*.yaml")
 	is.NoErr(err)
 	is.Equal(len(examples), 2)
 	for _, file := range append(files, examples...) {
-		code, _, errOut := run("apply", "-f", file, "-control", "127.0.0.1:1")
+		code, _, errOut := runCommand("apply", "-f", file, "-control", "127.0.0.1:1")
 		is.Equal(code, exitUnreachable)
 		is.True(strings.Contains(errOut, "-command-id ")) // how to send it again
 	}
 }
 
+// Guards against wrong usage without a helpful text or with a wrong exit code.
 func TestBadUsage(t *testing.T) {
-	settings := write(t, "control: [here]\n")
+	settings := writeFile(t, "control: [here]\n")
 	for _, c := range []struct {
 		name string
 		args []string
@@ -110,7 +113,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			code, _, errOut := run(c.args...)
+			code, _, errOut := runCommand(c.args...)
 			is.Equal(code, c.code)
 			if !strings.Contains(errOut, c.want) {
 				t.Errorf("got %q, want %q in it", errOut, c.want)
@@ -119,13 +122,13 @@
 	}
 }
 
-func run(args ...string) (code int, out, errOut string) {
+func runCommand(args ...string) (code int, out, errOut string) {
 	var o, e bytes.Buffer
 	code = dispatch(context.Background(), args, &o, &e)
 	return code, o.String(), e.String()
 }
 
-func write(t *testing.T, data string) string {
+func writeFile(t *testing.T, data string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "file.yaml")
 	if err := os.WriteFile(file, []byte(data), 0o600); err != nil {
--- a/cmd/bergamotctl/keys.go
+++ b/cmd/bergamotctl/keys.go
@@ -30,7 +30,7 @@
            open flows carry them for hours (-early drops at once)
 `
 
-func runKeys(ctx context.Context, c *call) int {
+func runKeys(ctx context.Context, c *invocation) int {
 	if len(c.args) == 0 {
 		fmt.Fprint(c.errOut, keysHelp)
 		return exitUsage
@@ -52,8 +52,9 @@
 	return exitUsage
 }
 
-// local parses the flags of a command that asks no control VM.
-func (c *call) local(flags *flag.FlagSet) (code int, done bool) {
+// parseLocal parses the flags of a command that contacts no control VM. If the command
+// ends here, because of -h or wrong usage, it returns the exit code and true.
+func (c *invocation) parseLocal(flags *flag.FlagSet) (code int, done bool) {
 	flags.SetOutput(c.errOut)
 	flags.Usage = func() { fmt.Fprint(c.errOut, keysHelp) }
 	switch err := flags.Parse(c.args); {
@@ -68,10 +69,10 @@
 	return exitOK, false
 }
 
-func runKeysInit(c *call) int {
+func runKeysInit(c *invocation) int {
 	flags := flag.NewFlagSet("bergamotctl keys init", flag.ContinueOnError)
 	folder := flags.String("folder", "", "`folder` of the authority")
-	if code, done := c.local(flags); done {
+	if code, done := c.parseLocal(flags); done {
 		return code
 	}
 	if *folder == "" {
@@ -79,22 +80,22 @@
 		return exitUsage
 	}
 	if err := keys.Init(*folder); err != nil {
-		return c.keysFailed(err)
+		return c.printKeysError(err)
 	}
 	fmt.Fprintf(c.out, "authority made in %s\n", *folder)
 	return exitOK
 }
 
-func runKeysIssue(c *call) int {
+func runKeysIssue(c *invocation) int {
 	flags := flag.NewFlagSet("bergamotctl keys issue", flag.ContinueOnError)
 	folder := flags.String("folder", "", "`folder` of the authority")
 	role := flags.String("role", "", "balancer, agent, control or operator")
 	name := flags.String("name", "", "the process's or operator's `name`")
-	numbers := flags.String("ip", "", "`IP` numbers that others reach the process by, with commas between")
-	if code, done := c.local(flags); done {
+	addresses := flags.String("ip", "", "`IP` numbers that others reach the process by, with commas between")
+	if code, done := c.parseLocal(flags); done {
 		return code
 	}
-	ips, err := parseIPs(*numbers)
+	ips, err := parseIPs(*addresses)
 	if err != nil || *folder == "" || *role == "" || *name == "" {
 		if err != nil {
 			fmt.Fprintln(c.errOut, err)
@@ -104,18 +105,18 @@
 	}
 	files, err := keys.Issue(*folder, keys.Role(*role), *name, ips...)
 	if err != nil {
-		return c.keysFailed(err)
+		return c.printKeysError(err)
 	}
 	fmt.Fprintf(c.out, "authority: %s\ncertificate: %s\nkey: %s\n", files.Authority, files.Certificate, files.Key)
 	return exitOK
 }
 
-func parseIPs(numbers string) ([]net.IP, error) {
-	if numbers == "" {
+func parseIPs(addresses string) ([]net.IP, error) {
+	if addresses == "" {
 		return nil, nil
 	}
 	var out []net.IP
-	for _, n := range strings.Split(numbers, ",") {
+	for _, n := range strings.Split(addresses, ",") {
 		ip := net.ParseIP(n)
 		if ip == nil {
 			return nil, errors.Errorf("%q is no IP number", n)
@@ -125,8 +126,9 @@
 	return out, nil
 }
 
-// keysFailed tells bad arguments from a folder that refuses.
-func (c *call) keysFailed(err error) int {
+// printKeysError prints err and returns its exit code: exitUsage for invalid arguments,
+// exitRefused if the folder has no authority or already has the files.
+func (c *invocation) printKeysError(err error) int {
 	fmt.Fprintln(c.errOut, err)
 	switch {
 	case errors.Is(err, keys.ErrRole), errors.Is(err, keys.ErrName):
@@ -137,9 +139,12 @@
 	return exitFailed
 }
 
-func runRotate(ctx context.Context, c *call) int {
-	o := c.options()
-	f := o.change()
+// runRotate takes one step of a rotation of the cluster keys. "sign" is refused unless
+// every known process has the prepared generation, as flows break at a process that
+// doesn't know the key; -early skips this check.
+func runRotate(ctx context.Context, c *invocation) int {
+	o := c.newOptions()
+	f := o.addChangeFlags()
 	name := o.flags.String("step", "", "`step` to take: prepare, sign or drop")
 	early := o.flags.Bool("early", false, "don't look whether the step breaks flows")
 	if code, done := o.parse(c, 0); done {
@@ -150,7 +155,7 @@
 	case "prepare":
 		set, err := keys.NewKeySet(0, rand.Reader)
 		if err != nil {
-			return c.failed(o, err)
+			return c.printError(o, err)
 		}
 		rotate.Step, rotate.Keys = catalogue.KeyPrepare, &set
 	case "sign":
@@ -167,10 +172,10 @@
 	return c.submit(ctx, o, f, catalogue.Command{RotateKeys: rotate})
 }
 
-// preparedEverywhere tells whether every process that is known has the prepared
-// generation, and names those that may not. Whether one is prepared at all is
-// the catalogue's to say.
-func (c *call) preparedEverywhere(ctx context.Context, o *options) bool {
+// preparedEverywhere reports whether every known process has the prepared generation of the
+// keys, and prints those that may not have it. It returns true if no generation is
+// prepared: the catalogue then refuses the step.
+func (c *invocation) preparedEverywhere(ctx context.Context, o *options) bool {
 	ctx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
 	fleet := o.client.Fleet(ctx)
--- a/cmd/bergamotctl/load.go
+++ b/cmd/bergamotctl/load.go
@@ -9,9 +9,9 @@
 	"bergamotstall/internal/report"
 )
 
-// runLoad plays callers against one service and reports what they got.
-func runLoad(ctx context.Context, c *call) int {
-	f := c.caller()
+// runLoad generates load on one service as callers do, and prints a summary.
+func runLoad(ctx context.Context, c *invocation) int {
+	f := c.newCallerFlags()
 	spec := loadgen.Spec{}
 	f.flags.StringVar(&spec.Service, "service", "", "the service's `name`; answers of another are counted as damaged")
 	f.flags.IntVar(&spec.Flows, "flows", 10, "flows open at once (closed loop), or at most (open loop)")
@@ -31,7 +31,7 @@
 		return code
 	}
 	spec.Address, spec.Timeout = f.flags.Arg(0), f.timeout
-	config, err := f.tls()
+	config, err := f.tlsConfig()
 	if err != nil {
 		fmt.Fprintln(c.errOut, "bergamotctl load:", err)
 		return exitUsage
@@ -47,7 +47,10 @@
 	return c.reportLoad(rec, f.json, *folder, spec)
 }
 
-func (c *call) reportLoad(rec *loadgen.Recorder, json bool, folder string, spec loadgen.Spec) int {
+// reportLoad prints the summary, writes a report into the folder if it is given, and
+// returns the exit code: exitUnreachable if no flow could be opened, exitFailed if flows
+// broke or answers were damaged or cut.
+func (c *invocation) reportLoad(rec *loadgen.Recorder, json bool, folder string, spec loadgen.Spec) int {
 	summary := rec.Report()
 	if json {
 		c.printJSON(summary)
--- a/cmd/bergamotctl/main.go
+++ b/cmd/bergamotctl/main.go
@@ -1,4 +1,5 @@
-// Command bergamotctl is the operators' and callers' tool.
+// Command bergamotctl is the command-line tool for operators of bergamotstall, and for
+// sending requests and load as a caller.
 package main
 
 import (
@@ -10,7 +11,7 @@
 	"syscall"
 )
 
-// Exit codes, for scripts. The text of -help has the same table.
+// Exit codes. usageTail explains them to operators.
 const (
 	exitOK          = 0
 	exitFailed      = 1
@@ -46,21 +47,21 @@
 // command is one subcommand.
 type command struct {
 	name string
-	// args shows the arguments in usage lines.
+	// args are the arguments as usage lines show them.
 	args string
 	help string
-	run  func(ctx context.Context, c *call) int
+	run  func(ctx context.Context, c *invocation) int
 }
 
-// call is one invocation of a command.
-type call struct {
+// invocation is one execution of a command, with its arguments and outputs.
+type invocation struct {
 	command command
 	args    []string
 	out     io.Writer
 	errOut  io.Writer
 }
 
-// commands are the subcommands; each group is built in a file of its own.
+// commands are the subcommands. Each group of them is implemented in its own file.
 var commands = []command{
 	{"apply", "-f FILE", "replace all services and presets by the file's", runApply},
 	{"services", "", "list the services", runServices},
@@ -95,7 +96,7 @@
 	}
 	for _, c := range commands {
 		if c.name == args[0] {
-			return c.run(ctx, &call{command: c, args: args[1:], out: out, errOut: errOut})
+			return c.run(ctx, &invocation{command: c, args: args[1:], out: out, errOut: errOut})
 		}
 	}
 	switch args[0] {
--- a/cmd/bergamotctl/members.go
+++ b/cmd/bergamotctl/members.go
@@ -19,17 +19,17 @@
 one's place, and waits like add.
 `
 
-// memberStep is the pause between two looks at the membership.
-const memberStep = 100 * time.Millisecond
+// memberPollInterval is the pause between two queries of the membership.
+const memberPollInterval = 100 * time.Millisecond
 
-func runMembers(ctx context.Context, c *call) int {
+func runMembers(ctx context.Context, c *invocation) int {
 	if len(c.args) == 0 {
 		fmt.Fprint(c.errOut, membersHelp)
 		return exitUsage
 	}
 	action := c.args[0]
 	c.args = c.args[1:]
-	o := c.options()
+	o := c.newOptions()
 	switch action {
 	case "list":
 		return runMembersList(ctx, c, o)
@@ -47,7 +47,7 @@
 	return exitUsage
 }
 
-func runMembersList(ctx context.Context, c *call, o *options) int {
+func runMembersList(ctx context.Context, c *invocation, o *options) int {
 	if code, done := o.parse(c, 0); done {
 		return code
 	}
@@ -57,7 +57,7 @@
 	if o.json {
 		c.printJSON(fleet.VMs)
 	} else {
-		c.controlVMs(fleet)
+		c.printControlVMs(fleet)
 	}
 	if fleet.View == nil {
 		fmt.Fprintln(c.errOut, fleet.NoQuorum)
@@ -66,45 +66,46 @@
 	return exitOK
 }
 
-func (c *call) addMember(ctx context.Context, o *options) int {
+func (c *invocation) addMember(ctx context.Context, o *options) int {
 	if code, done := o.parse(c, 1); done {
 		return code
 	}
 	ctx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
-	return c.awaitVoter(ctx, o, o.args[0])
+	return c.waitForVoter(ctx, o, o.args[0])
 }
 
-func (c *call) changeMembers(ctx context.Context, o *options, action operator.MemberAction) int {
+func (c *invocation) changeMembers(ctx context.Context, o *options, action operator.MemberAction) int {
 	if code, done := o.parse(c, 1); done {
 		return code
 	}
 	ctx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
-	local, err := o.client.ChangeMembers(ctx, operator.MembersChange{Action: action, Name: o.args[0]})
+	status, err := o.client.ChangeMembers(ctx, operator.MembersChange{Action: action, Name: o.args[0]})
 	if err != nil {
-		return c.failed(o, err)
+		return c.printError(o, err)
 	}
 	if action == operator.ReplaceMember {
-		return c.awaitVoter(ctx, o, o.args[0])
+		return c.waitForVoter(ctx, o, o.args[0])
 	}
-	return c.printMembers(o, local)
+	return c.printMembers(o, status)
 }
 
-func (c *call) printMembers(o *options, local operator.LocalStatus) int {
+func (c *invocation) printMembers(o *options, status operator.LocalStatus) int {
 	if o.json {
-		c.printJSON(local.Replicas)
+		c.printJSON(status.Replicas)
 		return exitOK
 	}
-	c.replicaRows(local.Replicas)
+	c.printReplicaTable(status.Replicas)
 	return exitOK
 }
 
-// awaitVoter waits until exactly one replica has the name, and votes.
-func (c *call) awaitVoter(ctx context.Context, o *options, name string) int {
+// waitForVoter waits until the leader lists exactly one replica with the name, and that is
+// a voter. It returns exitLagging if the command times out first.
+func (c *invocation) waitForVoter(ctx context.Context, o *options, name string) int {
 	for {
 		for _, vm := range o.client.Fleet(ctx).VMs {
-			if vm.Local != nil && vm.Local.Leader == vm.Local.VM && votes(vm.Local.Replicas, name) {
+			if vm.Local != nil && vm.Local.Leader == vm.Local.VM && isOnlyVoter(vm.Local.Replicas, name) {
 				return c.printMembers(o, *vm.Local)
 			}
 		}
@@ -112,12 +113,13 @@
 		case <-ctx.Done():
 			fmt.Fprintf(c.errOut, "%s doesn't vote yet: see that it runs, has these control VMs as its peers and reaches them\n", name)
 			return exitLagging
-		case <-time.After(memberStep):
+		case <-time.After(memberPollInterval):
 		}
 	}
 }
 
-func votes(replicas []operator.Replica, name string) bool {
+// isOnlyVoter reports whether exactly one replica has the name, and is a voter.
+func isOnlyVoter(replicas []operator.Replica, name string) bool {
 	named, voters := 0, 0
 	for _, r := range replicas {
 		if r.Name != name {
--- a/cmd/bergamotctl/options.go
+++ b/cmd/bergamotctl/options.go
@@ -16,10 +16,11 @@
 	"bergamotstall/internal/settings"
 )
 
-// defaultTimeout bounds a command over all control addresses.
+// defaultTimeout is the default of -timeout, which limits a command as a whole, over all
+// control addresses.
 const defaultTimeout = 30 * time.Second
 
-// toolSettings is the tool's optional YAML file.
+// toolSettings is the content of the tool's optional YAML file.
 type toolSettings struct {
 	// Control are the operator addresses of the control VMs, "ip:port".
 	Control []string      `yaml:"control"`
@@ -39,12 +40,13 @@
 	return c.Problems()
 }
 
-// options are the flags that every command to control VMs takes.
+// options are the flags of the commands that contact control VMs, the arguments and the
+// client that parse sets up.
 type options struct {
 	flags    *flag.FlagSet
 	file     string
 	control  string
-	files    keys.Settings
+	tlsFiles keys.Settings
 	operator string
 	json     bool
 	timeout  time.Duration
@@ -52,15 +54,15 @@
 	args     []string
 }
 
-// options declares the common flags. The command adds its own, then parses.
-func (c *call) options() *options {
+// newOptions declares the common flags. The command adds its own flags, then calls parse.
+func (c *invocation) newOptions() *options {
 	o := &options{flags: flag.NewFlagSet("bergamotctl "+c.command.name, flag.ContinueOnError)}
 	o.flags.SetOutput(c.errOut)
 	o.flags.StringVar(&o.file, "settings", "", "YAML `file` with control addresses and TLS files")
 	o.flags.StringVar(&o.control, "control", "", "operator `addresses` of the control VMs, ip:port,ip:port")
-	o.flags.StringVar(&o.files.Authority, "tls-authority", "", "`file` of the certificate authority")
-	o.flags.StringVar(&o.files.Certificate, "tls-certificate", "", "`file` of the operator's certificate")
-	o.flags.StringVar(&o.files.Key, "tls-key", "", "`file` of the operator's key")
+	o.flags.StringVar(&o.tlsFiles.Authority, "tls-authority", "", "`file` of the certificate authority")
+	o.flags.StringVar(&o.tlsFiles.Certificate, "tls-certificate", "", "`file` of the operator's certificate")
+	o.flags.StringVar(&o.tlsFiles.Key, "tls-key", "", "`file` of the operator's key")
 	o.flags.StringVar(&o.operator, "operator", userName(), "operator's `name` where control runs without TLS")
 	o.flags.BoolVar(&o.json, "json", false, "print JSON")
 	o.flags.DurationVar(&o.timeout, "timeout", defaultTimeout, "give up after this `time`")
@@ -78,30 +80,31 @@
 	return "unknown"
 }
 
-// parse reads flags and arguments in any order, as in "switch peak -wait 5s",
-// and prepares the client. A code other than exitOK ends the command; done is
-// set where help was asked for.
-func (o *options) parse(c *call, arguments int) (code int, done bool) {
-	if err := o.mixed(c.args); err != nil {
+// parse parses flags and arguments in any order, as in "switch peak -wait 5s", and sets up
+// the client. If the command ends here, because of -h, wrong usage or invalid settings,
+// done is true and code is the exit code.
+func (o *options) parse(c *invocation, argCount int) (code int, done bool) {
+	if err := o.parseInterspersed(c.args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			return exitOK, true
 		}
 		return exitUsage, true
 	}
-	if len(o.args) != arguments {
-		fmt.Fprintf(c.errOut, "bergamotctl %s: %d arguments, expected %d\n", c.command.name, len(o.args), arguments)
+	if len(o.args) != argCount {
+		fmt.Fprintf(c.errOut, "bergamotctl %s: %d arguments, expected %d\n", c.command.name, len(o.args), argCount)
 		o.flags.Usage()
 		return exitUsage, true
 	}
-	if err := o.connect(); err != nil {
+	if err := o.setUpClient(); err != nil {
 		fmt.Fprintln(c.errOut, err)
 		return exitUsage, true
 	}
 	return exitOK, false
 }
 
-// mixed parses flags that stand before, between and after the arguments.
-func (o *options) mixed(args []string) error {
+// parseInterspersed parses flags before, between and after the arguments. Package flag by
+// itself stops at the first argument.
+func (o *options) parseInterspersed(args []string) error {
 	for {
 		if err := o.flags.Parse(args); err != nil {
 			return err
@@ -114,13 +117,14 @@
 	}
 }
 
-// connect builds the client from the file and the flags; flags go first.
-func (o *options) connect() error {
+// setUpClient creates the client from the settings file and the flags. Flags take
+// precedence over the file.
+func (o *options) setUpClient() error {
 	var s toolSettings
 	if o.control != "" {
 		s.Control = strings.Split(o.control, ",")
 	}
-	s.TLS = o.files
+	s.TLS = o.tlsFiles
 	switch {
 	case o.file != "":
 		var f toolSettings
--- a/cmd/bergamotctl/output.go
+++ b/cmd/bergamotctl/output.go
@@ -11,15 +11,15 @@
 	"bergamotstall/internal/operator"
 )
 
-// printJSON writes v indented.
-func (c *call) printJSON(v any) {
+// printJSON prints v as indented JSON.
+func (c *invocation) printJSON(v any) {
 	enc := json.NewEncoder(c.out)
 	enc.SetIndent("", "  ")
 	_ = enc.Encode(v)
 }
 
-// columns writes rows in columns.
-func (c *call) columns(write func(row func(cells ...any))) {
+// printTable prints a table with aligned columns. write calls row for each row.
+func (c *invocation) printTable(write func(row func(cells ...any))) {
 	w := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', 0)
 	write(func(cells ...any) {
 		for i, cell := range cells {
@@ -33,42 +33,43 @@
 	_ = w.Flush()
 }
 
-// failed prints the error and returns the exit code that its kind has.
-func (c *call) failed(o *options, err error) int {
+// printError prints err, as JSON with -json, and returns its exit code.
+func (c *invocation) printError(o *options, err error) int {
 	code := exitCode(err)
 	if !o.json {
 		fmt.Fprintln(c.errOut, err)
 		return code
 	}
-	report := failureReport{Error: err.Error(), Exit: code}
+	failure := failureReport{Error: err.Error(), Exit: code}
 	var conflict *catalogue.VersionConflict
 	if errors.As(err, &conflict) {
-		report.CurrentVersion = conflict.Current
+		failure.CurrentVersion = conflict.Current
 	}
-	var lost *operator.Unreachable
-	if errors.As(err, &lost) {
-		report.CommandID = lost.ID
+	var unreachable *operator.Unreachable
+	if errors.As(err, &unreachable) {
+		failure.CommandID = unreachable.ID
 	}
-	c.printJSON(report)
+	c.printJSON(failure)
 	return code
 }
 
-// failureReport is a failed command's JSON.
+// failureReport is what a failed command prints with -json.
 type failureReport struct {
 	Error string `json:"error"`
 	Exit  int    `json:"exit"`
-	// CurrentVersion is set after a conflict.
+	// CurrentVersion is the version of the catalogue, set only after a conflict.
 	CurrentVersion uint64 `json:"currentVersion,omitempty"`
-	// CommandID repeats a command whose answer was lost.
+	// CommandID is the value of -command-id with which a command can be sent again safely
+	// when it is unknown whether it was accepted.
 	CommandID string `json:"commandId,omitempty"`
 }
 
-// exitCode tells errors apart for scripts.
+// exitCode returns the exit code for err.
 func exitCode(err error) int {
 	var (
-		conflict *catalogue.VersionConflict
-		lost     *operator.Unreachable
-		failure  *operator.Failure
+		conflict    *catalogue.VersionConflict
+		unreachable *operator.Unreachable
+		failure     *operator.Failure
 	)
 	switch {
 	case err == nil:
@@ -77,18 +78,18 @@
 		return exitLagging
 	case errors.As(err, &conflict):
 		return exitConflict
-	case errors.As(err, &lost):
+	case errors.As(err, &unreachable):
 		return exitUnreachable
 	case errors.As(err, &failure):
 		return exitRefused
-	case refused(err):
+	case isRefusal(err):
 		return exitRefused
 	}
 	return exitFailed
 }
 
-// refused tells whether the catalogue itself turned the command down.
-func refused(err error) bool {
+// isRefusal reports whether err says that the catalogue refused the command.
+func isRefusal(err error) bool {
 	var (
 		preset  *catalogue.UnknownPreset
 		service *catalogue.UnknownService
--- a/cmd/bergamotctl/show.go
+++ b/cmd/bergamotctl/show.go
@@ -9,8 +9,9 @@
 	"bergamotstall/internal/operator"
 )
 
-// read asks for one part of the catalogue; ok is false where the command ends.
-func (c *call) read(ctx context.Context, o *options, part operator.Part) (view *operator.View, code int, ok bool) {
+// readPart reads one part of the catalogue from control. If the command ends here, because
+// of an error or because -json has printed the part, ok is false and code is the exit code.
+func (c *invocation) readPart(ctx context.Context, o *options, part operator.Part) (view *operator.View, code int, ok bool) {
 	if code, done := o.parse(c, 0); done {
 		return nil, code, false
 	}
@@ -18,7 +19,7 @@
 	defer cancel()
 	view, err := o.client.Read(ctx, part)
 	if err != nil {
-		return nil, c.failed(o, err), false
+		return nil, c.printError(o, err), false
 	}
 	if o.json {
 		c.printJSON(view)
@@ -27,7 +28,7 @@
 	return view, exitOK, true
 }
 
-func (c *call) heading(v *operator.View) {
+func (c *invocation) printHeading(v *operator.View) {
 	fmt.Fprintf(c.out, "version %d, table revision %d, preset in force: %s\n", v.Version, v.Revision, orNone(v.InForce))
 }
 
@@ -38,13 +39,13 @@
 	return s
 }
 
-func runServices(ctx context.Context, c *call) int {
-	view, code, ok := c.read(ctx, c.options(), operator.PartServices)
+func runServices(ctx context.Context, c *invocation) int {
+	view, code, ok := c.readPart(ctx, c.newOptions(), operator.PartServices)
 	if !ok {
 		return code
 	}
-	c.heading(view)
-	c.columns(func(row func(...any)) {
+	c.printHeading(view)
+	c.printTable(func(row func(...any)) {
 		row("SERVICE", "ID", "ADDRESS", "FLOWS", "QUEUE", "RETRY %", "KEY WINDOW")
 		for _, s := range view.Services {
 			row(s.Spec.Name, s.ID, s.Spec.Address, s.Spec.FlowLimit, s.Spec.QueueLimit, s.Spec.RetryPercent, s.Spec.KeyWindow)
@@ -53,12 +54,12 @@
 	return exitOK
 }
 
-func runPresets(ctx context.Context, c *call) int {
-	view, code, ok := c.read(ctx, c.options(), operator.PartServices)
+func runPresets(ctx context.Context, c *invocation) int {
+	view, code, ok := c.readPart(ctx, c.newOptions(), operator.PartServices)
 	if !ok {
 		return code
 	}
-	c.heading(view)
+	c.printHeading(view)
 	for _, p := range view.Presets {
 		mark := " "
 		if p.Name == view.InForce {
@@ -66,13 +67,13 @@
 		}
 		fmt.Fprintf(c.out, "%s %s\n", mark, p.Name)
 		for _, s := range p.Services {
-			fmt.Fprintf(c.out, "    %s:%s\n", s.Service, weights(s))
+			fmt.Fprintf(c.out, "    %s:%s\n", s.Service, formatWeights(s))
 		}
 	}
 	return exitOK
 }
 
-func weights(s catalogue.PresetService) string {
+func formatWeights(s catalogue.PresetService) string {
 	var out string
 	for _, d := range s.DataCentres {
 		out += fmt.Sprintf(" %s=%d", d.Name, d.Weight)
@@ -83,13 +84,13 @@
 	return out
 }
 
-func runTargets(ctx context.Context, c *call) int {
-	view, code, ok := c.read(ctx, c.options(), operator.PartTargets)
+func runTargets(ctx context.Context, c *invocation) int {
+	view, code, ok := c.readPart(ctx, c.newOptions(), operator.PartTargets)
 	if !ok {
 		return code
 	}
-	c.heading(view)
-	c.columns(func(row func(...any)) {
+	c.printHeading(view)
+	c.printTable(func(row func(...any)) {
 		row("SERVICE", "HOST", "DATA CENTRE", "AGENT", "STATE", "WEIGHT", "SLOTS", "FLOWS", "TUNNEL", "WHY")
 		for _, t := range view.Targets {
 			row(t.Service, t.Host, t.DataCentre, t.Agent, t.State, t.Weight, t.Slots, t.Connections, t.Tunnel, t.Why)
@@ -101,8 +102,8 @@
 	return exitOK
 }
 
-func runHistory(ctx context.Context, c *call) int {
-	o := c.options()
+func runHistory(ctx context.Context, c *invocation) int {
+	o := c.newOptions()
 	fleet := o.flags.Bool("fleet", false, "show announcements and silences instead of operators' commands")
 	last := o.flags.Int("n", 50, "show the last `count` records")
 	if code, done := o.parse(c, 0); done {
@@ -116,14 +117,14 @@
 	defer cancel()
 	view, err := o.client.Read(ctx, part)
 	if err != nil {
-		return c.failed(o, err)
+		return c.printError(o, err)
 	}
 	view.Records = view.Records[max(0, len(view.Records)-max(0, *last)):]
 	if o.json {
 		c.printJSON(view)
 		return exitOK
 	}
-	c.columns(func(row func(...any)) {
+	c.printTable(func(row func(...any)) {
 		row("WHEN", "WHO", "WHAT", "OUTCOME", "VERSION", "VIA", "COMMAND")
 		for _, r := range view.Records {
 			row(time.UnixMilli(r.AtMS).UTC().Format(time.RFC3339), r.Who, r.What, r.Outcome, r.Version, r.Via, r.ID)
@@ -132,8 +133,8 @@
 	return exitOK
 }
 
-func runStatus(ctx context.Context, c *call) int {
-	o := c.options()
+func runStatus(ctx context.Context, c *invocation) int {
+	o := c.newOptions()
 	if code, done := o.parse(c, 0); done {
 		return code
 	}
@@ -149,17 +150,17 @@
 		return code
 	}
 	if fleet.View != nil {
-		c.heading(fleet.View)
+		c.printHeading(fleet.View)
 	} else {
 		fmt.Fprintf(c.out, "NOT CURRENT: %s\nwhat follows is each VM's own last word\n", fleet.NoQuorum)
 	}
-	c.controlVMs(fleet)
-	c.balancers(fleet)
+	c.printControlVMs(fleet)
+	c.printBalancers(fleet)
 	return code
 }
 
-func (c *call) controlVMs(fleet *operator.Fleet) {
-	c.columns(func(row func(...any)) {
+func (c *invocation) printControlVMs(fleet *operator.Fleet) {
+	c.printTable(func(row func(...any)) {
 		row("CONTROL VM", "ADDRESS", "LEADER", "QUORUM HEARD", "VERSION", "REVISION", "SUBSCRIBERS")
 		for _, vm := range fleet.VMs {
 			if vm.Local == nil {
@@ -170,22 +171,23 @@
 			row(l.VM, vm.Address, orNone(l.Leader), fmt.Sprintf("%d ms ago", l.ContactAgeMS), l.Version, l.Revision, len(l.Subscribers))
 		}
 	})
-	c.replicas(fleet)
+	c.printReplicas(fleet)
 }
 
-// replicas prints the leader's view of the control VMs, which has their lag.
-func (c *call) replicas(fleet *operator.Fleet) {
+// printReplicas prints the replicas as the leader sees them. Only the leader knows how far
+// the others are behind.
+func (c *invocation) printReplicas(fleet *operator.Fleet) {
 	for _, vm := range fleet.VMs {
 		if vm.Local == nil || vm.Local.Leader != vm.Local.VM {
 			continue
 		}
-		c.replicaRows(vm.Local.Replicas)
+		c.printReplicaTable(vm.Local.Replicas)
 		return
 	}
 }
 
-func (c *call) replicaRows(replicas []operator.Replica) {
-	c.columns(func(row func(...any)) {
+func (c *invocation) printReplicaTable(replicas []operator.Replica) {
+	c.printTable(func(row func(...any)) {
 		row("REPLICA", "IDENTITY", "ADDRESS", "ROLE", "ENTRIES BEHIND", "SILENT")
 		for _, r := range replicas {
 			row(r.Name, r.ID, r.Address, r.Role, orUnknown(r.Lag, ""), orUnknown(r.SilentMS, " ms"))
@@ -200,11 +202,11 @@
 	return fmt.Sprint(n, unit)
 }
 
-func (c *call) balancers(fleet *operator.Fleet) {
+func (c *invocation) printBalancers(fleet *operator.Fleet) {
 	if fleet.View == nil {
 		return
 	}
-	c.columns(func(row func(...any)) {
+	c.printTable(func(row func(...any)) {
 		row("BALANCER", "DATA CENTRE", "STATE", "REVISION", "BEHIND", "HEARD")
 		for _, b := range fleet.Balancers {
 			if !b.Heard {
--- a/cmd/bergamotstall/agent.go
+++ b/cmd/bergamotstall/agent.go
@@ -13,20 +13,20 @@
 
 func runAgent(ctx context.Context, args []string, out, errOut io.Writer) int {
 	s := new(agent.Settings)
-	return roleOf{
-		name:     "agent",
-		settings: s,
-		build:    func(log logrus.FieldLogger) (runner, error) { return agent.New(*s, log) },
-		placed:   platform.RunAgent,
+	return serverRole{
+		name:          "agent",
+		settings:      s,
+		newRunner:     func(log logrus.FieldLogger) (runner, error) { return agent.New(*s, log) },
+		runOnPlatform: platform.RunAgent,
 	}.run(ctx, args, out, errOut)
 }
 
 func runBalancer(ctx context.Context, args []string, out, errOut io.Writer) int {
 	s := new(balancer.Settings)
-	return roleOf{
-		name:     "balancer",
-		settings: s,
-		build:    func(log logrus.FieldLogger) (runner, error) { return balancer.New(*s, log) },
-		placed:   platform.RunBalancer,
+	return serverRole{
+		name:          "balancer",
+		settings:      s,
+		newRunner:     func(log logrus.FieldLogger) (runner, error) { return balancer.New(*s, log) },
+		runOnPlatform: platform.RunBalancer,
 	}.run(ctx, args, out, errOut)
 }
--- a/cmd/bergamotstall/control.go
+++ b/cmd/bergamotstall/control.go
@@ -12,10 +12,10 @@
 
 func runControl(ctx context.Context, args []string, out, errOut io.Writer) int {
 	s := new(control.Settings)
-	return roleOf{
-		name:     "control",
-		settings: s,
-		build:    func(log logrus.FieldLogger) (runner, error) { return control.New(*s, log) },
-		placed:   platform.RunControl,
+	return serverRole{
+		name:          "control",
+		settings:      s,
+		newRunner:     func(log logrus.FieldLogger) (runner, error) { return control.New(*s, log) },
+		runOnPlatform: platform.RunControl,
 	}.run(ctx, args, out, errOut)
 }
--- a/cmd/bergamotstall/control_test.go
+++ b/cmd/bergamotstall/control_test.go
@@ -24,8 +24,9 @@
 metrics: 127.0.1.1:7104
 `
 
-// Bad settings: the process doesn't start, the exit code is 2, and the operator
-// reads file, line, field and what is allowed.
+// Guards against invalid settings with which control starts, or which it refuses without
+// saying why. The error must have file, line, field and the allowed values, and the exit
+// code must be 2.
 func TestBadControlSettings(t *testing.T) {
 	for _, c := range []struct{ name, old, new, want string }{
 		{"unknown field", "folder: data", "folders: data", `:3: folders: unknown field "folders"`},
@@ -48,7 +49,7 @@
 			is.True(strings.Contains(goodControl, c.old)) // the case changes the good file
 			file := filepath.Join(t.TempDir(), "control.yaml")
 			is.NoErr(os.WriteFile(file, []byte(strings.Replace(goodControl, c.old, c.new, 1)), 0o600))
-			code, _, errOut := run("control", "-settings", file)
+			code, _, errOut := runCommand("control", "-settings", file)
 			is.Equal(code, exitUsage)
 			if !strings.HasPrefix(errOut, file+c.want) {
 				t.Errorf("got %q, want prefix %q", errOut, file+c.want)
@@ -60,7 +61,7 @@
 
 func TestCheckDoesNotStart(t *testing.T) {
 	is := is.New(t)
-	code, out, errOut := run("control", "-check", "-settings", "../../examples/control.yaml")
+	code, out, errOut := runCommand("control", "-check", "-settings", "../../examples/control.yaml")
 	is.Equal(code, exitOK)
 	is.Equal(errOut, "")
 	is.Equal(out, "../../examples/control.yaml: settings of a control are good\n")
@@ -69,13 +70,13 @@
 func TestBadUsage(t *testing.T) {
 	for _, args := range [][]string{nil, {"contrl"}, {"control"}, {"control", "-settings"}, {"control", "-set", "x"}} {
 		is := is.New(t)
-		code, _, errOut := run(args...)
+		code, _, errOut := runCommand(args...)
 		is.Equal(code, exitUsage)
 		is.True(errOut != "")
 	}
 }
 
-func run(args ...string) (code int, out, errOut string) {
+func runCommand(args ...string) (code int, out, errOut string) {
 	var o, e bytes.Buffer
 	code = dispatch(context.Background(), args, &o, &e)
 	return code, o.String(), e.String()
--- a/cmd/bergamotstall/demo.go
+++ b/cmd/bergamotstall/demo.go
@@ -25,7 +25,7 @@
 	flags.Uint64Var(&o.Seed, "seed", 1, "`seed` of callers and fabric")
 	net := flags.Uint("net", 0, "use the loopback addresses 127.0.`N`.0/24, N at most 255")
 	verbose := flags.Bool("v", false, "show the log events of all roles")
-	placed := flags.Bool("platform", false, "play pass-through flows on a stand-in of the users' platform, for 20s unless -for says otherwise")
+	usePlatform := flags.Bool("platform", false, "play pass-through flows on a stand-in of the users' platform, for 20s unless -for says otherwise")
 	scheme := flags.String("scheme", string(standin.Steady), "how the platform's fabric chooses balancers: steady or mod")
 	switch err := flags.Parse(args); {
 	case err == flag.ErrHelp:
@@ -43,7 +43,7 @@
 		log.SetOutput(io.Discard)
 	}
 	o.Log = log
-	if *placed {
+	if *usePlatform {
 		return runPlatformDemo(ctx, standin.DayOptions{
 			Options: standin.Options{Net: platformNet, Scheme: standin.Scheme(*scheme), Folder: o.Folder, Log: log},
 			For:     o.For, Out: out,
@@ -57,16 +57,17 @@
 }
 
 const (
-	// platformNet is the second number of the loopback addresses 127.N.x.y that
-	// the platform's stand-in uses.
+	// platformNet is the second byte of the loopback addresses 127.N.x.y that the stand-in
+	// for the users' platform uses.
 	platformNet = 30
-	// platformDay is how long its day takes unless told otherwise.
-	platformDay = 20 * time.Second
+	// platformRunTime is how long the demo on the stand-in runs by default.
+	platformRunTime = 20 * time.Second
 )
 
+// runPlatformDemo runs the demo of pass-through flows on a stand-in for the users' platform.
 func runPlatformDemo(ctx context.Context, o standin.DayOptions, errOut io.Writer) int {
 	if o.For == 0 {
-		o.For = platformDay
+		o.For = platformRunTime
 	}
 	if o.Scheme != standin.Steady && o.Scheme != standin.Mod {
 		fmt.Fprintf(errOut, "bergamotstall demo: scheme %q (allowed: %s, %s)\n", o.Scheme, standin.Steady, standin.Mod)
--- a/cmd/bergamotstall/main.go
+++ b/cmd/bergamotstall/main.go
@@ -1,4 +1,5 @@
-// Command bergamotstall runs one role of the load balancer.
+// Command bergamotstall runs one role of the load balancer, or a demo of all roles in one
+// process.
 package main
 
 import (
@@ -10,7 +11,7 @@
 	"syscall"
 )
 
-// Exit codes.
+// Exit codes, and the usage text around the list of roles.
 const (
 	exitOK       = 0
 	exitFailed   = 1
@@ -31,11 +32,11 @@
 type role struct {
 	name string
 	help string
-	// run returns the process's exit code once ctx is done.
+	// run runs the role until ctx is done and returns the exit code.
 	run func(ctx context.Context, args []string, out, errOut io.Writer) int
 }
 
-// roles are the subcommands; each is built in a file of its own.
+// roles are the subcommands.
 var roles = []role{
 	{"demo", "every role on loopback in one process, with callers", runDemo},
 	{"balancer", "an entry VM: sends each packet to the agent it names", runBalancer},
@@ -44,14 +45,14 @@
 }
 
 func main() {
-	// A second signal ends the process at once: the first one gives the
-	// signals back.
+	// The first signal stops the process gracefully and restores the default handling, so
+	// that a second one ends it at once.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	context.AfterFunc(ctx, stop)
 	os.Exit(dispatch(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// dispatch runs the named role.
+// dispatch runs the role that the first argument names, and returns the exit code.
 func dispatch(ctx context.Context, args []string, out, errOut io.Writer) int {
 	if len(args) == 0 {
 		usage(errOut)
--- a/cmd/bergamotstall/role.go
+++ b/cmd/bergamotstall/role.go
@@ -16,37 +16,39 @@
 	"bergamotstall/platform"
 )
 
-// runner is a role that is ready to run.
+// runner is a configured role.
 type runner interface {
-	// Run returns after a graceful stop once ctx is done.
+	// Run runs the role until ctx is done, stops it gracefully and returns.
 	Run(ctx context.Context) error
 }
 
-// roleOf is what the roles with a settings file have in common: flags, strict
-// settings, the events of every process and the exit codes.
-type roleOf struct {
+// serverRole implements what the balancer, agent and control roles have in common: flags,
+// loading of settings, the process's log events and the exit codes.
+type serverRole struct {
 	name string
-	// settings is decoded into and judged before build is called.
-	settings settings.Checked
-	build    func(log logrus.FieldLogger) (runner, error)
-	// placed runs the role by the settings that the platform places.
-	placed func(ctx context.Context, path string, log logrus.FieldLogger) error
+	// settings is loaded and validated before newRunner is called.
+	settings  settings.Checked
+	newRunner func(log logrus.FieldLogger) (runner, error)
+	// runOnPlatform runs the role with the settings file that the users' platform provides.
+	// It returns after a graceful stop once ctx is done.
+	runOnPlatform func(ctx context.Context, path string, log logrus.FieldLogger) error
 }
 
-// run serves the role until ctx is done.
-func (r roleOf) run(ctx context.Context, args []string, out, errOut io.Writer) int {
+// run parses the flags, loads the settings, runs the role until ctx is done, and returns
+// the exit code.
+func (r serverRole) run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	flags := flag.NewFlagSet("bergamotstall "+r.name, flag.ContinueOnError)
 	flags.SetOutput(errOut)
 	file := flags.String("settings", "", "the role's YAML `file`; see examples/")
 	check := flags.Bool("check", false, "check the settings and end")
-	placed := flags.Bool("platform", false, "carry pass-through flows on the users' platform, by the settings that it places")
+	usePlatform := flags.Bool("platform", false, "carry pass-through flows on the users' platform, by the settings that it places")
 	switch err := flags.Parse(args); {
 	case err == flag.ErrHelp:
 		return exitOK
 	case err != nil:
 		return exitUsage
-	case *placed && *file == "" && !*check && flags.NArg() == 0:
-		return r.onPlatform(ctx, out, errOut)
+	case *usePlatform && *file == "" && !*check && flags.NArg() == 0:
+		return r.serveOnPlatform(ctx, out, errOut)
 	case *file == "" || flags.NArg() > 0:
 		fmt.Fprintf(errOut, "usage: bergamotstall %s -settings FILE [-check] | -platform\n", r.name)
 		return exitUsage
@@ -65,9 +67,9 @@
 	return r.serve(ctx, log)
 }
 
-// onPlatform runs the role by the platform's settings. Log lines go to out and
-// never make the role wait.
-func (r roleOf) onPlatform(ctx context.Context, out, errOut io.Writer) int {
+// serveOnPlatform runs the role with the platform's settings. It logs JSON lines to out
+// through a logsink, so that logging never blocks the role.
+func (r serverRole) serveOnPlatform(ctx context.Context, out, errOut io.Writer) int {
 	path, err := platform.SettingsPath()
 	if err != nil {
 		fmt.Fprintln(errOut, err)
@@ -78,15 +80,15 @@
 	log := logrus.New()
 	log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
 	log.SetOutput(sink)
-	tell, stop := context.WithCancel(ctx)
+	dropCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	go tellDropped(tell, sink, log)
+	go logDropped(dropCtx, sink, log)
 	events.Log(log, events.ProcessStarted, logrus.Fields{"role": r.name, "settings": path})
-	stopping := context.AfterFunc(ctx, func() {
+	cancelStopEvent := context.AfterFunc(ctx, func() {
 		events.Log(log, events.ProcessStopping, logrus.Fields{"role": r.name})
 	})
-	defer stopping()
-	err = r.placed(ctx, path, log)
+	defer cancelStopEvent()
+	err = r.runOnPlatform(ctx, path, log)
 	events.Log(log, events.ProcessStopped, logrus.Fields{"role": r.name, "error": err})
 	if err != nil {
 		return exitFailed
@@ -94,8 +96,8 @@
 	return exitOK
 }
 
-// tellDropped logs how many lines were left out.
-func tellDropped(ctx context.Context, sink *logsink.Sink, log logrus.FieldLogger) {
+// logDropped logs, each logsink.DropInterval, how many log lines were dropped, if any.
+func logDropped(ctx context.Context, sink *logsink.Sink, log logrus.FieldLogger) {
 	for wait.For(ctx, logsink.DropInterval) {
 		if n := sink.Dropped(); n > 0 {
 			events.Log(log, events.LogLinesDropped, logrus.Fields{"lines": n})
@@ -103,8 +105,9 @@
 	}
 }
 
-func (r roleOf) serve(ctx context.Context, log logrus.FieldLogger) int {
-	process, err := r.build(log)
+// serve runs the role with the loaded settings and returns the exit code.
+func (r serverRole) serve(ctx context.Context, log logrus.FieldLogger) int {
+	process, err := r.newRunner(log)
 	if err != nil {
 		log.WithError(err).Error("start failed")
 		return exitFailed
--- a/cmd/bergamotstall/settings_test.go
+++ b/cmd/bergamotstall/settings_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// exampleIn copies a role's example into a fresh folder and goes there; the
-// callers' certificate that an agent's names is there too.
-func exampleIn(t *testing.T, role string) string {
+// setUpExample changes to a new folder, with empty files for the certificate and key that an
+// agent's example names, and returns the example settings of a role.
+func setUpExample(t *testing.T, role string) string {
 	is := is.New(t)
 	data, err := os.ReadFile("../../examples/" + role + ".yaml")
 	is.NoErr(err)
@@ -25,8 +25,8 @@
 	for _, role := range []string{"balancer", "agent", "control"} {
 		t.Run(role, func(t *testing.T) {
 			is := is.New(t)
-			is.NoErr(os.WriteFile("s.yaml", []byte(exampleIn(t, role)), 0o600))
-			code, out, errOut := run(role, "-check", "-settings", "s.yaml")
+			is.NoErr(os.WriteFile("s.yaml", []byte(setUpExample(t, role)), 0o600))
+			code, out, errOut := runCommand(role, "-check", "-settings", "s.yaml")
 			is.Equal(errOut, "")
 			is.Equal(code, exitOK)
 			is.Equal(out, "s.yaml: settings of a "+role+" are good\n")
@@ -34,8 +34,8 @@
 	}
 }
 
-// Bad settings of balancers and agents: the process doesn't start, and the
-// message has file, line and field.
+// Guards against invalid settings with which a balancer or agent starts, or which it
+// refuses without saying why. The error must have file, line and field.
 func TestBadBalancerAndAgentSettings(t *testing.T) {
 	for _, c := range []struct{ role, name, old, new, want string }{
 		{"balancer", "unknown field", "sockets: 2", "socket: 2", `:12: socket: unknown field "socket"`},
@@ -52,10 +52,10 @@
 	} {
 		t.Run(c.role+" "+c.name, func(t *testing.T) {
 			is := is.New(t)
-			good := exampleIn(t, c.role)
+			good := setUpExample(t, c.role)
 			is.True(strings.Contains(good, c.old)) // the case changes the good file
 			is.NoErr(os.WriteFile("s.yaml", []byte(strings.Replace(good, c.old, c.new, 1)), 0o600))
-			code, _, errOut := run(c.role, "-settings", "s.yaml")
+			code, _, errOut := runCommand(c.role, "-settings", "s.yaml")
 			is.Equal(code, exitUsage)
 			if !strings.HasPrefix(errOut, "s.yaml"+c.want) {
 				t.Errorf("got %q, want prefix %q", errOut, filepath.Base("s.yaml")+c.want)
