--- a/cmd/bergamotctl/explain.go
+++ b/cmd/bergamotctl/explain.go
@@ -9,17 +9,17 @@
 	"bergamotstall/internal/explain"
 )
 
-// examplesPerCause is how many flows -worst names for each cause.
+// examplesPerCause is the maximum number of flows that -worst lists for each cause.
 const examplesPerCause = 3
 
-// runExplain tells from processes' logs what happened to flows.
-func runExplain(_ context.Context, c *call) int {
+// runExplain analyses logs of balancers and agents and prints what happened to flows.
+func runExplain(_ context.Context, c *invocation) int {
 	flags := flag.NewFlagSet("bergamotctl explain", flag.ContinueOnError)
 	flags.SetOutput(c.errOut)
 	flow := flags.String("flow", "", "the `flow` to tell of, CALLER:PORT>SERVICE:PORT")
 	worst := flags.Bool("worst", false, "group the flows that failed or were late by cause")
 	traffic := flags.Bool("traffic", false, "tell how much the processes sent and received, by kind of message")
-	late := flags.Duration("late", explain.DefaultLate, "with -worst: the wait from which on a flow is late")
+	late := flags.Duration("late", explain.DefaultLateThreshold, "with -worst: the wait from which on a flow is late")
 	switch err := flags.Parse(c.args); {
 	case err == flag.ErrHelp:
 		return exitOK
@@ -41,19 +41,19 @@
 		explain.WriteTraffic(c.out, log.Traffic())
 		return exitOK
 	case *worst:
-		explain.WriteWorst(c.out, log.Worst(*late), examplesPerCause)
+		explain.WriteGroups(c.out, log.FailuresByCause(*late), examplesPerCause)
 		return exitOK
 	}
-	story := log.Story(*flow)
-	if len(story) == 0 {
+	lines := log.Timeline(*flow)
+	if len(lines) == 0 {
 		fmt.Fprintf(c.errOut, "no line on flow %q: name it as the logs do, and give the logs of all balancers and agents\n", *flow)
 		return exitRefused
 	}
-	explain.WriteStory(c.out, story)
+	explain.WriteTimeline(c.out, lines)
 	return exitOK
 }
 
-// exactlyOne tells whether one of the choices was made.
+// exactlyOne reports whether exactly one of choices is true.
 func exactlyOne(choices ...bool) bool {
 	n := 0
 	for _, chosen := range choices {
@@ -64,7 +64,7 @@
 	return n == 1
 }
 
-// addLogs reads files, or standard input where there are none.
+// addLogs reads the files into log, or standard input if there are no files.
 func addLogs(log *explain.Log, files []string) error {
 	if len(files) == 0 {
 		return log.Add(os.Stdin)
