--- a/control/backend.go
+++ b/control/backend.go
@@ -131,8 +131,8 @@
 // memberError keeps the reason of a refusal; anything else is a lack of quorum.
 func memberError(err error) error {
 	for _, refusal := range []error{
-		replica.ErrNobody, raft.ErrChangeOpen, raft.ErrUnknown, raft.ErrMember,
-		raft.ErrRemoved, raft.ErrTooMany, raft.ErrLastVoter, raft.ErrNameInUse,
+		replica.ErrNoReplacement, raft.ErrChangePending, raft.ErrUnknownMember, raft.ErrAlreadyMember,
+		raft.ErrRemoved, raft.ErrTooManyMembers, raft.ErrLastVoter, raft.ErrNameInUse,
 	} {
 		if errors.Is(err, refusal) {
 			return refusal
--- a/control/failure_test.go
+++ b/control/failure_test.go
@@ -157,7 +157,7 @@
 	rest := c.others(lost)
 	c.eventually("the fresh replica waits", func() bool {
 		l := c.leader()
-		return l != nil && len(l.control.log.Status().Waiting) == 1
+		return l != nil && len(l.control.log.Status().Replacements) == 1
 	})
 	_, err = client(rest...).ChangeMembers(t.Context(), operator.MembersChange{Action: operator.ReplaceMember, Name: lost.settings.Name})
 	is.NoErr(err)
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -70,41 +70,41 @@
 // Open opens or makes a data folder and returns what it holds. Everything that
 // the replica will rely on is written and synced anew into a segment of its
 // own: what was read may exist only in the system's memory since a failed sync.
-func Open(o Options) (*Journal, raft.Stored, error) {
+func Open(o Options) (*Journal, raft.StoredState, error) {
 	if err := o.FS.MakeDir(o.Folder); err != nil {
-		return nil, raft.Stored{}, errors.Wrap(err, "journal: make folder")
+		return nil, raft.StoredState{}, errors.Wrap(err, "journal: make folder")
 	}
 	lock, err := o.FS.Lock(filepath.Join(o.Folder, lockFile))
 	if err != nil {
-		return nil, raft.Stored{}, errors.Wrapf(err, "journal: lock %s", o.Folder)
+		return nil, raft.StoredState{}, errors.Wrapf(err, "journal: lock %s", o.Folder)
 	}
 	j := &Journal{fs: o.FS, dir: o.Folder, lock: lock}
 	stored, err := j.load(o.NewID)
 	if err != nil {
 		_ = lock.Close()
-		return nil, raft.Stored{}, err
+		return nil, raft.StoredState{}, err
 	}
 	return j, stored, nil
 }
 
-func (j *Journal) load(newID func() raft.ID) (raft.Stored, error) {
+func (j *Journal) load(newID func() raft.ID) (raft.StoredState, error) {
 	files, err := j.list()
 	if err != nil {
-		return raft.Stored{}, err
+		return raft.StoredState{}, err
 	}
 	if !files.identity {
-		return raft.Stored{}, j.create(files, newID)
+		return raft.StoredState{}, j.create(files, newID)
 	}
 	if err := j.readIdentity(); err != nil {
-		return raft.Stored{}, err
+		return raft.StoredState{}, err
 	}
 	stored, err := j.replay(files)
 	if err != nil {
-		return raft.Stored{}, err
+		return raft.StoredState{}, err
 	}
 	whole := Batch{Hard: stored.Hard, Commit: stored.Commit, Entries: stored.Entries}
 	if err := j.restart(whole); err != nil {
-		return raft.Stored{}, err
+		return raft.StoredState{}, err
 	}
 	return stored, j.removeBefore(j.segment, stored.Snapshot.Index)
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -16,7 +16,7 @@
 
 const folder = "/data"
 
-func openMemory(m *memory, id raft.ID) (*Journal, raft.Stored, error) {
+func openMemory(m *memory, id raft.ID) (*Journal, raft.StoredState, error) {
 	return Open(Options{FS: m, Folder: folder, NewID: func() raft.ID { return id }})
 }
 
@@ -24,7 +24,7 @@
 // on after each.
 type script struct {
 	rng  *rand.Rand
-	want raft.Stored
+	want raft.StoredState
 }
 
 func (s *script) entries(n int) []raft.Entry {
@@ -66,7 +66,7 @@
 
 // holds says whether a state has all that was acknowledged: the term, and each
 // entry or a snapshot of it. It may have the step that the power cut short.
-func holds(got, want raft.Stored) bool {
+func holds(got, want raft.StoredState) bool {
 	if got.Hard.Term < want.Hard.Term || got.Hard.Term == want.Hard.Term && got.Hard.Vote != want.Hard.Vote {
 		return false
 	}
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -9,14 +9,14 @@
 )
 
 // replay reads the newest snapshot and all segments.
-func (j *Journal) replay(files folderFiles) (raft.Stored, error) {
+func (j *Journal) replay(files folderFiles) (raft.StoredState, error) {
 	if len(files.segments) == 0 {
-		return raft.Stored{}, errors.Wrapf(ErrIncomplete, "%s has no segment", j.dir)
+		return raft.StoredState{}, errors.Wrapf(ErrIncomplete, "%s has no segment", j.dir)
 	}
 	r := replayer{journal: j}
 	if n := len(files.snapshots); n > 0 {
 		if err := j.readSnapshot(files.snapshots[n-1], &r.stored.Snapshot); err != nil {
-			return raft.Stored{}, err
+			return raft.StoredState{}, err
 		}
 	}
 	for i, n := range files.segments {
@@ -24,7 +24,7 @@
 			r.startOver()
 		}
 		if err := r.segment(n, i == len(files.segments)-1); err != nil {
-			return raft.Stored{}, err
+			return raft.StoredState{}, err
 		}
 	}
 	j.number = r.number
@@ -54,7 +54,7 @@
 // replayer builds the stored state record by record.
 type replayer struct {
 	journal *Journal
-	stored  raft.Stored
+	stored  raft.StoredState
 	number  uint64
 	// whole is set once a record was seen that needs none before it.
 	whole bool
@@ -66,7 +66,7 @@
 func (r *replayer) startOver() {
 	r.whole = false
 	r.number = 0
-	r.stored = raft.Stored{Snapshot: r.stored.Snapshot}
+	r.stored = raft.StoredState{Snapshot: r.stored.Snapshot}
 }
 
 func (r *replayer) segment(n uint64, last bool) error {
@@ -147,7 +147,7 @@
 // finish joins the entries with the snapshot. A power cut between the snapshot
 // and its segment leaves the segments from before it: entries up to it are
 // dropped, and those after it too unless the log agrees with the snapshot.
-func (r *replayer) finish() (raft.Stored, error) {
+func (r *replayer) finish() (raft.StoredState, error) {
 	s := r.stored
 	if !r.whole {
 		return s, errors.Wrapf(ErrIncomplete, "%s has no segment that begins a log", r.journal.dir)
--- a/internal/passthrough/control/control.go
+++ b/internal/passthrough/control/control.go
@@ -44,7 +44,7 @@
 	snapshotEvery = 8
 	keepEntries   = 4
 	// replaceAfter is the silence after which a control VM that returns with an empty
-	// disk may replace its former member. It is ten heartbeats; see replica.Upkeep.
+	// disk may replace its former member. It is ten heartbeats; see replica.MembershipPolicy.
 	replaceAfter = time.Second
 	// maxContactWait bounds how long nodes wait until a starting VM has contact with a
 	// quorum, and contactPollInterval is how often that is checked. Afterwards nodes are
@@ -189,8 +189,8 @@
 	c.openCount++
 	return replica.Open(replica.Config{
 		Folder: c.folder(), Name: c.cfg.Name, Listen: address, Advertise: address, Peers: c.peers(),
-		Bootstrap: c.bootstraps() && c.openCount == 1,
-		Upkeep:    replica.Upkeep{ReplaceAfter: replaceAfter, EvictAfter: evictAfter},
+		Bootstrap:        c.bootstraps() && c.openCount == 1,
+		MembershipPolicy: replica.MembershipPolicy{ReplaceAfter: replaceAfter, EvictAfter: evictAfter},
 		// The log is kept short because its entries are whole definitions.
 		SnapshotEvery: snapshotEvery, KeepEntries: keepEntries, CommandLimit: maxCommandBytes,
 		Log: c.cfg.Log, Metrics: c.cfg.Metrics,
--- a/internal/raft/core.go
+++ b/internal/raft/core.go
@@ -96,8 +96,8 @@
 	return c
 }
 
-// Stored is the state that a replica read from its disk.
-type Stored struct {
+// StoredState is the state that a replica read from its disk.
+type StoredState struct {
 	Hard     HardState
 	Snapshot Snapshot
 	Entries  []Entry
@@ -107,18 +107,18 @@
 }
 
 // Empty reports whether the replica has never stored anything.
-func (s Stored) Empty() bool {
+func (s StoredState) Empty() bool {
 	return s.Hard == HardState{} && s.Snapshot.Index == 0 && len(s.Entries) == 0
 }
 
 // Bootstrap returns the initial state of a new cluster with one voter.
-func Bootstrap(first Member) (Stored, error) {
+func Bootstrap(first Member) (StoredState, error) {
 	first.Role = Voter
 	data, err := (&Membership{Members: []Member{first}}).MarshalMsg(nil)
 	if err != nil {
-		return Stored{}, errors.Wrap(err, "raft: encode membership")
+		return StoredState{}, errors.Wrap(err, "raft: encode membership")
 	}
-	return Stored{
+	return StoredState{
 		Hard:    HardState{Term: 1},
 		Entries: []Entry{{Index: 1, Term: 1, Kind: EntryMembers, Data: data}},
 	}, nil
@@ -200,11 +200,11 @@
 }
 
 // New returns a core that continues from the stored state.
-func New(cfg Config, stored Stored, now time.Duration) *Core {
+func New(cfg Config, stored StoredState, now time.Duration) *Core {
 	return newCore(cfg, stored, now, faults{})
 }
 
-func newCore(cfg Config, stored Stored, now time.Duration, f faults) *Core {
+func newCore(cfg Config, stored StoredState, now time.Duration, f faults) *Core {
 	c := &Core{
 		cfg:          cfg.Defaults(),
 		faults:       f,
--- a/internal/raft/directed_test.go
+++ b/internal/raft/directed_test.go
@@ -10,7 +10,7 @@
 )
 
 // storedMembers returns a log that begins with a membership of voters 1 to n.
-func storedMembers(t *testing.T, n int, hard HardState, terms ...Term) Stored {
+func storedMembers(t *testing.T, n int, hard HardState, terms ...Term) StoredState {
 	t.Helper()
 	var m Membership
 	for i := range n {
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := Stored{Hard: hard, Entries: []Entry{{Index: 1, Term: 1, Kind: EntryMembers, Data: data}}}
+	s := StoredState{Hard: hard, Entries: []Entry{{Index: 1, Term: 1, Kind: EntryMembers, Data: data}}}
 	for i, term := range terms {
 		s.Entries = append(s.Entries, Entry{Index: Index(i + 2), Term: term, Kind: EntryCommand})
 	}
@@ -199,13 +199,13 @@
 	c := newCore(Config{ID: 1}, storedMembers(t, 3, HardState{Term: 1}), time.Hour, faults{noRecovery: true})
 	electLeader(c, 2)
 	_, err := c.RemoveMember(3)
-	is.True(errors.Is(err, ErrChangeOpen)) // no entry of its own term is committed yet
+	is.True(errors.Is(err, ErrChangePending)) // no entry of its own term is committed yet
 	c.Step(c.now, Message{Kind: MsgAppendReply, From: 2, To: 1, Term: c.term, Index: 2})
 	processReady(c)
 	_, err = c.AddLearner(Member{ID: 4, Name: "d"})
 	is.NoErr(err)
 	_, err = c.RemoveMember(3)
-	is.True(errors.Is(err, ErrChangeOpen))
+	is.True(errors.Is(err, ErrChangePending))
 	c.Step(c.now, Message{Kind: MsgAppendReply, From: 2, To: 1, Term: c.term, Index: 3})
 	processReady(c)
 	_, err = c.RemoveMember(3)
@@ -217,7 +217,7 @@
 	_, err = c.AddLearner(Member{ID: 5, Name: "d"})
 	is.True(errors.Is(err, ErrNameInUse))
 	_, err = c.RemoveMember(9)
-	is.True(errors.Is(err, ErrUnknown))
+	is.True(errors.Is(err, ErrUnknownMember))
 }
 
 // Guards against an election each time a link recovers: a replica that was cut off and
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -20,7 +20,7 @@
 	delivered Index
 }
 
-func newLog(s Stored) entryLog {
+func newLog(s StoredState) entryLog {
 	l := entryLog{
 		snapshot:         s.Snapshot,
 		offset:           s.Snapshot.Index,
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -14,11 +14,11 @@
 // Errors of a refused membership change. Nothing was appended, except for
 // ErrBadMembership, which means that an entry can't be decoded.
 var (
-	ErrChangeOpen          = errors.New("raft: another membership change is pending")
-	ErrUnknown             = errors.New("raft: no such member")
-	ErrMember              = errors.New("raft: already a member")
+	ErrChangePending       = errors.New("raft: another membership change is pending")
+	ErrUnknownMember       = errors.New("raft: no such member")
+	ErrAlreadyMember       = errors.New("raft: already a member")
 	ErrRemoved             = errors.New("raft: this replica ID was removed from the cluster")
-	ErrTooMany             = errors.New("raft: too many members")
+	ErrTooManyMembers      = errors.New("raft: too many members")
 	ErrLastVoter           = errors.New("raft: the last voter can't be removed")
 	ErrNameInUse           = errors.New("raft: name is used by another member")
 	ErrTooManyVoterChanges = errors.New("raft: change affects more than one voter")
@@ -70,24 +70,24 @@
 func (m Membership) withLearner(x Member) (Membership, error) {
 	switch {
 	case x.ID == 0:
-		return m, errors.Wrap(ErrUnknown, "ID is zero")
+		return m, errors.Wrap(ErrUnknownMember, "ID is zero")
 	case m.WasRemoved(x.ID):
 		return m, ErrRemoved
 	case len(m.Members) > MaxMembers:
-		return m, ErrTooMany
+		return m, ErrTooManyMembers
 	}
 	if _, ok := m.Find(x.ID); ok {
-		return m, ErrMember
+		return m, ErrAlreadyMember
 	}
 	if old, ok := m.FindByName(x.Name); ok && old.ID != x.Replaces {
 		return m, ErrNameInUse
 	}
 	if x.Replaces != 0 {
 		if _, ok := m.Find(x.Replaces); !ok {
-			return m, errors.Wrap(ErrUnknown, "member to replace")
+			return m, errors.Wrap(ErrUnknownMember, "member to replace")
 		}
 	} else if len(m.Members) >= MaxMembers {
-		return m, ErrTooMany
+		return m, ErrTooManyMembers
 	}
 	x.Role = Learner
 	out := m.clone()
@@ -103,13 +103,13 @@
 			return out, nil
 		}
 	}
-	return m, ErrUnknown
+	return m, ErrUnknownMember
 }
 
 func (m Membership) without(id ID) (Membership, error) {
 	x, ok := m.Find(id)
 	if !ok {
-		return m, ErrUnknown
+		return m, ErrUnknownMember
 	}
 	if x.Role == Voter && len(m.Voters()) == 1 {
 		return m, ErrLastVoter
@@ -180,7 +180,7 @@
 	}
 	if !c.faults.concurrentChanges {
 		if c.membersIndex > c.log.commit || !c.committedInTerm() {
-			return Position{}, ErrChangeOpen
+			return Position{}, ErrChangePending
 		}
 		if votersChanged(c.members, next) > 1 {
 			return Position{}, ErrTooManyVoterChanges
--- a/internal/raft/simulation_test.go
+++ b/internal/raft/simulation_test.go
@@ -70,7 +70,7 @@
 // disk holds what a replica has synced.
 type disk struct {
 	id     ID
-	stored Stored
+	stored StoredState
 }
 
 func (d *disk) save(r Ready, tail []Entry, forgetVote bool) {
--- a/internal/replica/errors.go
+++ b/internal/replica/errors.go
@@ -17,16 +17,16 @@
 
 // Reasons of a RequestError, in addition to those of package raft.
 var (
-	ErrBusy        = errors.New("replica: too many pending requests")
-	ErrClosed      = errors.New("replica: closed")
-	ErrFailed      = errors.New("replica: stopped after a failure")
-	ErrNoLeader    = errors.New("replica: no leader reachable")
-	ErrLostLeader  = errors.New("replica: leader lost before it replied")
-	ErrOverwritten = errors.New("replica: entry overwritten by another leader")
-	ErrNobody      = errors.New("replica: no replacement with that name is waiting")
-	ErrTimeout     = errors.New("replica: timed out")
-	ErrTooLarge    = errors.New("replica: command exceeds the size limit")
-	errOther       = errors.New("replica: refused by the leader")
+	ErrBusy          = errors.New("replica: too many pending requests")
+	ErrClosed        = errors.New("replica: closed")
+	ErrFailed        = errors.New("replica: stopped after a failure")
+	ErrNoLeader      = errors.New("replica: no leader reachable")
+	ErrLostLeader    = errors.New("replica: leader lost before it replied")
+	ErrOverwritten   = errors.New("replica: entry overwritten by another leader")
+	ErrNoReplacement = errors.New("replica: no replacement with that name is waiting")
+	ErrTimeout       = errors.New("replica: timed out")
+	ErrTooLarge      = errors.New("replica: command exceeds the size limit")
+	errOther         = errors.New("replica: refused by the leader")
 )
 
 // RequestError is the error of a request without an outcome. It matches its reason, and
@@ -60,9 +60,9 @@
 // reasons maps reason codes, which are sent between replicas, to errors. Only append to
 // it.
 var reasons = []error{
-	errOther, ErrBusy, ErrClosed, ErrFailed, ErrNoLeader, ErrLostLeader, ErrOverwritten, ErrNobody, ErrTimeout,
-	raft.ErrNotLeader, raft.ErrNoLeader, raft.ErrBusy, raft.ErrChangeOpen, raft.ErrUnknown,
-	raft.ErrMember, raft.ErrRemoved, raft.ErrTooMany, raft.ErrLastVoter, raft.ErrNameInUse,
+	errOther, ErrBusy, ErrClosed, ErrFailed, ErrNoLeader, ErrLostLeader, ErrOverwritten, ErrNoReplacement, ErrTimeout,
+	raft.ErrNotLeader, raft.ErrNoLeader, raft.ErrBusy, raft.ErrChangePending, raft.ErrUnknownMember,
+	raft.ErrAlreadyMember, raft.ErrRemoved, raft.ErrTooManyMembers, raft.ErrLastVoter, raft.ErrNameInUse,
 	raft.ErrTooManyVoterChanges, ErrTooLarge,
 }
 
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -53,11 +53,11 @@
 func (r *Replica) replace(old raft.ID) (raft.Position, error) {
 	member, ok := r.core.Members().Find(old)
 	if !ok {
-		return raft.Position{}, raft.ErrUnknown
+		return raft.Position{}, raft.ErrUnknownMember
 	}
 	w, ok := r.replacements[member.Name]
 	if !ok {
-		return raft.Position{}, ErrNobody
+		return raft.Position{}, ErrNoReplacement
 	}
 	w.member.Replaces = old
 	return r.core.AddLearner(w.member)
@@ -83,8 +83,8 @@
 
 // handleJoin handles a new replica's join request. A new name is added at once. A
 // member's name is not, since a second process started under the name of a healthy VM
-// must not remove that VM. An operator decides, or Upkeep does once the member has been
-// silent for long enough.
+// must not remove that VM. An operator decides, or MembershipPolicy does once the member
+// has been silent for long enough.
 func (r *Replica) handleJoin(j joinRequest) {
 	if !r.core.IsLeader() {
 		if leader := r.core.Leader(); leader != 0 {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -68,8 +68,8 @@
 	// learner.
 	Bootstrap bool
 	TLS       TLS
-	// Upkeep lets the leader replace and remove members without an operator.
-	Upkeep Upkeep
+	// MembershipPolicy lets the leader replace and remove members without an operator.
+	MembershipPolicy MembershipPolicy
 	// Heartbeat is the interval between a leader's heartbeats; 100 ms if 0.
 	Heartbeat time.Duration
 	// ElectionTimeout is the shortest time without a leader before an election; ten
@@ -238,7 +238,7 @@
 }
 
 // restore sets up the state machine and the core from the stored state.
-func (r *Replica) restore(stored *raft.Stored) error {
+func (r *Replica) restore(stored *raft.StoredState) error {
 	if stored.Empty() && r.cfg.Bootstrap {
 		if err := r.bootstrap(stored); err != nil {
 			return err
@@ -266,7 +266,7 @@
 
 // bootstrap creates a new cluster, unless a peer already belongs to one. A VM that lost
 // its disk and still has Bootstrap set must not create a second cluster.
-func (r *Replica) bootstrap(stored *raft.Stored) error {
+func (r *Replica) bootstrap(stored *raft.StoredState) error {
 	if address, ok := r.findCluster(); ok {
 		events.Log(r.cfg.Log, events.BootstrapSkipped, logrus.Fields{"peer": address})
 		return nil
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -14,9 +14,9 @@
 	// Cluster is the cluster's ID; 0 until the replica has joined one.
 	Cluster uint64
 	Name    string
-	// Waiting lists new replicas that have the name of a member and wait for an operator
+	// Replacements lists new replicas that have the name of a member and wait for an operator
 	// to replace it. Only the leader knows them.
-	Waiting []raft.Member
+	Replacements []raft.Member
 }
 
 // Lag returns how many entries a member lacks, as the leader knows it.
@@ -36,7 +36,7 @@
 	s := &Status{Status: r.core.Status(), Cluster: r.cluster.Load(), Name: r.cfg.Name}
 	s.Applied = r.applied
 	for _, w := range r.replacements {
-		s.Waiting = append(s.Waiting, w.member)
+		s.Replacements = append(s.Replacements, w.member)
 	}
 	r.status.Store(s)
 	if at, ok := r.core.ContactAt(); ok {
--- a/internal/replica/upkeep.go
+++ b/internal/replica/upkeep.go
@@ -10,9 +10,9 @@
 	"bergamotstall/internal/raft"
 )
 
-// Upkeep configures how the leader changes the membership without an operator. The zero
-// value leaves all changes to an operator.
-type Upkeep struct {
+// MembershipPolicy configures how the leader changes the membership without an operator.
+// The zero value leaves all changes to an operator.
+type MembershipPolicy struct {
 	// ReplaceAfter is how long a member must be silent before a new replica replaces it.
 	// It must outlast lost frames and short pauses.
 	ReplaceAfter time.Duration
@@ -47,8 +47,8 @@
 // evictionCandidate returns the voter to remove, if any. The voters that are heard from
 // must be a majority both before and after the removal; otherwise it could leave no
 // reachable copy of acknowledged commands.
-func (u Upkeep) evictionCandidate(members []raft.MemberStatus, heartbeat time.Duration) (raft.MemberStatus, bool) {
-	if u.EvictAfter <= 0 {
+func (p MembershipPolicy) evictionCandidate(members []raft.MemberStatus, heartbeat time.Duration) (raft.MemberStatus, bool) {
+	if p.EvictAfter <= 0 {
 		return raft.MemberStatus{}, false
 	}
 	voters, heard := 0, 0
@@ -64,7 +64,7 @@
 	if voters <= minVotersKept || heard <= voters/2 {
 		return raft.MemberStatus{}, false
 	}
-	return longestSilent(members, u.EvictAfter)
+	return longestSilent(members, p.EvictAfter)
 }
 
 // silenceOf returns how long the leader hasn't heard from a member; 0 if the ID isn't a
@@ -80,8 +80,8 @@
 // replaceSilentMember adds a new replica in place of the member with its name, if that
 // member has been silent for ReplaceAfter. It returns false if an operator has to decide.
 func (r *Replica) replaceSilentMember(m raft.Member, old raft.Member) bool {
-	u := r.cfg.Upkeep
-	if u.ReplaceAfter <= 0 || silenceOf(r.core.Status().Members, old.ID) < u.ReplaceAfter {
+	p := r.cfg.MembershipPolicy
+	if p.ReplaceAfter <= 0 || silenceOf(r.core.Status().Members, old.ID) < p.ReplaceAfter {
 		return false
 	}
 	m.Replaces = old.ID
@@ -94,8 +94,8 @@
 // with one of four voters lost, one more loss would stop all commands. A voter that was
 // only cut off comes back as a new replica.
 func (r *Replica) addNewMember(m raft.Member) {
-	if u := r.cfg.Upkeep; u.ReplaceAfter > 0 {
-		if lost, ok := longestSilent(r.core.Status().Members, u.ReplaceAfter); ok {
+	if p := r.cfg.MembershipPolicy; p.ReplaceAfter > 0 {
+		if lost, ok := longestSilent(r.core.Status().Members, p.ReplaceAfter); ok {
 			m.Replaces = lost.ID
 		}
 	}
@@ -121,7 +121,7 @@
 	if !r.core.IsLeader() {
 		return
 	}
-	lost, ok := r.cfg.Upkeep.evictionCandidate(r.core.Status().Members, r.cfg.Heartbeat)
+	lost, ok := r.cfg.MembershipPolicy.evictionCandidate(r.core.Status().Members, r.cfg.Heartbeat)
 	if !ok {
 		return
 	}
--- a/internal/replica/upkeep_test.go
+++ b/internal/replica/upkeep_test.go
@@ -13,7 +13,7 @@
 
 // testUpkeep sets times in proportion to the tests' heartbeat of 20 ms.
 func testUpkeep(c *Config) {
-	c.Upkeep = Upkeep{ReplaceAfter: 300 * time.Millisecond, EvictAfter: 800 * time.Millisecond}
+	c.MembershipPolicy = MembershipPolicy{ReplaceAfter: 300 * time.Millisecond, EvictAfter: 800 * time.Millisecond}
 }
 
 // allSeeVoter reports whether all members see the replica as a voter.
@@ -143,17 +143,17 @@
 	voter := func(id raft.ID, silent time.Duration) raft.MemberStatus {
 		return raft.MemberStatus{Member: raft.Member{ID: id, Role: raft.Voter}, Silence: silent}
 	}
-	u := Upkeep{EvictAfter: time.Second}
+	p := MembershipPolicy{EvictAfter: time.Second}
 	heartbeat := 20 * time.Millisecond
-	_, ok := u.evictionCandidate([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour)}, heartbeat)
+	_, ok := p.evictionCandidate([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour)}, heartbeat)
 	is.Equal(ok, false)
-	lost, ok := u.evictionCandidate([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour), voter(4, 0)}, heartbeat)
+	lost, ok := p.evictionCandidate([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour), voter(4, 0)}, heartbeat)
 	is.True(ok)
 	is.Equal(lost.ID, raft.ID(3))
 	// Two of four voters are silent. The rest is no majority, and a removal could lose
 	// commands that only the silent ones hold.
-	_, ok = u.evictionCandidate([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour), voter(4, time.Hour)}, heartbeat)
+	_, ok = p.evictionCandidate([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour), voter(4, time.Hour)}, heartbeat)
 	is.Equal(ok, false)
-	_, ok = Upkeep{}.evictionCandidate([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour), voter(4, 0)}, heartbeat)
+	_, ok = MembershipPolicy{}.evictionCandidate([]raft.MemberStatus{voter(1, 0), voter(2, 0), voter(3, time.Hour), voter(4, 0)}, heartbeat)
 	is.Equal(ok, false) // the zero value leaves evictions to an operator
 }
