--- a/agent/agent.go
+++ b/agent/agent.go
@@ -44,7 +44,7 @@
 	metrics  *metrics.Set
 	identity *keys.Store
 	flows    *flow.Endpoint
-	relay    *proxy.Relay
+	relay    *proxy.Proxy
 	client   *distribution.Client
 	revision atomic.Int64
 }
@@ -86,14 +86,14 @@
 
 func (a *Agent) openRelay() error {
 	cfg := proxy.Config{
-		ShedUnrun: a.settings.ShedUnrun,
-		Service:   a.settings.Service,
-		Host:      a.settings.Host,
-		Target:    a.settings.Target,
-		Peer:      a.settings.Peer,
-		Limits:    proxy.Limits{Slots: a.settings.Slots, Connections: a.settings.Connections},
-		Log:       a.log,
-		Metrics:   a.metrics,
+		ShedMeansNotRun:   a.settings.ShedUnrun,
+		Service:           a.settings.Service,
+		Host:              a.settings.Host,
+		Target:            a.settings.Target,
+		PeerListenAddress: a.settings.Peer,
+		Limits:            proxy.Limits{Slots: a.settings.Slots, Connections: a.settings.Connections},
+		Log:               a.log,
+		Metrics:           a.metrics,
 		// The client is there before the first request is.
 		TableAge: func() time.Duration { return a.client.Status().WordAge },
 	}
@@ -153,7 +153,7 @@
 
 func (a *Agent) numbered(n table.AgentNumber) {
 	a.flows.SetAgent(n)
-	a.relay.SetAgent(n)
+	a.relay.SetAgentNumber(n)
 }
 
 // apply puts a table in force. One that the flows refuse is logged and counted
@@ -162,7 +162,7 @@
 	if err := a.flows.Apply(t); err != nil {
 		return err
 	}
-	a.relay.Apply(t)
+	a.relay.ApplyTable(t)
 	a.revision.Store(int64(t.Revision))
 	return nil
 }
--- a/balancer/forwarder.go
+++ b/balancer/forwarder.go
@@ -50,7 +50,7 @@
 
 // view is a table in force with the sockets of its services.
 type view struct {
-	steering *steering.Map
+	steering *steering.CompiledTable
 	fronts   map[table.ServiceID]*front
 }
 
@@ -121,7 +121,7 @@
 	if f.closed || old != nil && old.steering.Revision >= t.Revision {
 		return nil
 	}
-	var before *steering.Map
+	var before *steering.CompiledTable
 	if old != nil {
 		before = old.steering
 	}
--- a/balancer/forwarder_test.go
+++ b/balancer/forwarder_test.go
@@ -93,7 +93,7 @@
 	return buffer[:n], unmap(from)
 }
 
-func shortPacket(m *steering.Map, agent table.AgentNumber, size int) []byte {
+func shortPacket(m *steering.CompiledTable, agent table.AgentNumber, size int) []byte {
 	id, _ := m.ConnIDs.Encode(1, agent, connid.Entropy{})
 	out := make([]byte, size)
 	out[0] = 0x40
--- a/balancer/watch.go
+++ b/balancer/watch.go
@@ -33,14 +33,14 @@
 	if v == nil {
 		return nil
 	}
-	if m := v.steering.Reshare(now); m != v.steering {
+	if m := v.steering.UpdateShares(now); m != v.steering {
 		v = &view{steering: m, fronts: v.fronts}
 		f.view.Store(v)
 	}
 	return v
 }
 
-func (f *Forwarder) probe(m *steering.Map, a *steering.Agent) {
+func (f *Forwarder) probe(m *steering.CompiledTable, a *steering.Agent) {
 	h := envelope.Header{
 		Kind:       envelope.Probe,
 		Generation: m.Generation,
--- a/balancer/workers.go
+++ b/balancer/workers.go
@@ -60,7 +60,7 @@
 }
 
 // wrap steers a packet and puts it into an envelope.
-func (w *forwardWorker) wrap(m *steering.Map, service *steering.Service, caller netip.AddrPort, packet []byte) ([]byte, *steering.Agent, steering.Outcome) {
+func (w *forwardWorker) wrap(m *steering.CompiledTable, service *steering.Service, caller netip.AddrPort, packet []byte) ([]byte, *steering.Agent, steering.Outcome) {
 	if len(packet) > envelope.MaxPayload {
 		return nil, nil, steering.DropOversize
 	}
@@ -78,11 +78,11 @@
 	}
 	switch outcome {
 	case steering.Unreachable:
-		w.header.Kind = envelope.Orphan
+		w.header.Kind = envelope.Reroute
 	case steering.NewAvoiding:
 		// Counted as a hop, so that no agent hands it to the one avoided.
 		w.header.Hops = 1
-		w.header.HandedBy = w.router.Avoided
+		w.header.ForwardedBy = w.router.Avoided
 	}
 	out, err := m.Envelopes.Append(w.batch.next(), &w.header, packet)
 	if err != nil {
@@ -150,7 +150,7 @@
 			agent.Reach.Heard(now)
 		}
 		return true
-	case envelope.Alive:
+	case envelope.ProbeReply:
 		if known {
 			agent.Reach.Answered(now)
 		}
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -16,7 +16,7 @@
 //   - Long and short requests: shares are counted in slots held, not in requests, so long
 //     requests of one caller don't starve short ones of others.
 //   - Burst: up to the queue's limit it is absorbed, in order of arrival.
-//   - Sustained overload: once the queue hasn't been empty for Config.Patience, the
+//   - Sustained overload: once the queue hasn't been empty for Config.OverloadAfter, the
 //     newest request goes first. First come, first served would then serve only requests
 //     whose callers are about to give up.
 //   - Late work: a request whose deadline would pass while it waits, estimated from the
@@ -30,9 +30,9 @@
 )
 
 const (
-	// DefaultPatience is long compared with a burst of short requests and short compared
+	// DefaultOverloadAfter is long compared with a burst of short requests and short compared
 	// with callers' timeouts of seconds; see docs/PLACEMENT.md.
-	DefaultPatience = 500 * time.Millisecond
+	DefaultOverloadAfter = 500 * time.Millisecond
 	// slotTimeWeight is the weight of one slot time in the running mean: about the last
 	// twenty requests count, which a host runs within a second.
 	slotTimeWeight = 0.05
@@ -52,29 +52,29 @@
 	QueueFull Reason = "queue-full"
 	// Displaced: a caller with fewer waiting requests took the place in the queue.
 	Displaced Reason = "displaced"
-	// TooLate: the deadline would pass in the queue, or has passed.
-	TooLate Reason = "deadline"
+	// DeadlineExceeded: the deadline would pass in the queue, or has passed.
+	DeadlineExceeded Reason = "deadline"
 	// Connections: the host's connection limit is reached.
 	Connections Reason = "connections"
 )
 
-// Answer is the decision on an offered request.
-type Answer uint8
+// Decision is the decision on an offered request.
+type Decision uint8
 
-// Answers of Offer.
+// Decisions of Offer.
 const (
-	// Enter: the request has a slot.
-	Enter Answer = iota + 1
+	// Admit: the request has a slot.
+	Admit Decision = iota + 1
 	// Wait: the request has a place in the queue.
 	Wait
-	// TurnAway: the request is rejected; no part of it may run.
-	TurnAway
+	// Reject: the request is rejected; no part of it may run.
+	Reject
 )
 
-// Verdict is the result of Offer.
-type Verdict struct {
-	Answer Answer
-	// Reason is set with TurnAway.
+// Result is the result of Offer.
+type Result struct {
+	Decision Decision
+	// Reason is set with Reject.
 	Reason Reason
 	// Displaced is a waiting request that lost its place to this one, 0 if none.
 	Displaced Ticket
@@ -101,13 +101,13 @@
 type Config struct {
 	// Slots is how many requests run at once.
 	Slots int
-	// Connections bounds the requests that run, stream or wait; 0 means no bound.
-	Connections int
-	// Queue is how many requests may wait.
-	Queue int
-	// Patience is how long the queue may stay non-empty before the newest request goes
-	// first; 0 means DefaultPatience.
-	Patience time.Duration
+	// ConnectionLimit bounds the requests that run, stream or wait; 0 means no bound.
+	ConnectionLimit int
+	// QueueLimit is how many requests may wait.
+	QueueLimit int
+	// OverloadAfter is how long the queue may stay non-empty before the newest request goes
+	// first; 0 means DefaultOverloadAfter.
+	OverloadAfter time.Duration
 }
 
 // Queue is the admission state of one host. It isn't safe for concurrent use.
@@ -144,8 +144,8 @@
 }
 
 func withDefaults(cfg Config) Config {
-	if cfg.Patience <= 0 {
-		cfg.Patience = DefaultPatience
+	if cfg.OverloadAfter <= 0 {
+		cfg.OverloadAfter = DefaultOverloadAfter
 	}
 	return cfg
 }
@@ -157,32 +157,32 @@
 }
 
 // Offer decides on a new request.
-func (q *Queue) Offer(now time.Duration, r Request) Verdict {
+func (q *Queue) Offer(now time.Duration, r Request) Result {
 	if r.Deadline != 0 && r.Deadline <= now {
-		return Verdict{Answer: TurnAway, Reason: TooLate}
+		return Result{Decision: Reject, Reason: DeadlineExceeded}
 	}
-	if q.cfg.Connections > 0 && q.InFlight() >= q.cfg.Connections {
-		return Verdict{Answer: TurnAway, Reason: Connections}
+	if q.cfg.ConnectionLimit > 0 && q.InFlight() >= q.cfg.ConnectionLimit {
+		return Result{Decision: Reject, Reason: Connections}
 	}
 	c := q.caller(r.Caller)
 	if q.waiting == 0 && len(q.running) < q.cfg.Slots {
 		q.start(now, c, r)
-		return Verdict{Answer: Enter}
+		return Result{Decision: Admit}
 	}
 	if r.Deadline != 0 && now+q.estimateWait(now, c) >= r.Deadline {
 		q.removeIdle(c)
-		return Verdict{Answer: TurnAway, Reason: TooLate}
+		return Result{Decision: Reject, Reason: DeadlineExceeded}
 	}
 	return q.enqueue(now, c, r)
 }
 
-func (q *Queue) enqueue(now time.Duration, c *caller, r Request) Verdict {
+func (q *Queue) enqueue(now time.Duration, c *caller, r Request) Result {
 	var displaced Ticket
-	if q.waiting >= q.cfg.Queue {
+	if q.waiting >= q.cfg.QueueLimit {
 		displaced = q.displace(c)
 		if displaced == 0 {
 			q.removeIdle(c)
-			return Verdict{Answer: TurnAway, Reason: QueueFull}
+			return Result{Decision: Reject, Reason: QueueFull}
 		}
 	}
 	if q.waiting == 0 {
@@ -193,7 +193,7 @@
 	}
 	c.waiting = append(c.waiting, r)
 	q.waiting++
-	return Verdict{Answer: Wait, Displaced: displaced}
+	return Result{Decision: Wait, Displaced: displaced}
 }
 
 // enterRing adds a caller to the ring: last, or first under overload.
@@ -223,9 +223,9 @@
 	return newest.Ticket
 }
 
-// Stream releases the slot of a running request that continues as a stream, which still
+// StartStream releases the slot of a running request that continues as a stream, which still
 // counts as a connection.
-func (q *Queue) Stream(now time.Duration, t Ticket) Change {
+func (q *Queue) StartStream(now time.Duration, t Ticket) Change {
 	h, ok := q.running[t]
 	if !ok {
 		return Change{}
@@ -234,8 +234,8 @@
 	return q.freeSlot(now, t)
 }
 
-// Leave ends a request, whether it runs, streams or waits.
-func (q *Queue) Leave(now time.Duration, t Ticket) Change {
+// Finish ends a request, whether it runs, streams or waits.
+func (q *Queue) Finish(now time.Duration, t Ticket) Change {
 	if _, ok := q.running[t]; ok {
 		return q.freeSlot(now, t)
 	}
@@ -366,7 +366,7 @@
 }
 
 func (q *Queue) overloaded(now time.Duration) bool {
-	return q.waiting > 0 && now-q.nonEmptySince >= q.cfg.Patience
+	return q.waiting > 0 && now-q.nonEmptySince >= q.cfg.OverloadAfter
 }
 
 // Free returns how many requests could start at once.
@@ -381,13 +381,13 @@
 type Load struct {
 	// Slots is the limit; Running and Waiting are the present numbers of requests.
 	Slots, Running, Waiting int
-	// Hold is the mean time that a request keeps its slot.
-	Hold time.Duration
+	// MeanSlotTime is the mean time that a request keeps its slot.
+	MeanSlotTime time.Duration
 }
 
 // Load returns the present load.
 func (q *Queue) Load() Load {
-	return Load{Slots: q.cfg.Slots, Running: len(q.running), Waiting: q.waiting, Hold: q.meanSlotTime}
+	return Load{Slots: q.cfg.Slots, Running: len(q.running), Waiting: q.waiting, MeanSlotTime: q.meanSlotTime}
 }
 
 // InFlight returns how many requests run, stream or wait.
--- a/internal/admission/condition.go
+++ b/internal/admission/condition.go
@@ -14,13 +14,13 @@
 	outcomeTTL = 5 * time.Second
 )
 
-// Condition is passive health checking of one target: it judges from the outcomes of
+// TargetHealth is passive health checking of one target: it judges from the outcomes of
 // requests whether the target answers. The health endpoint is a hint that counts only
 // where there are no recent requests: an endpoint that reports healthy while requests
 // fail would keep a dead target in service, and one that reports unhealthy while they
 // succeed would remove a working one. The zero value is a healthy target. It isn't safe
 // for concurrent use.
-type Condition struct {
+type TargetHealth struct {
 	failures      int
 	lastOutcomeAt time.Duration
 	hasOutcome    bool
@@ -28,37 +28,37 @@
 	hintUnhealthy bool
 }
 
-// Answered records an answer of any status.
-func (c *Condition) Answered(now time.Duration) {
-	c.failures = 0
-	c.lastOutcomeAt, c.hasOutcome = now, true
+// RecordSuccess records an answer of any status.
+func (h *TargetHealth) RecordSuccess(now time.Duration) {
+	h.failures = 0
+	h.lastOutcomeAt, h.hasOutcome = now, true
 }
 
-// Failed records a request without an answer: the connection failed, was cut, or timed
+// RecordFailure records a request without an answer: the connection failed, was cut, or timed
 // out.
-func (c *Condition) Failed(now time.Duration) {
-	c.failures++
-	c.lastOutcomeAt, c.hasOutcome = now, true
+func (h *TargetHealth) RecordFailure(now time.Duration) {
+	h.failures++
+	h.lastOutcomeAt, h.hasOutcome = now, true
 }
 
-// Hint records the health endpoint's state.
-func (c *Condition) Hint(well bool) { c.hintUnhealthy = !well }
+// RecordEndpoint records the health endpoint's state.
+func (h *TargetHealth) RecordEndpoint(well bool) { h.hintUnhealthy = !well }
 
-// Ill tells whether the target is unhealthy, so that new requests should go elsewhere.
-func (c *Condition) Ill(now time.Duration) bool {
-	if c.failures >= unhealthyAfterFailures {
+// Unhealthy tells whether the target is unhealthy, so that new requests should go elsewhere.
+func (h *TargetHealth) Unhealthy(now time.Duration) bool {
+	if h.failures >= unhealthyAfterFailures {
 		return true
 	}
-	recent := c.hasOutcome && now-c.lastOutcomeAt < outcomeTTL
-	return c.hintUnhealthy && !recent
+	recent := h.hasOutcome && now-h.lastOutcomeAt < outcomeTTL
+	return h.hintUnhealthy && !recent
 }
 
-// Trial tells whether one request may go to an unhealthy target now, and counts it as
+// AllowTrial tells whether one request may go to an unhealthy target now, and counts it as
 // sent. The first trial comes a whole interval after the last outcome.
-func (c *Condition) Trial(now time.Duration) bool {
-	if now-max(c.lastTrialAt, c.lastOutcomeAt) < trialInterval {
+func (h *TargetHealth) AllowTrial(now time.Duration) bool {
+	if now-max(h.lastTrialAt, h.lastOutcomeAt) < trialInterval {
 		return false
 	}
-	c.lastTrialAt = now
+	h.lastTrialAt = now
 	return true
 }
--- a/internal/catalogue/state.go
+++ b/internal/catalogue/state.go
@@ -69,7 +69,7 @@
 	if window <= 0 {
 		window = idempotency.DefaultWindow
 	}
-	return max(RetiredKept, window+idempotency.RowsKept).Milliseconds()
+	return max(RetiredKept, window+idempotency.RetiredRetention).Milliseconds()
 }
 
 // Silence says what came of reports that a process is silent.
--- a/internal/distribution/failure_test.go
+++ b/internal/distribution/failure_test.go
@@ -279,7 +279,7 @@
 	control := newFakeControl(smallTable(5))
 	server := serveControl(t, control, func(c *ServerConfig) {
 		c.Liveness = liveness.DefaultConfig()
-		c.Liveness.HoldFrom, c.Liveness.HoldBase, c.Liveness.HoldCap = 1, time.Hour, time.Hour
+		c.Liveness.DampingThreshold, c.Liveness.DampingBaseDelay, c.Liveness.DampingMaxDelay = 1, time.Hour, time.Hour
 	})
 	first := startClient(t, "agent-1", asAgent("cartoons"), server.address)
 	eventually(t, "a number", func() bool { return first.AgentNumber() != 0 })
--- a/internal/distribution/silence.go
+++ b/internal/distribution/silence.go
@@ -57,7 +57,7 @@
 func (l *silence) lost(k subject, a Announcement) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tracker.Lost(k, attachmentOf(a), time.Now())
+	l.tracker.StreamEnded(k, attachmentOf(a), time.Now())
 }
 
 func (l *silence) numbered(k subject, n table.AgentNumber) {
--- a/internal/envelope/envelope.go
+++ b/internal/envelope/envelope.go
@@ -28,13 +28,13 @@
 	Forward Kind = iota + 1
 	// Return carries an agent's packet to the balancer that sends it to the caller.
 	Return
-	// Orphan is a Forward whose packet belongs to an agent that the balancer can't reach.
+	// Reroute is a Forward whose packet belongs to an agent that the balancer can't reach.
 	// It goes to another agent of the service.
-	Orphan
+	Reroute
 	// Probe asks an agent whether it is alive; it carries no packet.
 	Probe
-	// Alive answers a Probe.
-	Alive
+	// ProbeReply answers a Probe.
+	ProbeReply
 )
 
 const (
@@ -60,8 +60,8 @@
 	// Generation of the MAC key, its low three bits.
 	Generation uint8
 	Service    table.ServiceID
-	// Agent is the receiver of a Forward, Orphan or Probe, and the sender of a Return or
-	// Alive.
+	// Agent is the receiver of a Forward, Reroute or Probe, and the sender of a Return or
+	// ProbeReply.
 	Agent table.AgentNumber
 	// Caller is the caller's address.
 	Caller netip.AddrPort
@@ -69,9 +69,9 @@
 	Revision table.Revision
 	// Hops is how often agents have forwarded the packet to another agent.
 	Hops uint8
-	// HandedBy is the last agent that forwarded the packet, or the agent that a balancer
+	// ForwardedBy is the last agent that forwarded the packet, or the agent that a balancer
 	// avoids.
-	HandedBy table.AgentNumber
+	ForwardedBy table.AgentNumber
 	// Balancer is where the agent's packets go if that isn't the address that the
 	// envelope came from. Agents set it when they forward a packet to another agent.
 	Balancer netip.AddrPort
@@ -93,16 +93,16 @@
 	valid  bool
 }
 
-// Ring holds the valid MAC keys, indexed by the low bits of their generation. It is
+// KeyRing holds the valid MAC keys, indexed by the low bits of their generation. It is
 // read-only once built, and safe for concurrent use.
-type Ring struct {
+type KeyRing struct {
 	keys [generationMask + 1]macKey
 }
 
-// NewRing builds the ring from a table's key sets. It returns ErrKey if a key is too
+// NewKeyRing builds the ring from a table's key sets. It returns ErrKey if a key is too
 // short.
-func NewRing(keys []table.KeySet) (*Ring, error) {
-	r := &Ring{}
+func NewKeyRing(keys []table.KeySet) (*KeyRing, error) {
+	r := &KeyRing{}
 	for _, k := range keys {
 		if len(k.Envelope) < minKeyBytes {
 			return nil, errors.Wrapf(ErrKey, "generation %d", k.Generation)
@@ -117,12 +117,12 @@
 }
 
 // Has tells whether the ring has the key of a generation.
-func (r *Ring) Has(generation uint8) bool { return r.keys[generation&generationMask].valid }
+func (k *KeyRing) Has(generation uint8) bool { return k.keys[generation&generationMask].valid }
 
 // Append appends the envelope and its payload to dst. It allocates only if dst is too
 // small. It returns ErrGeneration if the ring has no key of the header's generation.
-func (r *Ring) Append(dst []byte, h *Header, payload []byte) ([]byte, error) {
-	key := &r.keys[h.Generation&generationMask]
+func (k *KeyRing) Append(dst []byte, h *Header, payload []byte) ([]byte, error) {
+	key := &k.keys[h.Generation&generationMask]
 	if !key.valid {
 		return dst, ErrGeneration
 	}
@@ -148,7 +148,7 @@
 	dst = appendAddrPort(dst, h.Caller)
 	dst = msgp.AppendUint64(dst, uint64(h.Revision))
 	dst = msgp.AppendUint8(dst, h.Hops)
-	dst = msgp.AppendUint32(dst, uint32(h.HandedBy))
+	dst = msgp.AppendUint32(dst, uint32(h.ForwardedBy))
 	return appendAddrPort(dst, h.Balancer)
 }
 
@@ -171,7 +171,7 @@
 
 // Open verifies a datagram, decodes its header into h, and returns the payload, which is
 // a part of the datagram. It doesn't allocate.
-func (r *Ring) Open(datagram []byte, h *Header) ([]byte, error) {
+func (k *KeyRing) Open(datagram []byte, h *Header) ([]byte, error) {
 	if len(datagram) <= macBytes {
 		return nil, ErrMalformed
 	}
@@ -179,7 +179,7 @@
 	if err != nil {
 		return nil, ErrMalformed
 	}
-	key := &r.keys[h.Generation]
+	key := &k.keys[h.Generation]
 	if !key.valid {
 		return nil, ErrGeneration
 	}
@@ -223,7 +223,7 @@
 	if err != nil {
 		return nil, err
 	}
-	h.HandedBy = table.AgentNumber(handedBy)
+	h.ForwardedBy = table.AgentNumber(handedBy)
 	h.Balancer, b, err = readAddrPort(b)
 	return b, err
 }
--- a/internal/envelope/envelope_test.go
+++ b/internal/envelope/envelope_test.go
@@ -12,19 +12,19 @@
 	"bergamotstall/internal/table"
 )
 
-func newTestRing(is *is.I, generations ...uint8) *Ring {
+func newTestRing(is *is.I, generations ...uint8) *KeyRing {
 	var sets []table.KeySet
 	for _, g := range generations {
 		sets = append(sets, table.KeySet{Generation: g, Envelope: bytes.Repeat([]byte{g + 1}, 32)})
 	}
-	r, err := NewRing(sets)
+	r, err := NewKeyRing(sets)
 	is.NoErr(err)
 	return r
 }
 
 func testHeader() Header {
 	return Header{
-		Kind: Forward, Generation: 3, Service: 70000, Agent: 1 << 30, Revision: 1 << 40, Hops: 1, HandedBy: 1 << 20,
+		Kind: Forward, Generation: 3, Service: 70000, Agent: 1 << 30, Revision: 1 << 40, Hops: 1, ForwardedBy: 1 << 20,
 		Caller:   netip.MustParseAddrPort("192.0.2.1:4433"),
 		Balancer: netip.MustParseAddrPort("[2001:db8::1]:9000"),
 	}
@@ -86,7 +86,7 @@
 	is.NoErr(err)
 	_, err = newTestRing(is, 4).Append(nil, &h, nil)
 	is.Equal(err, ErrGeneration)
-	_, err = NewRing([]table.KeySet{{Envelope: []byte{1}}})
+	_, err = NewKeyRing([]table.KeySet{{Envelope: []byte{1}}})
 	is.True(err != nil)
 }
 
--- a/internal/experiment/budget.go
+++ b/internal/experiment/budget.go
@@ -36,13 +36,13 @@
 	lastLoad := t.fresh
 	for i := range requests {
 		now += time.Millisecond
-		b.Fresh(now)
+		b.RecordRequest(now)
 		for made := 1; ; made++ {
 			window++
 			if !t.fails(rng, lastLoad) {
 				break
 			}
-			if _, again := b.Again(now, retry.Attempt{Outcome: retry.NotRun, Made: made}); !again {
+			if _, again := b.TakeRetry(now, retry.Attempt{Outcome: retry.NotRun, Attempts: made}); !again {
 				errors++
 				break
 			}
--- a/internal/experiment/placement_loop.go
+++ b/internal/experiment/placement_loop.go
@@ -158,7 +158,7 @@
 	l := &loop{rng: rand.New(rand.NewPCG(seed, 11)), sc: sc, pol: p, tune: tune, pending: map[admission.Ticket]*loopRequest{}}
 	for i := range sz.hosts {
 		h := &loopHost{
-			queue:  admission.New(admission.Config{Slots: sz.slots, Queue: tune.queue, Patience: tune.patience}),
+			queue:  admission.New(admission.Config{Slots: sz.slots, QueueLimit: tune.queue, OverloadAfter: tune.patience}),
 			target: table.Target{Agent: table.AgentNumber(i + 1), State: table.Active, Weight: 100, PreviousWeight: 100, Slots: sz.slots, DataCentre: string(rune('a' + i%3))},
 		}
 		// The rest joined long ago.
@@ -287,7 +287,7 @@
 	home := l.loadOf(h)
 	look := !home.Room()
 	if l.pol.early {
-		look = placement.LookAroundFrom(home, l.tune.from)
+		look = placement.ShouldProbeFrom(home, l.tune.from)
 	}
 	if !l.pol.always && !look {
 		l.offer(r, r.home)
@@ -310,10 +310,10 @@
 	if v.Displaced != 0 {
 		l.refuse(v.Displaced)
 	}
-	switch v.Answer {
-	case admission.Enter:
+	switch v.Decision {
+	case admission.Admit:
 		l.start(r)
-	case admission.TurnAway:
+	case admission.Reject:
 		delete(l.pending, r.ticket)
 		home := l.hosts[r.home].target.State == table.Active
 		if host != r.home && home && !slices.Contains(r.tries, r.home) {
@@ -356,7 +356,7 @@
 		default:
 			l.answers = append(l.answers, float64(l.now-r.at)/1e6)
 		}
-		change := h.queue.Leave(l.now, r.ticket)
+		change := h.queue.Finish(l.now, r.ticket)
 		for _, t := range change.Drop {
 			l.refuse(t)
 		}
@@ -389,7 +389,7 @@
 
 func (l *loop) loadOf(h *loopHost) placement.Load {
 	q := h.queue.Load()
-	return placement.Load{Slots: q.Slots, Running: q.Running, Waiting: q.Waiting, Hold: q.Hold, Closed: h.target.State != table.Active}
+	return placement.Load{Slots: q.Slots, Running: q.Running, Waiting: q.Waiting, Hold: q.MeanSlotTime, Closed: h.target.State != table.Active}
 }
 
 // change drains a data centre or shifts the weights.
--- a/internal/experiment/placement_policies.go
+++ b/internal/experiment/placement_policies.go
@@ -258,4 +258,4 @@
 // productPolicy is what package proxy does.
 const productPolicy = "early: two probes (kept)"
 
-var standard = tuning{draws: placement.Draws, from: placement.From, queue: 16, patience: 500 * time.Millisecond}
+var standard = tuning{draws: placement.Draws, from: placement.ProbeThreshold, queue: 16, patience: 500 * time.Millisecond}
--- a/internal/experiment/slots.go
+++ b/internal/experiment/slots.go
@@ -60,7 +60,7 @@
 
 func runSlots(cores int, rule slotRule, seed uint64) *slotLoop {
 	l := &slotLoop{rng: rand.New(rand.NewPCG(seed, 3)), cores: cores, rule: rule, waiting: map[admission.Ticket]*slotJob{}}
-	l.queue = admission.New(admission.Config{Slots: cores, Queue: 8, Connections: 2000})
+	l.queue = admission.New(admission.Config{Slots: cores, QueueLimit: 8, ConnectionLimit: 2000})
 	l.arriveLater()
 	for l.now < slotRun {
 		l.step()
@@ -105,12 +105,12 @@
 	if v.Displaced != 0 {
 		l.refuse(l.waiting[v.Displaced])
 	}
-	switch v.Answer {
-	case admission.Enter:
+	switch v.Decision {
+	case admission.Admit:
 		l.active = append(l.active, j)
 	case admission.Wait:
 		l.waiting[j.ticket] = j
-	case admission.TurnAway:
+	case admission.Reject:
 		l.refuse(j)
 	}
 }
@@ -179,7 +179,7 @@
 			keep = l.rule.feeds
 		}
 		if keep != never {
-			l.after(keep, func() { l.apply(l.queue.Stream(l.now, j.ticket)) })
+			l.after(keep, func() { l.apply(l.queue.StartStream(l.now, j.ticket)) })
 		}
 		if j.tail > 0 {
 			j.work = j.tail
@@ -191,7 +191,7 @@
 		if j.kind == "short" {
 			l.answers = append(l.answers, float64(l.now-j.at)/1e6)
 		}
-		l.apply(l.queue.Leave(l.now, j.ticket))
+		l.apply(l.queue.Finish(l.now, j.ticket))
 	})
 }
 
--- a/internal/flow/deflect.go
+++ b/internal/flow/deflect.go
@@ -49,7 +49,7 @@
 	Self table.AgentNumber
 	// Tunnel is where packets for this agent arrive.
 	Tunnel netip.AddrPort
-	Map    *steering.Map
+	Map    *steering.CompiledTable
 	// Service is the agent's own, as the table has it.
 	Service *steering.Service
 	// Draining is set while the agent takes no new flows.
--- a/internal/flow/deflect_test.go
+++ b/internal/flow/deflect_test.go
@@ -24,7 +24,7 @@
 var start = time.Unix(1000, 0)
 
 // fourAgents has agents 1 to 4 active, 5 draining, 6 retired.
-func fourAgents(revision table.Revision, weights ...uint32) *steering.Map {
+func fourAgents(revision table.Revision, weights ...uint32) *steering.CompiledTable {
 	fill := make([]byte, 32)
 	t := &table.Table{
 		Revision: revision,
@@ -48,7 +48,7 @@
 	return m
 }
 
-func standingOf(self table.AgentNumber, m *steering.Map) *Standing {
+func standingOf(self table.AgentNumber, m *steering.CompiledTable) *Standing {
 	s, _ := m.ServiceNamed("desk")
 	tunnel := netip.MustParseAddrPort("192.0.2.99:9")
 	if a, ok := m.Agent(self); ok {
@@ -110,7 +110,7 @@
 	s, a := standingOf(1, m), &Arrival{Origin: connid.Ours, Named: 2, Orphan: true}
 	is.Equal(NewDeflector().Decide(s, a).Action, HandOver)
 	other, _ := m.Agent(2)
-	other.Reach.GiveUp()
+	other.Reach.MarkDown()
 	is.Equal(NewDeflector().Decide(s, a), Verdict{Action: Reset, Reason: Unreachable})
 	a.Orphan = false
 	is.Equal(NewDeflector().Decide(s, a).Action, HandOver)
@@ -166,7 +166,7 @@
 			deflector *Deflector
 		}
 		agents := make(map[table.AgentNumber]*agent)
-		tables := make(map[table.Revision]*steering.Map)
+		tables := make(map[table.Revision]*steering.CompiledTable)
 		for r := table.Revision(5); r <= 7; r++ {
 			tables[r] = fourAgents(r, rapid.SliceOfN(rapid.Uint32Range(0, 3), 4, 4).Draw(t, "weights")...)
 		}
--- a/internal/flow/endpoint.go
+++ b/internal/flow/endpoint.go
@@ -126,7 +126,7 @@
 
 // view is what a table says to this agent.
 type view struct {
-	steering *steering.Map
+	steering *steering.CompiledTable
 	service  *steering.Service
 	limit    int
 }
@@ -218,7 +218,7 @@
 	if v := e.view.Load(); v != nil && v.steering.Revision >= t.Revision {
 		return nil
 	}
-	var before *steering.Map
+	var before *steering.CompiledTable
 	if v := e.view.Load(); v != nil {
 		before = v.steering
 	}
@@ -245,7 +245,7 @@
 }
 
 // drainedBy tells whether a table takes this agent out of new work.
-func (e *Endpoint) drainedBy(m *steering.Map) bool {
+func (e *Endpoint) drainedBy(m *steering.CompiledTable) bool {
 	own, ok := m.Agent(table.AgentNumber(e.self.Load()))
 	return ok && own.State != table.Active
 }
--- a/internal/flow/inquire.go
+++ b/internal/flow/inquire.go
@@ -86,19 +86,19 @@
 func (e *Endpoint) inquire(v *view, q *inquiry) {
 	began := time.Now()
 	inquiry := reachability.NewInquiry(began)
-	finding := reachability.Open
-	for finding == reachability.Open {
+	finding := reachability.Pending
+	for finding == reachability.Pending {
 		select {
 		case <-e.closed:
 			return
 		default:
 		}
 		sign := e.probe(v, q.agent)
-		finding = inquiry.Note(time.Now(), sign)
+		finding = inquiry.Record(time.Now(), sign)
 	}
 	if finding == reachability.Dead {
-		q.agent.Reach.GiveUp()
-		time.AfterFunc(reachability.GivenUp, q.agent.Reach.Restore)
+		q.agent.Reach.MarkDown()
+		time.AfterFunc(reachability.ResultTTL, q.agent.Reach.ClearDown)
 		events.Log(e.config.Log, events.FlowAgentDead, logrus.Fields{
 			"agent": q.agent.Number, "after": time.Since(began).String(),
 		})
@@ -118,7 +118,7 @@
 
 // probe sends one probe and waits a tick for what becomes of it. The socket is
 // connected, as only such a one is told by the other VM that nobody listens.
-func (e *Endpoint) probe(v *view, agent *steering.Agent) reachability.Sign {
+func (e *Endpoint) probe(v *view, agent *steering.Agent) reachability.ProbeOutcome {
 	e.counts.probes.Add(1)
 	deadline := time.Now().Add(reachability.Tick)
 	socket, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(agent.Tunnel))
@@ -142,14 +142,14 @@
 		return signOf(err, deadline)
 	}
 	var answer envelope.Header
-	if _, err := v.steering.Envelopes.Open(buffer[:n], &answer); err != nil || answer.Kind != envelope.Alive || answer.Agent != agent.Number {
+	if _, err := v.steering.Envelopes.Open(buffer[:n], &answer); err != nil || answer.Kind != envelope.ProbeReply || answer.Agent != agent.Number {
 		time.Sleep(time.Until(deadline))
 		return reachability.Silent
 	}
 	return reachability.Alive
 }
 
-func signOf(err error, deadline time.Time) reachability.Sign {
+func signOf(err error, deadline time.Time) reachability.ProbeOutcome {
 	time.Sleep(time.Until(deadline))
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return reachability.Refused
--- a/internal/flow/receive.go
+++ b/internal/flow/receive.go
@@ -49,7 +49,7 @@
 // callers to another's target.
 func (e *Endpoint) meantHere(v *view, h *envelope.Header) bool {
 	switch {
-	case h.Kind != envelope.Forward && h.Kind != envelope.Orphan:
+	case h.Kind != envelope.Forward && h.Kind != envelope.Reroute:
 		e.counts.wrongKind.Add(1)
 		return false
 	case v.service == nil || h.Service != v.service.ID:
@@ -80,8 +80,8 @@
 		Named:    named,
 		Revision: r.header.Revision,
 		Hops:     r.header.Hops,
-		HandedBy: r.header.HandedBy,
-		Orphan:   r.header.Kind == envelope.Orphan,
+		HandedBy: r.header.ForwardedBy,
+		Orphan:   r.header.Kind == envelope.Reroute,
 	}
 	if origin != connid.Ours && r.shape.Opening {
 		r.arrival.Key = v.steering.FlowKey(r.shape.Destination, r.header.Caller)
@@ -169,7 +169,7 @@
 	h.Kind = envelope.Forward
 	h.Agent = to
 	h.Balancer = balancer
-	h.HandedBy = table.AgentNumber(e.self.Load())
+	h.ForwardedBy = table.AgentNumber(e.self.Load())
 	h.Hops++
 	h.Revision = max(h.Revision, v.steering.Revision)
 	out, err := v.steering.Envelopes.Append(r.out[:0], &h, packet)
--- a/internal/flow/tables_test.go
+++ b/internal/flow/tables_test.go
@@ -131,7 +131,7 @@
 	r := standard(t, 1, target)
 	set, err := keys.NewKeySet(1, rand.Reader)
 	r.is.NoErr(err)
-	ring, err := envelope.NewRing([]table.KeySet{set})
+	ring, err := envelope.NewKeyRing([]table.KeySet{set})
 	r.is.NoErr(err)
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 	r.is.NoErr(err)
--- a/internal/flow/watch.go
+++ b/internal/flow/watch.go
@@ -31,7 +31,7 @@
 	if v == nil {
 		return
 	}
-	m := v.steering.Reshare(now)
+	m := v.steering.UpdateShares(now)
 	if m == v.steering {
 		return
 	}
@@ -52,7 +52,7 @@
 		return true
 	}
 	// Signed as the probe was, which its sender can read.
-	answer := envelope.Header{Kind: envelope.Alive, Generation: h.Generation, Service: v.service.ID, Agent: self}
+	answer := envelope.Header{Kind: envelope.ProbeReply, Generation: h.Generation, Service: v.service.ID, Agent: self}
 	e.sendSign(v, answer, from)
 	return true
 }
--- a/internal/idempotency/idempotency.go
+++ b/internal/idempotency/idempotency.go
@@ -81,9 +81,9 @@
 	// members' join times, and for the duration of the claim itself.
 	clockSkew = 90 * time.Second
 
-	// RowsKept is how much longer than a key's window control must keep retired members
+	// RetiredRetention is how much longer than a key's window control must keep retired members
 	// in the table.
-	RowsKept = MaxTableAge + MaxClaimAge + clockSkew
+	RetiredRetention = MaxTableAge + MaxClaimAge + clockSkew
 )
 
 // Lookback returns how long a join affects claims and how long a voter keeps a record,
@@ -92,7 +92,7 @@
 	if window <= 0 {
 		window = DefaultWindow
 	}
-	return window + RowsKept
+	return window + RetiredRetention
 }
 
 // Member is one agent of a service as listed in the table.
--- a/internal/idempotency/model_test.go
+++ b/internal/idempotency/model_test.go
@@ -248,7 +248,7 @@
 			r.retiredMS = 0
 		}
 	}
-	kept := modelWindowMS + RowsKept.Milliseconds()
+	kept := modelWindowMS + RetiredRetention.Milliseconds()
 	if m.fault == membersDroppedEarly {
 		kept = 0
 	}
--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -40,12 +40,13 @@
 	StaleBound time.Duration
 	// RetryAfter is the delay after a failed report.
 	RetryAfter time.Duration
-	// HoldFrom is the penalty from which on announcements are delayed, HoldBase the first
-	// delay, HoldCap the longest, and HalfLife the time in which a penalty halves.
-	HoldFrom float64
-	HoldBase time.Duration
-	HoldCap  time.Duration
-	HalfLife time.Duration
+	// DampingThreshold is the penalty from which on announcements are delayed,
+	// DampingBaseDelay the first delay, DampingMaxDelay the longest, and HalfLife the time
+	// in which a penalty halves.
+	DampingThreshold float64
+	DampingBaseDelay time.Duration
+	DampingMaxDelay  time.Duration
+	HalfLife         time.Duration
 }
 
 // DefaultConfig returns the default thresholds.
@@ -70,10 +71,10 @@
 		StaleBound: 2 * time.Second,
 		RetryAfter: 500 * time.Millisecond,
 		// A rolling restart restarts a process once or twice a minute.
-		HoldFrom: 3,
-		HoldBase: 2 * time.Second,
-		HoldCap:  time.Minute,
-		HalfLife: time.Minute,
+		DampingThreshold: 3,
+		DampingBaseDelay: 2 * time.Second,
+		DampingMaxDelay:  time.Minute,
+		HalfLife:         time.Minute,
 	}
 }
 
@@ -134,9 +135,9 @@
 	return t.announcementDelay(s, now)
 }
 
-// Lost records the end of the stream of the given announcement. It has no effect if a
+// StreamEnded records the end of the stream of the given announcement. It has no effect if a
 // newer announcement has replaced that one.
-func (t *Tracker[K]) Lost(k K, at Attachment, now time.Time) {
+func (t *Tracker[K]) StreamEnded(k K, at Attachment, now time.Time) {
 	s, ok := t.subscribers[k]
 	if !ok || !s.attached || s.at != at {
 		return
@@ -249,14 +250,14 @@
 
 // announcementDelay returns the delay of announcements at a subscriber's penalty.
 func (t *Tracker[K]) announcementDelay(s *subscriber, now time.Time) time.Duration {
-	excess := t.currentPenalty(s, now) - t.cfg.HoldFrom
+	excess := t.currentPenalty(s, now) - t.cfg.DampingThreshold
 	// Because of the decay, three ends in quick succession add up to a little less than
 	// three.
 	if excess < -0.5 {
 		return 0
 	}
-	wait := float64(t.cfg.HoldBase) * math.Exp2(math.Round(excess))
-	return min(time.Duration(wait), t.cfg.HoldCap)
+	wait := float64(t.cfg.DampingBaseDelay) * math.Exp2(math.Round(excess))
+	return min(time.Duration(wait), t.cfg.DampingMaxDelay)
 }
 
 func (t *Tracker[K]) currentPenalty(s *subscriber, now time.Time) float64 {
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -33,7 +33,7 @@
 func TestFailedSubscriberIsReportedOnce(t *testing.T) {
 	is := is.New(t)
 	b := newClockedTracker(20)
-	b.Lost(7, Attachment{1, 1}, b.now)
+	b.StreamEnded(7, Attachment{1, 1}, b.now)
 	is.Equal(len(b.advance(900*time.Millisecond, 0)), 0)
 	due := b.advance(200*time.Millisecond, 0)
 	is.Equal(due, []Report[int]{{Subject: 7, Attachment: Attachment{1, 1}}})
@@ -49,10 +49,10 @@
 func TestReconnectWithinGraceIsNotReported(t *testing.T) {
 	is := is.New(t)
 	b := newClockedTracker(20)
-	b.Lost(7, Attachment{1, 1}, b.now)
+	b.StreamEnded(7, Attachment{1, 1}, b.now)
 	b.now = b.now.Add(500 * time.Millisecond)
 	b.Attached(7, Attachment{1, 2}, b.now)
-	b.Lost(7, Attachment{1, 1}, b.now)
+	b.StreamEnded(7, Attachment{1, 1}, b.now)
 	is.Equal(len(b.advance(time.Minute, 0)), 0)
 }
 
@@ -62,7 +62,7 @@
 func TestIsolatedVMReportsNothing(t *testing.T) {
 	is := is.New(t)
 	b := newClockedTracker(20)
-	b.Lost(7, Attachment{1, 1}, b.now)
+	b.StreamEnded(7, Attachment{1, 1}, b.now)
 	for range 100 {
 		is.Equal(len(b.advance(100*time.Millisecond, 10*time.Second)), 0)
 	}
@@ -78,7 +78,7 @@
 	is := is.New(t)
 	b := newClockedTracker(20)
 	for k := range 20 {
-		b.Lost(k, Attachment{1, 1}, b.now)
+		b.StreamEnded(k, Attachment{1, 1}, b.now)
 	}
 	is.Equal(len(b.advance(3*time.Second, 0)), 0)
 	for k := range 18 {
@@ -87,8 +87,8 @@
 	is.Equal(len(b.advance(2500*time.Millisecond, 0)), 2)
 
 	small := newClockedTracker(10)
-	small.Lost(1, Attachment{1, 1}, small.now)
-	small.Lost(2, Attachment{1, 1}, small.now)
+	small.StreamEnded(1, Attachment{1, 1}, small.now)
+	small.StreamEnded(2, Attachment{1, 1}, small.now)
 	is.Equal(len(small.advance(1100*time.Millisecond, 0)), 2) // two of ten are no mass disconnect
 }
 
@@ -101,7 +101,7 @@
 	b := newClockedTracker(20)
 	var delays []time.Duration
 	for i := range 12 {
-		b.Lost(7, Attachment{1, uint64(i + 1)}, b.now)
+		b.StreamEnded(7, Attachment{1, uint64(i + 1)}, b.now)
 		b.now = b.now.Add(500 * time.Millisecond)
 		delays = append(delays, b.Attached(7, Attachment{1, uint64(i + 2)}, b.now))
 	}
@@ -112,7 +112,7 @@
 	}
 	is.Equal(delays[11], time.Minute)
 
-	b.Lost(7, Attachment{1, 13}, b.now)
+	b.StreamEnded(7, Attachment{1, 13}, b.now)
 	b.now = b.now.Add(10 * time.Minute)
 	is.Equal(b.Attached(7, Attachment{1, 14}, b.now), time.Duration(0))
 }
@@ -137,7 +137,7 @@
 	b := newClockedTracker(10)
 	for k := 1000; k < 3000; k++ {
 		b.Attached(k, Attachment{1, 1}, b.now)
-		b.Lost(k, Attachment{1, 1}, b.now)
+		b.StreamEnded(k, Attachment{1, 1}, b.now)
 		b.advance(time.Minute, 0)
 	}
 	is.True(len(b.subscribers) < 20)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -31,9 +31,9 @@
 const (
 	// Draws is how many peers are asked at once; see docs/PLACEMENT.md.
 	Draws = 2
-	// From is the part of its slots at which a host begins to look for a peer
+	// ProbeThreshold is the part of its slots at which a host begins to look for a peer
 	// with less to do; see docs/PLACEMENT.md.
-	From = 0.5
+	ProbeThreshold = 0.5
 )
 
 // Peer is another agent that may get work.
@@ -97,12 +97,12 @@
 	return len(peers) - 1
 }
 
-// LookAround tells whether a host with this load asks peers about a new request,
+// ShouldProbe tells whether a host with this load asks peers about a new request,
 // though it may have a slot free.
-func LookAround(home Load) bool { return LookAroundFrom(home, From) }
+func ShouldProbe(home Load) bool { return ShouldProbeFrom(home, ProbeThreshold) }
 
-// LookAroundFrom is LookAround from another part of the slots, for experiments.
-func LookAroundFrom(home Load, from float64) bool {
+// ShouldProbeFrom is ShouldProbe from another part of the slots, for experiments.
+func ShouldProbeFrom(home Load, from float64) bool {
 	return !home.Room() || float64(home.Running) >= from*float64(home.Slots)
 }
 
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -33,9 +33,9 @@
 func TestBurstMovesOnlyToBetterPeers(t *testing.T) {
 	is := is.New(t)
 	work := 50 * time.Millisecond
-	is.True(!LookAround(Load{Slots: 7, Running: 3}))
-	is.True(LookAround(Load{Slots: 7, Running: 4}))
-	is.True(LookAround(Load{Slots: 7, Running: 1, Waiting: 1}))
+	is.True(!ShouldProbe(Load{Slots: 7, Running: 3}))
+	is.True(ShouldProbe(Load{Slots: 7, Running: 4}))
+	is.True(ShouldProbe(Load{Slots: 7, Running: 1, Waiting: 1}))
 	home := Load{Slots: 7, Running: 5, Hold: work}
 	idle, busy := Load{Slots: 7, Hold: work}, Load{Slots: 7, Running: 5, Hold: work}
 	is.Equal(Best(home, []Load{busy, idle}), 1)
--- a/internal/proxy/admitter.go
+++ b/internal/proxy/admitter.go
@@ -38,11 +38,11 @@
 	if verdict.Displaced != 0 {
 		a.notify(verdict.Displaced, a.newRefusal(admission.Displaced))
 	}
-	switch verdict.Answer {
-	case admission.Enter:
+	switch verdict.Decision {
+	case admission.Admit:
 		a.mu.Unlock()
 		return p, nil
-	case admission.TurnAway:
+	case admission.Reject:
 		refusal := a.newRefusal(verdict.Reason)
 		a.mu.Unlock()
 		return nil, refusal
@@ -72,7 +72,7 @@
 // newRefusal builds the refusal for an admission decision. The caller must hold the lock.
 func (a *admitter) newRefusal(reason admission.Reason) *Refusal {
 	load := a.queue.Load()
-	after := load.Hold * time.Duration(load.Waiting+1) / time.Duration(max(load.Slots, 1))
+	after := load.MeanSlotTime * time.Duration(load.Waiting+1) / time.Duration(max(load.Slots, 1))
 	r := &Refusal{Reason: Reason(reason), Status: statusRefused, RetryAfter: after}
 	if reason == admission.Displaced {
 		r.Status = statusTooMany
@@ -95,7 +95,7 @@
 		a.notify(t, nil)
 	}
 	for _, t := range change.Drop {
-		a.notify(t, a.newRefusal(admission.TooLate))
+		a.notify(t, a.newRefusal(admission.DeadlineExceeded))
 	}
 }
 
@@ -124,7 +124,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.waiting, p.ticket)
-	a.applyChange(a.queue.Leave(a.now(), p.ticket))
+	a.applyChange(a.queue.Finish(a.now(), p.ticket))
 }
 
 // startStream releases the slot while the response continues as a stream.
@@ -132,5 +132,5 @@
 	a := p.admitter
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.applyChange(a.queue.Stream(a.now(), p.ticket))
+	a.applyChange(a.queue.StartStream(a.now(), p.ticket))
 }
--- a/internal/proxy/call.go
+++ b/internal/proxy/call.go
@@ -40,7 +40,7 @@
 	safe bool
 }
 
-func (x *Relay) newCall(r *http.Request) *call {
+func (x *Proxy) newCall(r *http.Request) *call {
 	c := &call{request: r, clock: x.cfg.Clock, safe: safeMethod(r.Method)}
 	c.credential, c.caller = identify(r)
 	if r.Body == nil {
--- a/internal/proxy/cluster_test.go
+++ b/internal/proxy/cluster_test.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	cfg := Config{Service: "desk", Host: name, Target: tg.Address(), Peer: "127.0.0.1:0", Limits: limits}
+	cfg := Config{Service: "desk", Host: name, Target: tg.Address(), PeerListenAddress: "127.0.0.1:0", Limits: limits}
 	if c.configure != nil {
 		c.configure(&cfg)
 	}
@@ -94,8 +94,8 @@
 		if h.stopped {
 			continue
 		}
-		h.proxy.SetAgent(h.number)
-		h.proxy.Apply(&copied)
+		h.proxy.SetAgentNumber(h.number)
+		h.proxy.ApplyTable(&copied)
 	}
 }
 
--- a/internal/proxy/health.go
+++ b/internal/proxy/health.go
@@ -25,27 +25,27 @@
 // targetHealth guards the target's health state.
 type targetHealth struct {
 	mu        sync.Mutex
-	state     admission.Condition
+	state     admission.TargetHealth
 	unhealthy bool // as last logged
 	// contradicted is set while the health endpoint and the outcome of requests disagree.
 	contradicted bool
 }
 
 // recordOutcome records whether the target responded to a request.
-func (x *Relay) recordOutcome(responded bool) {
+func (x *Proxy) recordOutcome(responded bool) {
 	x.health.mu.Lock()
 	defer x.health.mu.Unlock()
 	if responded {
-		x.health.state.Answered(x.now())
+		x.health.state.RecordSuccess(x.now())
 	} else {
-		x.health.state.Failed(x.now())
+		x.health.state.RecordFailure(x.now())
 	}
 	x.logHealthChange()
 }
 
 // logHealthChange logs a change of the target's health. The caller must hold the lock.
-func (x *Relay) logHealthChange() {
-	unhealthy := x.health.state.Ill(x.now())
+func (x *Proxy) logHealthChange() {
+	unhealthy := x.health.state.Unhealthy(x.now())
 	if unhealthy == x.health.unhealthy {
 		return
 	}
@@ -57,30 +57,30 @@
 	}
 }
 
-func (x *Relay) unhealthy() bool {
+func (x *Proxy) unhealthy() bool {
 	x.health.mu.Lock()
 	defer x.health.mu.Unlock()
-	return x.health.state.Ill(x.now())
+	return x.health.state.Unhealthy(x.now())
 }
 
 // mayUseTarget tells whether the target may get this request: it is healthy, or the
 // request is one of its trials. Trials use repeatable requests, or any request if the
 // health endpoint reports the target as healthy.
-func (x *Relay) mayUseTarget(c *call) bool {
+func (x *Proxy) mayUseTarget(c *call) bool {
 	x.health.mu.Lock()
 	defer x.health.mu.Unlock()
 	now := x.now()
-	if !x.health.state.Ill(now) {
+	if !x.health.state.Unhealthy(now) {
 		return true
 	}
 	if !c.repeatable() && !x.endpointHealthy.Load() {
 		return false
 	}
-	return x.health.state.Trial(now)
+	return x.health.state.AllowTrial(now)
 }
 
 // watchHealth polls the health endpoint until ctx is done.
-func (x *Relay) watchHealth(ctx context.Context) {
+func (x *Proxy) watchHealth(ctx context.Context) {
 	tick := time.NewTicker(healthInterval)
 	defer tick.Stop()
 	for {
@@ -95,7 +95,7 @@
 
 // checkHealth queries the health endpoint and uses the result as a hint. A target without
 // such an endpoint gives no hint.
-func (x *Relay) checkHealth(ctx context.Context) {
+func (x *Proxy) checkHealth(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, healthTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+x.cfg.Target+healthPath, nil)
@@ -114,13 +114,13 @@
 
 // recordHealthCheck records a result of the health endpoint, and logs when it contradicts
 // the outcome of requests.
-func (x *Relay) recordHealthCheck(healthy bool) {
+func (x *Proxy) recordHealthCheck(healthy bool) {
 	x.endpointHealthy.Store(healthy)
 	x.health.mu.Lock()
 	defer x.health.mu.Unlock()
-	x.health.state.Hint(healthy)
+	x.health.state.RecordEndpoint(healthy)
 	x.logHealthChange()
-	contradicted := healthy == x.health.state.Ill(x.now())
+	contradicted := healthy == x.health.state.Unhealthy(x.now())
 	if contradicted && !x.health.contradicted {
 		events.Log(x.log, events.HealthContradicts, logrus.Fields{"endpoint_well": healthy})
 	}
@@ -143,7 +143,7 @@
 
 // logRepeated logs an ongoing problem at most once every repeatLogInterval: a line for
 // each affected request would flood the log.
-func (x *Relay) logRepeated(e events.Event) {
+func (x *Proxy) logRepeated(e events.Event) {
 	x.repeatLog.mu.Lock()
 	defer x.repeatLog.mu.Unlock()
 	now := x.now()
--- a/internal/proxy/host_test.go
+++ b/internal/proxy/host_test.go
@@ -20,7 +20,7 @@
 type testHost struct {
 	t      testing.TB
 	target *target.Target
-	proxy  *Relay
+	proxy  *Proxy
 	server *httptest.Server
 	client *http.Client
 }
@@ -40,7 +40,7 @@
 	return r
 }
 
-func newTestProxy(t testing.TB, cfg Config) *Relay {
+func newTestProxy(t testing.TB, cfg Config) *Proxy {
 	t.Helper()
 	cfg.Metrics = metrics.New()
 	x, err := New(cfg)
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -55,7 +55,7 @@
 
 // runKeyed runs a request with an idempotency key at this agent's target once its claim
 // has won.
-func (x *Relay) runKeyed(c *call) result {
+func (x *Proxy) runKeyed(c *call) result {
 	if r, ok := x.bufferBody(c); !ok {
 		return r
 	}
@@ -70,7 +70,7 @@
 		res.released = x.releaseKey(k.claim)
 	case res.unknown != nil:
 		x.finishKey(k.claim, idempotency.NoAnswer, nil)
-	case res.resp.StatusCode == http.StatusServiceUnavailable && x.cfg.ShedUnrun:
+	case res.resp.StatusCode == http.StatusServiceUnavailable && x.cfg.ShedMeansNotRun:
 		res.released = x.releaseKey(k.claim)
 	default:
 		res.resp.Body = x.recordResponse(k.claim, res.resp)
@@ -81,7 +81,7 @@
 // runClaimed waits for a slot and forwards the request. From here on it doesn't end when
 // the caller disconnects: a caller that lost its connection resends the request and needs
 // the response.
-func (x *Relay) runClaimed(c *call, k *keyedClaim) result {
+func (x *Proxy) runClaimed(c *call, k *keyedClaim) result {
 	p, refusal := x.acquireSlot(c)
 	if refusal != nil {
 		return result{refusal: refusal, outcome: retry.NotRun}
@@ -112,7 +112,7 @@
 )
 
 // claimKey claims the request's key. Without a claim the result is final.
-func (x *Relay) claimKey(c *call) (*keyedClaim, result) {
+func (x *Proxy) claimKey(c *call) (*keyedClaim, result) {
 	for attempts := 1; ; attempts++ {
 		k, r := x.tryClaim(c)
 		noQuorum := k == nil && r.refusal != nil && r.refusal.Reason == ReasonKeyQuorum
@@ -125,7 +125,7 @@
 }
 
 // tryClaim makes one attempt to claim the request's key.
-func (x *Relay) tryClaim(c *call) (*keyedClaim, result) {
+func (x *Proxy) tryClaim(c *call) (*keyedClaim, result) {
 	t := x.table.Load()
 	if !idempotency.MayVote(t, x.self(), x.tableAge(), x.cfg.Clock().UnixMilli()) {
 		x.logRepeated(events.ClaimsStale)
@@ -150,7 +150,7 @@
 }
 
 // verdictResult returns the result for a claim that didn't win.
-func (x *Relay) verdictResult(v idempotency.Verdict, claim *idempotency.Claim) result {
+func (x *Proxy) verdictResult(v idempotency.Verdict, claim *idempotency.Claim) result {
 	switch v {
 	case idempotency.Completed:
 		if response := claim.Response(); response != nil {
@@ -176,7 +176,7 @@
 }
 
 func unknown(reason Reason, status int) result {
-	return result{unknown: &Unknown{Reason: reason, Status: status}, outcome: retry.Lost}
+	return result{unknown: &Unknown{Reason: reason, Status: status}, outcome: retry.NoAnswer}
 }
 
 // hash hashes a list of strings. Each is hashed by itself first, so that different lists
@@ -192,7 +192,7 @@
 
 // bufferBody reads the body of a request with an idempotency key into memory: the claim
 // needs its hash.
-func (x *Relay) bufferBody(c *call) (result, bool) {
+func (x *Proxy) bufferBody(c *call) (result, bool) {
 	if c.bufferedBody != nil {
 		return result{}, true
 	}
@@ -247,7 +247,7 @@
 
 // recordResponse returns the response's body; reading it to the end or closing it reports
 // the response to the voters.
-func (x *Relay) recordResponse(claim *idempotency.Claim, resp *http.Response) io.ReadCloser {
+func (x *Proxy) recordResponse(claim *idempotency.Claim, resp *http.Response) io.ReadCloser {
 	head := idempotency.Response{Status: resp.StatusCode}
 	header := http.Header{}
 	copyHeader(header, resp.Header)
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -15,7 +15,7 @@
 )
 
 // hasRecord tells whether this agent's voter has a record of the key.
-func (x *Relay) hasRecord(key string) bool {
+func (x *Proxy) hasRecord(key string) bool {
 	held := false
 	x.withVoter(func(v *idempotency.Voter, nowMS int64) {
 		held = v.HasRecord(idempotency.Key(hash(x.cfg.Service, key)))
--- a/internal/proxy/listen.go
+++ b/internal/proxy/listen.go
@@ -36,7 +36,7 @@
 
 // peerServer accepts frames and HTTP requests from other agents on one port.
 type peerServer struct {
-	proxy *Relay
+	proxy *Proxy
 	ln    net.Listener
 	http  *http.Server
 	conns chan net.Conn // HTTP connections, for http.Server
@@ -48,8 +48,8 @@
 }
 
 // listenPeers opens the listener for peers.
-func (x *Relay) listenPeers() (*peerServer, error) {
-	ln, err := net.Listen("tcp", x.cfg.Peer)
+func (x *Proxy) listenPeers() (*peerServer, error) {
+	ln, err := net.Listen("tcp", x.cfg.PeerListenAddress)
 	if err != nil {
 		return nil, errors.Wrap(err, "proxy: listen for peers")
 	}
@@ -190,7 +190,7 @@
 }
 
 // handleFrame handles one call of a peer and returns the reply.
-func (x *Relay) handleFrame(f framing.Frame) (framing.Kind, msgp.Marshaler, error) {
+func (x *Proxy) handleFrame(f framing.Frame) (framing.Kind, msgp.Marshaler, error) {
 	switch f.Kind {
 	case kindProbe:
 		return kindLoadReport, x.loadReport(), nil
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -18,7 +18,7 @@
 func (c counters) addN(name string, n int64) { c.set.Counter("requests." + name).Add(n) }
 
 // registerGauges exports the current load as gauges.
-func (x *Relay) registerGauges() {
+func (x *Proxy) registerGauges() {
 	set := x.cfg.Metrics
 	set.Gauge("requests.in_flight", x.inFlight.Load)
 	set.Gauge("requests.running", func() int64 { return int64(x.admitter.load().Running) })
--- a/internal/proxy/peer.go
+++ b/internal/proxy/peer.go
@@ -41,7 +41,7 @@
 
 // runAtPeer forwards the request to a peer. If the peer refuses it, another attempt is
 // possible: with "Expect: 100-continue" the body isn't sent before the peer has a slot.
-func (x *Relay) runAtPeer(c *call, peer table.Target) result {
+func (x *Proxy) runAtPeer(c *call, peer table.Target) result {
 	x.counters.add("peers.handed-over")
 	out := c.outgoingRequest(c.ctx, peer.Peer)
 	out.Header.Set(headerService, x.cfg.Service)
@@ -60,7 +60,7 @@
 		return result{refusal: x.notSentRefusal(c), outcome: retry.NotRun}
 	default:
 		x.counters.add("peers.lost")
-		return result{unknown: x.unknownOutcome(c, err), outcome: retry.Lost}
+		return result{unknown: x.unknownOutcome(c, err), outcome: retry.NoAnswer}
 	}
 }
 
@@ -80,7 +80,7 @@
 
 // servePeer serves a request that another agent forwarded. It either runs here or is
 // refused: if it were forwarded once more, requests could loop.
-func (x *Relay) servePeer(w http.ResponseWriter, r *http.Request) {
+func (x *Proxy) servePeer(w http.ResponseWriter, r *http.Request) {
 	x.inFlight.Add(1)
 	defer x.inFlight.Add(-1)
 	x.counters.add("peers.taken")
--- a/internal/proxy/peer_test.go
+++ b/internal/proxy/peer_test.go
@@ -179,7 +179,7 @@
 
 // Guards against a second run after a target responds 503. A download is retried
 // elsewhere. A submission isn't, since a 503 doesn't say how much of it ran, unless the
-// operator has set ShedUnrun.
+// operator has set ShedMeansNotRun.
 func TestShedAnswers(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 2, target.Faults{}, Limits{Slots: 4})
@@ -192,7 +192,7 @@
 	is.Equal(got.notRun(), "") // a target received it
 	is.Equal(c.seen("s"), 1)
 
-	h.proxy.cfg.ShedUnrun = true
+	h.proxy.cfg.ShedMeansNotRun = true
 	got = h.submitKeyed("k", "note")
 	is.Equal(got.header.Get(target.HostHeader), "h2")
 	is.Equal(c.runs("k"), 1)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -32,15 +32,15 @@
 	Host    string
 	// Target is the target's TCP address, "ip:port".
 	Target string
-	// Peer is the TCP address to listen on for other agents, "ip:port".
-	Peer string
+	// PeerListenAddress is the TCP address to listen on for other agents, "ip:port".
+	PeerListenAddress string
 	// TLS secures connections between agents; nil means plain TCP.
 	TLS    *PeerTLS
 	Limits Limits
-	// ShedUnrun is set by the operator to declare that the target hasn't run a request
+	// ShedMeansNotRun is set by the operator to declare that the target hasn't run a request
 	// that it answers with 503. Such requests are then retried at other targets, whatever
 	// their method.
-	ShedUnrun bool
+	ShedMeansNotRun bool
 	// TableAge returns the time since control last confirmed the table; nil means that
 	// the table always counts as fresh.
 	TableAge func() time.Duration
@@ -117,8 +117,8 @@
 // ErrConfig is returned by New for an incomplete configuration.
 var ErrConfig = errors.New("proxy: invalid configuration")
 
-// Relay is one agent's HTTP proxy between callers, the agent's target and its peers.
-type Relay struct {
+// Proxy is one agent's HTTP proxy between callers, the agent's target and its peers.
+type Proxy struct {
 	cfg       Config
 	log       logrus.FieldLogger
 	startTime time.Time
@@ -151,7 +151,7 @@
 
 // New returns a proxy that accepts callers' requests at once. Peers can reach it once Run
 // is called.
-func New(cfg Config) (*Relay, error) {
+func New(cfg Config) (*Proxy, error) {
 	if cfg.Service == "" || cfg.Host == "" || cfg.Target == "" {
 		return nil, errors.Wrap(ErrConfig, "service, host and target must be set")
 	}
@@ -165,7 +165,7 @@
 		cfg.Metrics = metrics.New()
 	}
 	cfg.Limits = cfg.Limits.withDefaults()
-	x := &Relay{
+	x := &Proxy{
 		cfg:       cfg,
 		log:       cfg.Log,
 		startTime: cfg.Clock(),
@@ -173,9 +173,9 @@
 		budget:    retry.NewBudget(0),
 	}
 	x.admitter = newAdmitter(x.now, admission.Config{
-		Slots:       cfg.Limits.Slots,
-		Connections: cfg.Limits.Connections,
-		Queue:       cfg.Limits.Queue,
+		Slots:           cfg.Limits.Slots,
+		ConnectionLimit: cfg.Limits.Connections,
+		QueueLimit:      cfg.Limits.Queue,
 	})
 	x.target = newTargetClient(cfg.Target, cfg.Limits)
 	x.frames = newFrameClient(cfg.Service, cfg.TLS)
@@ -185,19 +185,19 @@
 }
 
 // now returns the time since the proxy was created, as the decision packages expect it.
-func (x *Relay) now() time.Duration { return x.cfg.Clock().Sub(x.startTime) }
+func (x *Proxy) now() time.Duration { return x.cfg.Clock().Sub(x.startTime) }
 
-// SetAgent sets the number that control assigned to this agent's incarnation.
-func (x *Relay) SetAgent(n table.AgentNumber) {
+// SetAgentNumber sets the number that control assigned to this agent's incarnation.
+func (x *Proxy) SetAgentNumber(n table.AgentNumber) {
 	x.agent.Store(uint32(n))
 	x.reconfigure()
 }
 
-func (x *Relay) self() table.AgentNumber { return table.AgentNumber(x.agent.Load()) }
+func (x *Proxy) self() table.AgentNumber { return table.AgentNumber(x.agent.Load()) }
 
-// Apply puts a table into effect for requests from now on. A table with a lower revision
+// ApplyTable puts a table into effect for requests from now on. A table with a lower revision
 // than the current one is ignored.
-func (x *Relay) Apply(t *table.Table) {
+func (x *Proxy) ApplyTable(t *table.Table) {
 	old := x.table.Load()
 	if t == nil || (old != nil && t.Revision < old.Revision) {
 		return
@@ -207,18 +207,18 @@
 }
 
 // reconfigure applies the table's limits for this host and service.
-func (x *Relay) reconfigure() {
+func (x *Proxy) reconfigure() {
 	t := x.table.Load()
 	if t == nil {
 		return
 	}
-	cfg := admission.Config{Slots: x.cfg.Limits.Slots, Connections: x.cfg.Limits.Connections, Queue: x.cfg.Limits.Queue}
+	cfg := admission.Config{Slots: x.cfg.Limits.Slots, ConnectionLimit: x.cfg.Limits.Connections, QueueLimit: x.cfg.Limits.Queue}
 	if own, ok := t.Target(x.self()); ok {
 		cfg.Slots = orDefault(own.Slots, cfg.Slots)
-		cfg.Connections = orDefault(own.Connections, cfg.Connections)
+		cfg.ConnectionLimit = orDefault(own.Connections, cfg.ConnectionLimit)
 	}
 	if s, ok := t.ServiceNamed(x.cfg.Service); ok {
-		cfg.Queue = orDefault(s.QueueLimit, cfg.Queue)
+		cfg.QueueLimit = orDefault(s.QueueLimit, cfg.QueueLimit)
 		x.budgetMu.Lock()
 		x.budget.SetPercent(s.RetryPercent)
 		x.budgetMu.Unlock()
@@ -235,11 +235,11 @@
 
 // Drain sends new requests to other agents from now on. Running and waiting requests
 // continue.
-func (x *Relay) Drain() { x.draining.Store(true) }
+func (x *Proxy) Drain() { x.draining.Store(true) }
 
 // isDraining tells whether this host takes no new requests, because of Drain or its state
 // in the table.
-func (x *Relay) isDraining() bool {
+func (x *Proxy) isDraining() bool {
 	if x.draining.Load() {
 		return true
 	}
@@ -253,4 +253,4 @@
 
 // InFlight returns the number of requests that wait, run or stream here, including those
 // forwarded by other agents.
-func (x *Relay) InFlight() int { return int(x.inFlight.Load()) }
+func (x *Proxy) InFlight() int { return int(x.inFlight.Load()) }
--- a/internal/proxy/route.go
+++ b/internal/proxy/route.go
@@ -34,7 +34,7 @@
 }
 
 // run makes attempts until one of them has a final result.
-func (x *Relay) run(c *call) result {
+func (x *Proxy) run(c *call) result {
 	x.recordRequest()
 	var tried []table.AgentNumber
 	next, ok := x.route(c, nil)
@@ -59,7 +59,7 @@
 	}
 }
 
-func (x *Relay) attempt(c *call, r route, tried *[]table.AgentNumber) result {
+func (x *Proxy) attempt(c *call, r route, tried *[]table.AgentNumber) result {
 	c.newAttemptBody()
 	if r.here {
 		*tried = append(*tried, x.self())
@@ -71,20 +71,20 @@
 
 // shouldRetry asks the retry budget for another attempt, and counts the reason if it is
 // refused.
-func (x *Relay) shouldRetry(c *call, res result, attempts int) bool {
+func (x *Proxy) shouldRetry(c *call, res result, attempts int) bool {
 	a := retry.Attempt{
-		Outcome:    res.outcome,
-		Repeatable: c.repeatable() || (res.outcome == retry.Shed && x.cfg.ShedUnrun),
-		Made:       attempts,
-		Deadline:   x.deadlineSinceStart(c),
-		Need:       x.admitter.load().Hold,
+		Outcome:         res.outcome,
+		Repeatable:      c.repeatable() || (res.outcome == retry.Shed && x.cfg.ShedMeansNotRun),
+		Attempts:        attempts,
+		Deadline:        x.deadlineSinceStart(c),
+		TypicalDuration: x.admitter.load().MeanSlotTime,
 	}
 	if !c.resendable() {
 		x.counters.add("retries.refused.body-sent")
 		return false
 	}
 	x.budgetMu.Lock()
-	reason, ok := x.budget.Again(x.now(), a)
+	reason, ok := x.budget.TakeRetry(x.now(), a)
 	x.budgetMu.Unlock()
 	if !ok {
 		x.counters.add("retries.refused." + string(reason))
@@ -92,19 +92,19 @@
 	return ok
 }
 
-func (x *Relay) recordRequest() {
+func (x *Proxy) recordRequest() {
 	x.budgetMu.Lock()
 	defer x.budgetMu.Unlock()
-	x.budget.Fresh(x.now())
+	x.budget.RecordRequest(x.now())
 }
 
 // route chooses where the next attempt goes: here if there is room; else a peer that is
 // likely to respond sooner; else here to wait; else any peer that takes requests.
-func (x *Relay) route(c *call, tried []table.AgentNumber) (route, bool) {
+func (x *Proxy) route(c *call, tried []table.AgentNumber) (route, bool) {
 	here := !x.isDraining() && !slices.Contains(tried, x.self())
 	own := x.load()
 	own.Closed = !here || !x.mayUseTarget(c)
-	if own.Room() && (c.isFeed() || !placement.LookAround(own)) {
+	if own.Room() && (c.isFeed() || !placement.ShouldProbe(own)) {
 		return route{here: true}, true
 	}
 	peers := x.peers()
@@ -128,7 +128,7 @@
 }
 
 // peers returns the other agents of the service that may get new requests.
-func (x *Relay) peers() []placement.Peer {
+func (x *Proxy) peers() []placement.Peer {
 	t := x.table.Load()
 	if t == nil {
 		return nil
@@ -149,7 +149,7 @@
 
 // probe asks a few peers for their load, near ones first, and returns the best one that
 // has room and is better than this host.
-func (x *Relay) probe(ctx context.Context, own placement.Load, peers []placement.Peer, tried []table.AgentNumber) (table.Target, bool) {
+func (x *Proxy) probe(ctx context.Context, own placement.Load, peers []placement.Peer, tried []table.AgentNumber) (table.Target, bool) {
 	t := x.table.Load()
 	for round := range maxProbeRounds {
 		drawn := placement.Draw(x.newRNG(), peers, round == 0, tried)
@@ -163,7 +163,7 @@
 
 // probeLoads probes peers concurrently. A peer that doesn't answer in time counts as
 // closed.
-func (x *Relay) probeLoads(ctx context.Context, t *table.Table, peers []placement.Peer) []placement.Load {
+func (x *Proxy) probeLoads(ctx context.Context, t *table.Table, peers []placement.Peer) []placement.Load {
 	loads := make([]placement.Load, len(peers))
 	var wait sync.WaitGroup
 	for i, p := range peers {
@@ -175,7 +175,7 @@
 
 // probeLoad probes one peer. The call continues after the timeout, so that a connection
 // that is slow to open is ready for the next probe.
-func (x *Relay) probeLoad(ctx context.Context, t *table.Table, peer table.AgentNumber) placement.Load {
+func (x *Proxy) probeLoad(ctx context.Context, t *table.Table, peer table.AgentNumber) placement.Load {
 	x.counters.add("peers.probes")
 	reply := make(chan placement.Load, 1)
 	go func() {
@@ -231,12 +231,12 @@
 }
 
 // load returns this host's load according to its agent.
-func (x *Relay) load() placement.Load {
+func (x *Proxy) load() placement.Load {
 	l := x.admitter.load()
-	return placement.Load{Slots: l.Slots, Running: l.Running, Waiting: l.Waiting, Hold: l.Hold}
+	return placement.Load{Slots: l.Slots, Running: l.Running, Waiting: l.Waiting, Hold: l.MeanSlotTime}
 }
 
-func (x *Relay) loadReport() *LoadReport {
+func (x *Proxy) loadReport() *LoadReport {
 	l := x.load()
 	return &LoadReport{
 		Slots: l.Slots, Running: l.Running, Waiting: l.Waiting,
@@ -247,7 +247,7 @@
 // anyPeer returns a random peer, near ones first, regardless of its load. It is used if
 // this host can't run the request and no peer has room: the request then waits at the
 // peer.
-func (x *Relay) anyPeer(peers []placement.Peer, tried []table.AgentNumber) (table.Target, bool) {
+func (x *Proxy) anyPeer(peers []placement.Peer, tried []table.AgentNumber) (table.Target, bool) {
 	t := x.table.Load()
 	for _, near := range []bool{true, false} {
 		if drawn := placement.Draw(x.newRNG(), peers, near, tried); len(drawn) > 0 {
@@ -258,7 +258,7 @@
 }
 
 // newRNG returns a random number generator for one decision.
-func (x *Relay) newRNG() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
+func (x *Proxy) newRNG() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
 // responseResult returns the result for a target's response. A 503 may be retried
 // elsewhere.
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -11,7 +11,7 @@
 // Run serves other agents until ctx is done, then hands this agent's idempotency records
 // over to them and returns. The caller first calls Drain, and cancels ctx when InFlight
 // is 0.
-func (x *Relay) Run(ctx context.Context) error {
+func (x *Proxy) Run(ctx context.Context) error {
 	server, err := x.listenPeers()
 	if err != nil {
 		return err
@@ -34,12 +34,12 @@
 }
 
 // PeerAddress returns the address that Run listens on, or "" before Run.
-func (x *Relay) PeerAddress() string {
+func (x *Proxy) PeerAddress() string {
 	address, _ := x.peerAddress.Load().(string)
 	return address
 }
 
-func (x *Relay) sweepRecords(ctx context.Context) {
+func (x *Proxy) sweepRecords(ctx context.Context) {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -54,7 +54,7 @@
 }
 
 // ServeHTTP serves a caller's request.
-func (x *Relay) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (x *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	x.inFlight.Add(1)
 	defer x.inFlight.Add(-1)
 	x.counters.add("taken")
@@ -64,7 +64,7 @@
 }
 
 // writeResult sends the result to the caller.
-func (x *Relay) writeResult(w http.ResponseWriter, c *call, r result) {
+func (x *Proxy) writeResult(w http.ResponseWriter, c *call, r result) {
 	defer r.close()
 	switch {
 	case r.refusal != nil:
@@ -83,7 +83,7 @@
 
 // sendResponse forwards a target's response to the caller. If the response breaks off,
 // the caller's connection is aborted, so that the caller can't take it for complete.
-func (x *Relay) sendResponse(w http.ResponseWriter, c *call, r result) {
+func (x *Proxy) sendResponse(w http.ResponseWriter, c *call, r result) {
 	if r.permit != nil {
 		stop := x.scheduleSlotRelease(r)
 		defer stop()
@@ -106,7 +106,7 @@
 // scheduleSlotRelease releases the slot once the rest of the response is only streamed.
 // Otherwise a feed would hold its slot for hours, and a few open feeds would block the
 // whole host.
-func (x *Relay) scheduleSlotRelease(r result) (stop func()) {
+func (x *Proxy) scheduleSlotRelease(r result) (stop func()) {
 	mediaType, _, _ := mime.ParseMediaType(r.resp.Header.Get("Content-Type"))
 	if mediaType == eventStream {
 		r.permit.startStream()
@@ -117,7 +117,7 @@
 }
 
 // runHere runs the request at this agent's target.
-func (x *Relay) runHere(c *call) result {
+func (x *Proxy) runHere(c *call) result {
 	if c.isKeyed() {
 		return x.runKeyed(c)
 	}
@@ -129,14 +129,14 @@
 }
 
 // acquireSlot waits for a slot.
-func (x *Relay) acquireSlot(c *call) (*permit, *Refusal) {
+func (x *Proxy) acquireSlot(c *call) (*permit, *Refusal) {
 	ctx, cancel := context.WithTimeout(c.ctx, x.cfg.Limits.QueueTimeout)
 	defer cancel()
 	return x.admitter.admit(ctx, c.caller, x.deadlineSinceStart(c))
 }
 
 // forward sends the request to the target, and releases the slot if no response arrives.
-func (x *Relay) forward(ctx context.Context, c *call, p *permit) result {
+func (x *Proxy) forward(ctx context.Context, c *call, p *permit) result {
 	if c.bufferedBody != nil {
 		c.newAttemptBody() // the body was buffered after the attempt began
 	}
@@ -159,11 +159,11 @@
 	if !status.Sent {
 		return result{refusal: x.notSentRefusal(c), outcome: retry.NotRun}
 	}
-	return result{unknown: x.unknownOutcome(c, err), outcome: retry.Lost}
+	return result{unknown: x.unknownOutcome(c, err), outcome: retry.NoAnswer}
 }
 
 // deadlineSinceStart returns the caller's deadline as a time since startTime, 0 for none.
-func (x *Relay) deadlineSinceStart(c *call) time.Duration {
+func (x *Proxy) deadlineSinceStart(c *call) time.Duration {
 	if c.deadline.IsZero() {
 		return 0
 	}
@@ -171,7 +171,7 @@
 }
 
 // notSentRefusal returns the refusal for a request that couldn't be sent.
-func (x *Relay) notSentRefusal(c *call) *Refusal {
+func (x *Proxy) notSentRefusal(c *call) *Refusal {
 	reason := ReasonUnreachable
 	switch {
 	case errors.Is(c.ctx.Err(), context.DeadlineExceeded):
@@ -183,7 +183,7 @@
 }
 
 // unknownOutcome returns why a request that was sent got no response.
-func (x *Relay) unknownOutcome(c *call, err error) *Unknown {
+func (x *Proxy) unknownOutcome(c *call, err error) *Unknown {
 	switch {
 	case errors.Is(c.ctx.Err(), context.DeadlineExceeded):
 		return &Unknown{Reason: ReasonDeadline, Status: http.StatusGatewayTimeout}
--- a/internal/proxy/votes.go
+++ b/internal/proxy/votes.go
@@ -30,7 +30,7 @@
 
 // withVoter calls step with the voter locked. It does nothing before the agent has its
 // number.
-func (x *Relay) withVoter(step func(v *idempotency.Voter, nowMS int64)) {
+func (x *Proxy) withVoter(step func(v *idempotency.Voter, nowMS int64)) {
 	x.voter.mu.Lock()
 	defer x.voter.mu.Unlock()
 	if x.voter.voter != nil {
@@ -40,7 +40,7 @@
 
 // updateVoter starts a voter without records if the agent has a new number, and sets the
 // lookback.
-func (x *Relay) updateVoter(lookback time.Duration) {
+func (x *Proxy) updateVoter(lookback time.Duration) {
 	x.voter.mu.Lock()
 	defer x.voter.mu.Unlock()
 	agent := x.self()
@@ -55,7 +55,7 @@
 }
 
 // keyWindow returns how long this service's keys are valid.
-func (x *Relay) keyWindow() time.Duration {
+func (x *Proxy) keyWindow() time.Duration {
 	if t := x.table.Load(); t != nil {
 		if s, ok := t.ServiceNamed(x.cfg.Service); ok && s.KeyWindowMS > 0 {
 			return time.Duration(s.KeyWindowMS) * time.Millisecond
@@ -65,7 +65,7 @@
 }
 
 // vote handles a claim's request.
-func (x *Relay) vote(r idempotency.Request) idempotency.Reply {
+func (x *Proxy) vote(r idempotency.Request) idempotency.Reply {
 	reply := idempotency.Reply{State: idempotency.Closed}
 	if !idempotency.MayVote(x.table.Load(), x.self(), x.tableAge(), x.cfg.Clock().UnixMilli()) {
 		x.counters.add("claims.vote-stale")
@@ -79,7 +79,7 @@
 	return reply
 }
 
-func (x *Relay) tableAge() time.Duration {
+func (x *Proxy) tableAge() time.Duration {
 	if x.cfg.TableAge == nil {
 		return 0
 	}
@@ -93,7 +93,7 @@
 }
 
 // runClaim asks voters until the claim is decided.
-func (x *Relay) runClaim(ctx context.Context, r idempotency.Request, t *table.Table, members []idempotency.Member) (*idempotency.Claim, idempotency.Verdict) {
+func (x *Proxy) runClaim(ctx context.Context, r idempotency.Request, t *table.Table, members []idempotency.Member) (*idempotency.Claim, idempotency.Verdict) {
 	lookback := idempotency.Lookback(x.keyWindow())
 	claim := idempotency.NewClaim(r, members, x.cfg.Clock().UnixMilli(), lookback.Milliseconds())
 	replies := make(chan voterReply, len(members))
@@ -112,7 +112,7 @@
 }
 
 // askVoter returns a voter's reply, nil if none arrives.
-func (x *Relay) askVoter(ctx context.Context, t *table.Table, n table.AgentNumber, r idempotency.Request) *idempotency.Reply {
+func (x *Proxy) askVoter(ctx context.Context, t *table.Table, n table.AgentNumber, r idempotency.Request) *idempotency.Reply {
 	if n == x.self() {
 		reply := x.vote(r)
 		return &reply
@@ -126,7 +126,7 @@
 }
 
 // callPeer sends one message to a peer and waits for its reply.
-func (x *Relay) callPeer(ctx context.Context, t *table.Table, n table.AgentNumber, kind framing.Kind, m msgp.Marshaler, reply msgp.Unmarshaler) error {
+func (x *Proxy) callPeer(ctx context.Context, t *table.Table, n table.AgentNumber, kind framing.Kind, m msgp.Marshaler, reply msgp.Unmarshaler) error {
 	to, ok := t.Target(n)
 	if !ok {
 		return errWrongPeer
@@ -139,7 +139,7 @@
 // notifyVoters tells all voters that were asked how a claim ended. It does so in the
 // background: callers don't wait for it. The returned channel is closed when each voter
 // has replied or couldn't be reached.
-func (x *Relay) notifyVoters(claim *idempotency.Claim, kind framing.Kind, m msgp.Marshaler, own func(*idempotency.Voter, int64)) <-chan struct{} {
+func (x *Proxy) notifyVoters(claim *idempotency.Claim, kind framing.Kind, m msgp.Marshaler, own func(*idempotency.Voter, int64)) <-chan struct{} {
 	t := x.table.Load()
 	var sent sync.WaitGroup
 	for _, n := range claim.Asked() {
@@ -161,13 +161,13 @@
 	return done
 }
 
-func (x *Relay) releaseKey(claim *idempotency.Claim) <-chan struct{} {
+func (x *Proxy) releaseKey(claim *idempotency.Claim) <-chan struct{} {
 	r := idempotency.Release{Key: claim.Request().Key, ID: claim.Request().ID}
 	return x.notifyVoters(claim, kindRelease, &r, func(v *idempotency.Voter, nowMS int64) { v.Release(nowMS, r) })
 }
 
 // finishKey reports the end of a claimed request to the voters, without waiting for them.
-func (x *Relay) finishKey(claim *idempotency.Claim, state idempotency.KeyState, response *idempotency.Response) {
+func (x *Proxy) finishKey(claim *idempotency.Claim, state idempotency.KeyState, response *idempotency.Response) {
 	f := idempotency.Finish{Request: claim.Request(), State: state, Response: response}
 	x.notifyVoters(claim, kindFinish, &f, func(v *idempotency.Voter, nowMS int64) { v.Finish(nowMS, f) })
 }
@@ -175,7 +175,7 @@
 // handOverRecords closes the voter and sends its records to the service's other agents.
 // Without it, keys of which two voters have shut down would be refused until the lookback
 // is over.
-func (x *Relay) handOverRecords() {
+func (x *Proxy) handOverRecords() {
 	t := x.table.Load()
 	if t == nil || x.self() == 0 {
 		return
@@ -193,7 +193,7 @@
 	events.Log(x.log, events.ClaimsHandedOver, logrus.Fields{"keys": len(h.Records)})
 }
 
-func (x *Relay) handOverToPeer(peer table.Target, h *idempotency.Handover) {
+func (x *Proxy) handOverToPeer(peer table.Target, h *idempotency.Handover) {
 	ctx, cancel := context.WithTimeout(context.Background(), handoverTimeout)
 	defer cancel()
 	var taken idempotency.HandoverReply
--- a/internal/reachability/inquiry.go
+++ b/internal/reachability/inquiry.go
@@ -14,16 +14,16 @@
 	// Tick. An inquirer that is short of processor time sends only a few probes in three
 	// seconds, and would otherwise give up agents that are alive.
 	silencesForDead = int(InquiryTimeout / Tick)
-	// GivenUp is how long a result is valid before the agent is checked again.
-	GivenUp = 5 * time.Second
+	// ResultTTL is how long a result is valid before the agent is checked again.
+	ResultTTL = 5 * time.Second
 )
 
-// Sign is the outcome of one probe.
-type Sign uint8
+// ProbeOutcome is the outcome of one probe.
+type ProbeOutcome uint8
 
 const (
 	// Silent: the probe got no answer in time.
-	Silent Sign = iota
+	Silent ProbeOutcome = iota
 	// Refused: the agent's VM answered that no process listens there.
 	Refused
 	// Alive: the agent answered the probe.
@@ -34,8 +34,8 @@
 type Result uint8
 
 const (
-	// Open: the inquiry is still in progress.
-	Open Result = iota
+	// Pending: the inquiry is still in progress.
+	Pending Result = iota
 	// Reachable: the agent answered, and packets can be forwarded to it.
 	Reachable
 	// Dead: the agent is gone, and its flows with it.
@@ -52,8 +52,8 @@
 // NewInquiry starts an inquiry.
 func NewInquiry(now time.Time) *Inquiry { return &Inquiry{startedAt: now} }
 
-// Note records the outcome of a probe and returns the state of the inquiry.
-func (q *Inquiry) Note(now time.Time, s Sign) Result {
+// Record records the outcome of a probe and returns the state of the inquiry.
+func (q *Inquiry) Record(now time.Time, s ProbeOutcome) Result {
 	switch s {
 	case Alive:
 		return Reachable
@@ -69,5 +69,5 @@
 	if q.silences >= silencesForDead && now.Sub(q.startedAt) >= InquiryTimeout {
 		return Dead
 	}
-	return Open
+	return Pending
 }
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -7,7 +7,7 @@
 // Silence alone proves nothing: what was sent may need no answer, or the answer may take
 // another path. So silence leads to probes, and only unanswered probes to the judgement.
 //
-// A balancer judges early (Record), as its judgement only moves new flows and asks for
+// A balancer judges early (Detector), as its judgement only moves new flows and asks for
 // confirmation by another agent of the same service (Inquiry). That one gives open flows
 // up: at once if the agent's VM answers that no process listens there any more, and
 // otherwise only after seconds, since a process that is paused or short of processor time
@@ -20,7 +20,7 @@
 )
 
 const (
-	// Tick is the interval between calls of Judge, and between probes.
+	// Tick is the interval between calls of Update, and between probes.
 	Tick = 100 * time.Millisecond
 	// heardResolution is the resolution of the time at which an agent was last heard.
 	// After a packet from the agent, those sent to it within this time aren't recorded; a
@@ -46,9 +46,9 @@
 	downAfter = 600 * time.Millisecond
 )
 
-// Record is the reachability state of one agent. Its methods are safe for concurrent use,
+// Detector is the reachability state of one agent. Its methods are safe for concurrent use,
 // and cost the packet path one or two atomic loads.
-type Record struct {
+type Detector struct {
 	// heardAt is when the last packet from the agent arrived, in Unix nanoseconds.
 	heardAt atomic.Int64
 	// trustedUntil is the time up to which sent packets count as answered, in Unix
@@ -61,40 +61,40 @@
 }
 
 // Sent records a packet to the agent.
-func (r *Record) Sent(now time.Time) {
-	if r.unansweredSince.Load() != 0 {
+func (d *Detector) Sent(now time.Time) {
+	if d.unansweredSince.Load() != 0 {
 		return
 	}
 	nanos := now.UnixNano()
-	if nanos-r.heardAt.Load() < int64(heardResolution) || nanos < r.trustedUntil.Load() {
+	if nanos-d.heardAt.Load() < int64(heardResolution) || nanos < d.trustedUntil.Load() {
 		return
 	}
-	r.unansweredSince.CompareAndSwap(0, nanos)
+	d.unansweredSince.CompareAndSwap(0, nanos)
 }
 
 // Heard records a packet from the agent.
-func (r *Record) Heard(now time.Time) {
+func (d *Detector) Heard(now time.Time) {
 	nanos := now.UnixNano()
-	if nanos-r.heardAt.Load() >= int64(heardResolution)/2 {
-		r.heardAt.Store(nanos)
+	if nanos-d.heardAt.Load() >= int64(heardResolution)/2 {
+		d.heardAt.Store(nanos)
 	}
-	if r.unansweredSince.Load() != 0 {
-		r.unansweredSince.Store(0)
+	if d.unansweredSince.Load() != 0 {
+		d.unansweredSince.Store(0)
 	}
-	if r.down.Load() {
-		r.down.Store(false)
+	if d.down.Load() {
+		d.down.Store(false)
 	}
 }
 
 // Answered records the answer to a probe.
-func (r *Record) Answered(now time.Time) {
-	r.trustedUntil.Store(now.Add(answerTrustedFor).UnixNano())
-	r.Heard(now)
+func (d *Detector) Answered(now time.Time) {
+	d.trustedUntil.Store(now.Add(answerTrustedFor).UnixNano())
+	d.Heard(now)
 }
 
-// Judge updates the state; it is called each Tick. It returns whether to send a probe.
-func (r *Record) Judge(now time.Time) (probe bool) {
-	since := r.unansweredSince.Load()
+// Update updates the state; it is called each Tick. It returns whether to send a probe.
+func (d *Detector) Update(now time.Time) (probe bool) {
+	since := d.unansweredSince.Load()
 	if since == 0 {
 		return false
 	}
@@ -102,15 +102,15 @@
 	if silent < downAfter {
 		return silent >= probeAfter
 	}
-	r.down.Store(true)
+	d.down.Store(true)
 	return silent/Tick%ticksPerProbeWhileDown == 0
 }
 
-// GiveUp marks the agent down on evidence from elsewhere.
-func (r *Record) GiveUp() { r.down.Store(true) }
+// MarkDown marks the agent down on evidence from elsewhere.
+func (d *Detector) MarkDown() { d.down.Store(true) }
 
-// Restore clears the down mark.
-func (r *Record) Restore() { r.down.Store(false) }
+// ClearDown clears the down mark.
+func (d *Detector) ClearDown() { d.down.Store(false) }
 
 // Down tells whether the agent is considered unreachable.
-func (r *Record) Down() bool { return r.down.Load() }
+func (d *Detector) Down() bool { return d.down.Load() }
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -11,11 +11,11 @@
 
 // runTicks runs a record from start. Probes are answered where answered returns true. It
 // returns the number of probes sent and when the agent was marked down.
-func runTicks(r *Record, ticks int, answered func(tick int) bool) (probes int, down time.Duration) {
+func runTicks(r *Detector, ticks int, answered func(tick int) bool) (probes int, down time.Duration) {
 	for i := range ticks {
 		now := start.Add(time.Duration(i) * Tick)
 		r.Sent(now)
-		if r.Judge(now) {
+		if r.Update(now) {
 			probes++
 			if answered(i) {
 				r.Answered(now)
@@ -32,10 +32,10 @@
 // downAfter, after several probes, and then probed at a lower rate.
 func TestSilentAgentIsMarkedDown(t *testing.T) {
 	is := is.New(t)
-	probes, down := runTicks(new(Record), 7, func(int) bool { return false })
+	probes, down := runTicks(new(Detector), 7, func(int) bool { return false })
 	is.Equal(down, downAfter)
 	is.Equal(probes, 4)
-	probes, _ = runTicks(new(Record), 107, func(int) bool { return false })
+	probes, _ = runTicks(new(Detector), 107, func(int) bool { return false })
 	is.Equal(probes, 14)
 }
 
@@ -43,7 +43,7 @@
 // it has nothing to answer: it is probed about once a second.
 func TestQuietAgentStaysUp(t *testing.T) {
 	is := is.New(t)
-	probes, down := runTicks(new(Record), 1000, func(int) bool { return true })
+	probes, down := runTicks(new(Detector), 1000, func(int) bool { return true })
 	is.Equal(down, time.Duration(0))
 	is.True(probes > 50 && probes < 100)
 }
@@ -51,29 +51,29 @@
 // Guards against an agent marked down although it answers at least every third probe.
 func TestLostProbesAreTolerated(t *testing.T) {
 	is := is.New(t)
-	_, down := runTicks(new(Record), 1000, func(tick int) bool { return tick%3 == 0 })
+	_, down := runTicks(new(Detector), 1000, func(tick int) bool { return tick%3 == 0 })
 	is.Equal(down, time.Duration(0))
 }
 
 // Guards against an agent that stays down although it answers again.
 func TestAgentRecovers(t *testing.T) {
 	is := is.New(t)
-	r := new(Record)
+	r := new(Detector)
 	_, down := runTicks(r, 50, func(int) bool { return false })
 	is.True(down > 0)
 	r.Heard(start.Add(time.Minute))
 	is.True(!r.Down())
-	is.True(!r.Judge(start.Add(time.Minute)))
+	is.True(!r.Update(start.Add(time.Minute)))
 }
 
 // Guards against probes to an agent that is heard all the time.
 func TestActiveAgentIsNotProbed(t *testing.T) {
 	is := is.New(t)
-	r := new(Record)
+	r := new(Detector)
 	for i := range 1000 {
 		now := start.Add(time.Duration(i) * Tick / 10)
 		r.Sent(now)
-		is.True(!r.Judge(now))
+		is.True(!r.Update(now))
 		r.Heard(now)
 	}
 }
@@ -89,16 +89,16 @@
 		after time.Duration
 	}{
 		{"rr", Dead, Tick},
-		{"rsr", Open, 2 * Tick},
+		{"rsr", Pending, 2 * Tick},
 		{"rsrr", Dead, 3 * Tick},
-		{"sssssssssssssssssssssssssssss", Open, 28 * Tick},
+		{"sssssssssssssssssssssssssssss", Pending, 28 * Tick},
 		{"sssssssssssssssssssssssssssssss", Dead, InquiryTimeout},
 		{"sssssssssssssssssssra", Reachable, 20 * Tick},
 	} {
-		q, now, got := NewInquiry(start), start, Open
+		q, now, got := NewInquiry(start), start, Pending
 		for i, sign := range x.signs {
 			now = start.Add(time.Duration(i) * Tick)
-			got = q.Note(now, map[rune]Sign{'r': Refused, 's': Silent, 'a': Alive}[sign])
+			got = q.Record(now, map[rune]ProbeOutcome{'r': Refused, 's': Silent, 'a': Alive}[sign])
 		}
 		is.Equal(got, x.want)
 		is.Equal(now.Sub(start), x.after)
@@ -112,12 +112,12 @@
 	is := is.New(t)
 	q := NewInquiry(start)
 	for i := 1; i <= 5; i++ {
-		is.Equal(q.Note(start.Add(time.Duration(i)*time.Second), Silent), Open)
+		is.Equal(q.Record(start.Add(time.Duration(i)*time.Second), Silent), Pending)
 	}
-	got := Open
-	for i := 6; got == Open; i++ {
+	got := Pending
+	for i := 6; got == Pending; i++ {
 		is.True(i <= silencesForDead)
-		got = q.Note(start.Add(time.Duration(i)*time.Second), Silent)
+		got = q.Record(start.Add(time.Duration(i)*time.Second), Silent)
 	}
 	is.Equal(got, Dead)
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -48,8 +48,8 @@
 	NotRun Outcome = iota + 1
 	// Shed: the target rejected the request because of load.
 	Shed
-	// Lost: a target received some or all of the request, but no answer came.
-	Lost
+	// NoAnswer: a target received some or all of the request, but no answer came.
+	NoAnswer
 )
 
 // Reason says why there is no further attempt. Its text is part of counter names.
@@ -57,10 +57,10 @@
 
 // Reasons for no further attempt.
 const (
-	Attempts      Reason = "attempts"
-	NotRepeatable Reason = "not-repeatable"
-	NoTime        Reason = "no-time"
-	OverBudget    Reason = "over-budget"
+	TooManyAttempts Reason = "attempts"
+	NotRepeatable   Reason = "not-repeatable"
+	NoTime          Reason = "no-time"
+	OverBudget      Reason = "over-budget"
 )
 
 // Attempt describes the attempt that failed.
@@ -68,12 +68,12 @@
 	Outcome Outcome
 	// Repeatable is set if running the request twice does no harm.
 	Repeatable bool
-	// Made counts the attempts so far, this one included.
-	Made int
+	// Attempts counts the attempts so far, this one included.
+	Attempts int
 	// Deadline is when the answer is no longer useful; 0 means never.
 	Deadline time.Duration
-	// Need is how long an attempt usually takes.
-	Need time.Duration
+	// TypicalDuration is how long an attempt usually takes.
+	TypicalDuration time.Duration
 }
 
 // Budget is a service's token bucket at one agent. It isn't safe for concurrent
@@ -100,8 +100,8 @@
 	b.percent = percent
 }
 
-// Fresh counts a caller's new request, which adds a fraction of a retry to the budget.
-func (b *Budget) Fresh(now time.Duration) {
+// RecordRequest counts a caller's new request, which adds a fraction of a retry to the budget.
+func (b *Budget) RecordRequest(now time.Duration) {
 	b.refill(now)
 	b.tokens = min(b.tokens+float64(b.percent)/100, maxTokens)
 }
@@ -113,16 +113,16 @@
 	}
 }
 
-// Again tells whether one more attempt may be made, and takes it from the budget. If it
+// TakeRetry tells whether one more attempt may be made, and takes it from the budget. If it
 // may not, the reason is set.
-func (b *Budget) Again(now time.Duration, a Attempt) (Reason, bool) {
+func (b *Budget) TakeRetry(now time.Duration, a Attempt) (Reason, bool) {
 	if a.Outcome != NotRun && !a.Repeatable {
 		return NotRepeatable, false
 	}
-	if a.Made >= MaxAttempts {
-		return Attempts, false
+	if a.Attempts >= MaxAttempts {
+		return TooManyAttempts, false
 	}
-	if a.Deadline != 0 && now+a.Need >= a.Deadline {
+	if a.Deadline != 0 && now+a.TypicalDuration >= a.Deadline {
 		return NoTime, false
 	}
 	b.refill(now)
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -13,18 +13,18 @@
 		a    Attempt
 		want Reason
 	}{
-		{"submission, no byte seen", Attempt{Outcome: NotRun, Made: 1}, ""},
-		{"submission, answer lost", Attempt{Outcome: Lost, Made: 1}, NotRepeatable},
-		{"submission, shed", Attempt{Outcome: Shed, Made: 1}, NotRepeatable},
-		{"download, answer lost", Attempt{Outcome: Lost, Repeatable: true, Made: 2}, ""},
-		{"download, shed", Attempt{Outcome: Shed, Repeatable: true, Made: 2}, ""},
-		{"third attempt failed", Attempt{Outcome: NotRun, Repeatable: true, Made: 3}, Attempts},
-		{"slow target, no time left", Attempt{Outcome: NotRun, Made: 1, Deadline: 2 * time.Second, Need: time.Second}, NoTime},
-		{"time enough", Attempt{Outcome: NotRun, Made: 1, Deadline: 3 * time.Second, Need: time.Second}, ""},
+		{"submission, no byte seen", Attempt{Outcome: NotRun, Attempts: 1}, ""},
+		{"submission, answer lost", Attempt{Outcome: NoAnswer, Attempts: 1}, NotRepeatable},
+		{"submission, shed", Attempt{Outcome: Shed, Attempts: 1}, NotRepeatable},
+		{"download, answer lost", Attempt{Outcome: NoAnswer, Repeatable: true, Attempts: 2}, ""},
+		{"download, shed", Attempt{Outcome: Shed, Repeatable: true, Attempts: 2}, ""},
+		{"third attempt failed", Attempt{Outcome: NotRun, Repeatable: true, Attempts: 3}, TooManyAttempts},
+		{"slow target, no time left", Attempt{Outcome: NotRun, Attempts: 1, Deadline: 2 * time.Second, TypicalDuration: time.Second}, NoTime},
+		{"time enough", Attempt{Outcome: NotRun, Attempts: 1, Deadline: 3 * time.Second, TypicalDuration: time.Second}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			reason, again := NewBudget(10).Again(time.Second, c.a)
+			reason, again := NewBudget(10).TakeRetry(time.Second, c.a)
 			is.Equal(reason, c.want)
 			is.Equal(again, c.want == "")
 		})
@@ -40,9 +40,9 @@
 	retries := 0
 	for i := range fresh {
 		now := time.Duration(i) * time.Millisecond
-		b.Fresh(now)
+		b.RecordRequest(now)
 		for made := 1; ; made++ {
-			if _, again := b.Again(now, Attempt{Outcome: NotRun, Made: made}); !again {
+			if _, again := b.TakeRetry(now, Attempt{Outcome: NotRun, Attempts: made}); !again {
 				break
 			}
 			retries++
@@ -59,14 +59,14 @@
 	is := is.New(t)
 	b := NewBudget(10)
 	for range 7 {
-		_, again := b.Again(0, Attempt{Outcome: NotRun, Made: 1})
+		_, again := b.TakeRetry(0, Attempt{Outcome: NotRun, Attempts: 1})
 		is.True(again)
 	}
 	for range 3 {
-		b.Again(0, Attempt{Outcome: NotRun, Made: 1})
+		b.TakeRetry(0, Attempt{Outcome: NotRun, Attempts: 1})
 	}
-	reason, _ := b.Again(0, Attempt{Outcome: NotRun, Made: 1})
+	reason, _ := b.TakeRetry(0, Attempt{Outcome: NotRun, Attempts: 1})
 	is.Equal(reason, OverBudget)
-	_, again := b.Again(time.Second, Attempt{Outcome: NotRun, Made: 1})
+	_, again := b.TakeRetry(time.Second, Attempt{Outcome: NotRun, Attempts: 1})
 	is.True(again) // one token is refilled after a second
 }
--- a/internal/steering/map.go
+++ b/internal/steering/map.go
@@ -22,7 +22,7 @@
 	Tunnel netip.AddrPort
 	State  table.State
 	// Reach is what is known of its answers. It outlives the table.
-	Reach *reachability.Record
+	Reach *reachability.Detector
 }
 
 // Service is one service, ready for steering.
@@ -39,14 +39,14 @@
 	fallback *Chooser
 }
 
-// Map is a table compiled for steering. It is read-only; a newer table gives a
+// CompiledTable is a table compiled for steering. It is read-only; a newer table gives a
 // new one.
-type Map struct {
+type CompiledTable struct {
 	Revision table.Revision
 	// Generation is that of the keys that sign and encrypt.
 	Generation uint8
 	ConnIDs    *connid.Ring
-	Envelopes  *envelope.Ring
+	Envelopes  *envelope.KeyRing
 	Services   []*Service
 	Balancers  []netip.AddrPort
 
@@ -71,8 +71,8 @@
 // Compile prepares a table, with the shares that targets have at the given time.
 // What old, which may be nil, knows of agents' answers is taken over. A table
 // that can't be steered by is refused whole.
-func Compile(t *table.Table, now time.Time, old *Map) (*Map, error) {
-	m := &Map{
+func Compile(t *table.Table, now time.Time, old *CompiledTable) (*CompiledTable, error) {
+	m := &CompiledTable{
 		Revision: t.Revision,
 		table:    t,
 		step:     stepAt(now),
@@ -99,7 +99,7 @@
 	return m, nil
 }
 
-func (m *Map) setKeys(t *table.Table) error {
+func (ct *CompiledTable) setKeys(t *table.Table) error {
 	current, err := t.CurrentKeys()
 	if err != nil {
 		return err
@@ -107,44 +107,44 @@
 	if len(current.Hash) != hashKeySize {
 		return ErrHashKey
 	}
-	m.Generation = current.Generation
-	m.k0 = binary.LittleEndian.Uint64(current.Hash)
-	m.k1 = binary.LittleEndian.Uint64(current.Hash[8:])
-	if m.ConnIDs, err = connid.NewRing(t.Keys); err != nil {
+	ct.Generation = current.Generation
+	ct.k0 = binary.LittleEndian.Uint64(current.Hash)
+	ct.k1 = binary.LittleEndian.Uint64(current.Hash[8:])
+	if ct.ConnIDs, err = connid.NewRing(t.Keys); err != nil {
 		return errors.Wrap(err, "steering: keys")
 	}
-	if m.Envelopes, err = envelope.NewRing(t.Keys); err != nil {
+	if ct.Envelopes, err = envelope.NewKeyRing(t.Keys); err != nil {
 		return errors.Wrap(err, "steering: keys")
 	}
 	return nil
 }
 
-func (m *Map) setBalancers(t *table.Table) error {
+func (ct *CompiledTable) setBalancers(t *table.Table) error {
 	for _, b := range t.Balancers {
 		address, err := netip.ParseAddrPort(b.Tunnel)
 		if err != nil {
 			return errors.Wrapf(ErrAddress, "balancer %s: %q", b.Name, b.Tunnel)
 		}
-		m.Balancers = append(m.Balancers, address)
+		ct.Balancers = append(ct.Balancers, address)
 	}
 	return nil
 }
 
-func (m *Map) addService(s table.Service) error {
+func (ct *CompiledTable) addService(s table.Service) error {
 	address, err := netip.ParseAddrPort(s.Address)
 	if err != nil {
 		return errors.Wrapf(ErrAddress, "service %s: %q", s.Name, s.Address)
 	}
 	x := &Service{ID: s.ID, Name: s.Name, Address: address, Limit: s.FlowLimit}
-	m.Services = append(m.Services, x)
-	m.services[s.ID] = x
+	ct.Services = append(ct.Services, x)
+	ct.services[s.ID] = x
 	return nil
 }
 
-func (m *Map) addAgent(x table.Target, old *Map) error {
+func (ct *CompiledTable) addAgent(x table.Target, old *CompiledTable) error {
 	a := &Agent{Number: x.Agent, Service: x.Service, State: x.State, Reach: old.record(x.Agent)}
-	m.newest = max(m.newest, x.Agent)
-	m.agents[x.Agent] = a
+	ct.newest = max(ct.newest, x.Agent)
+	ct.agents[x.Agent] = a
 	if x.State == table.Retired {
 		return nil
 	}
@@ -157,25 +157,25 @@
 }
 
 // Agent returns what is known of an agent.
-func (m *Map) Agent(number table.AgentNumber) (*Agent, bool) {
-	a, ok := m.agents[number]
+func (ct *CompiledTable) Agent(number table.AgentNumber) (*Agent, bool) {
+	a, ok := ct.agents[number]
 	return a, ok
 }
 
 // record returns what is known of an agent's answers.
-func (m *Map) record(number table.AgentNumber) *reachability.Record {
-	if m != nil {
-		if a, ok := m.agents[number]; ok {
+func (ct *CompiledTable) record(number table.AgentNumber) *reachability.Detector {
+	if ct != nil {
+		if a, ok := ct.agents[number]; ok {
 			return a.Reach
 		}
 	}
-	return new(reachability.Record)
+	return new(reachability.Detector)
 }
 
 // Probes calls send for each agent that is due a probe.
-func (m *Map) Probes(now time.Time, send func(*Agent)) {
-	for _, a := range m.agents {
-		if a.State != table.Retired && a.Reach.Judge(now) {
+func (ct *CompiledTable) Probes(now time.Time, send func(*Agent)) {
+	for _, a := range ct.agents {
+		if a.State != table.Retired && a.Reach.Update(now) {
 			send(a)
 		}
 	}
@@ -183,11 +183,11 @@
 
 // Newest returns the highest agent number of the table. Control gives numbers
 // out in rising order, so that a higher one belongs to a newer table.
-func (m *Map) Newest() table.AgentNumber { return m.newest }
+func (ct *CompiledTable) Newest() table.AgentNumber { return ct.newest }
 
 // ServiceNamed returns the service with the given name.
-func (m *Map) ServiceNamed(name string) (*Service, bool) {
-	for _, s := range m.Services {
+func (ct *CompiledTable) ServiceNamed(name string) (*Service, bool) {
+	for _, s := range ct.Services {
 		if s.Name == name {
 			return s, true
 		}
@@ -196,8 +196,8 @@
 }
 
 // ServiceByID returns the service with the given ID.
-func (m *Map) ServiceByID(id table.ServiceID) (*Service, bool) {
-	s, ok := m.services[id]
+func (ct *CompiledTable) ServiceByID(id table.ServiceID) (*Service, bool) {
+	s, ok := ct.services[id]
 	return s, ok
 }
 
@@ -209,8 +209,8 @@
 // FlowKey hashes what marks a new flow: the connection ID that the caller made
 // up and its address. The hash is keyed, so that a caller can't aim all its
 // flows at one target.
-func (m *Map) FlowKey(destination []byte, caller netip.AddrPort) uint64 {
-	return HashFlow(m.k0, m.k1, destination, caller)
+func (ct *CompiledTable) FlowKey(destination []byte, caller netip.AddrPort) uint64 {
+	return HashFlow(ct.k0, ct.k1, destination, caller)
 }
 
 // HashFlow is FlowKey under any key.
--- a/internal/steering/route.go
+++ b/internal/steering/route.go
@@ -77,7 +77,7 @@
 
 // Route returns the agent that a packet to the service goes to, nil where it is
 // dropped. It allocates nothing.
-func (r *Router) Route(m *Map, s *Service, caller netip.AddrPort, packet []byte) (*Agent, Outcome) {
+func (r *Router) Route(m *CompiledTable, s *Service, caller netip.AddrPort, packet []byte) (*Agent, Outcome) {
 	if !ReadShape(packet, &r.shape) {
 		return nil, DropMalformed
 	}
@@ -93,7 +93,7 @@
 	return nil, DropForeign
 }
 
-func (r *Router) established(m *Map, s *Service, caller netip.AddrPort, number table.AgentNumber) (*Agent, Outcome) {
+func (r *Router) established(m *CompiledTable, s *Service, caller netip.AddrPort, number table.AgentNumber) (*Agent, Outcome) {
 	agent, ok := m.Agent(number)
 	switch {
 	case !ok:
@@ -110,7 +110,7 @@
 
 // any picks the flow's choice among the active agents that answer; a packet that
 // opens no flow may go to a draining one too.
-func (r *Router) any(m *Map, s *Service, caller netip.AddrPort, outcome Outcome) (*Agent, Outcome) {
+func (r *Router) any(m *CompiledTable, s *Service, caller netip.AddrPort, outcome Outcome) (*Agent, Outcome) {
 	key := m.FlowKey(r.shape.Destination, caller)
 	first, agent := m.answering(s.chooser, key)
 	if agent == nil && outcome != New {
@@ -129,13 +129,13 @@
 // answering returns the first agent in a flow's order, and the first that isn't
 // judged unreachable. Where all are, that is the first of all: the judgement may
 // be wrong.
-func (m *Map) answering(c *Chooser, key uint64) (first, agent *Agent) {
+func (ct *CompiledTable) answering(c *Chooser, key uint64) (first, agent *Agent) {
 	number, ok := c.Choose(key)
 	if !ok {
 		return nil, nil
 	}
-	first = m.agents[number]
-	for agent = first; agent.Reach.Down(); agent = m.agents[number] {
+	first = ct.agents[number]
+	for agent = first; agent.Reach.Down(); agent = ct.agents[number] {
 		if number, ok = c.After(key, number); !ok {
 			return first, first
 		}
--- a/internal/steering/route_test.go
+++ b/internal/steering/route_test.go
@@ -54,13 +54,13 @@
 	}
 }
 
-func compiled(is *is.I, t *table.Table) *Map {
+func compiled(is *is.I, t *table.Table) *CompiledTable {
 	m, err := Compile(t, settled, nil)
 	is.NoErr(err)
 	return m
 }
 
-func shortPacket(m *Map, agent table.AgentNumber) []byte {
+func shortPacket(m *CompiledTable, agent table.AgentNumber) []byte {
 	id, _ := m.ConnIDs.Encode(m.Generation, agent, connid.Entropy{})
 	return append([]byte{0x40}, append(id[:], make([]byte, 40)...)...)
 }
@@ -119,7 +119,7 @@
 	desk, _ := m.ServiceNamed("desk")
 	silence := func(number table.AgentNumber) {
 		a, _ := m.Agent(number)
-		a.Reach.GiveUp()
+		a.Reach.MarkDown()
 	}
 	silence(1)
 	var r Router
@@ -226,7 +226,7 @@
 	tab.Targets[1].JoinedAtMS = joined.UnixMilli()
 	m, err := Compile(tab, joined, nil)
 	is.NoErr(err)
-	share := func(m *Map) float64 {
+	share := func(m *CompiledTable) float64 {
 		desk, _ := m.ServiceNamed("desk")
 		got := tallyFlows(func(flow uint64) table.AgentNumber {
 			agent, _ := desk.Chooser().Choose(flow)
@@ -235,12 +235,12 @@
 		return float64(got[2]) / float64(got[1])
 	}
 	is.True(share(m) > 0.08 && share(m) < 0.12)
-	is.Equal(m.Reshare(joined.Add(stepMS/2*time.Millisecond)), m)
-	half := m.Reshare(joined.Add(5 * time.Second))
+	is.Equal(m.UpdateShares(joined.Add(stepMS/2*time.Millisecond)), m)
+	half := m.UpdateShares(joined.Add(5 * time.Second))
 	is.True(share(half) > 0.5 && share(half) < 0.6)
-	whole := half.Reshare(joined.Add(10 * time.Second))
+	whole := half.UpdateShares(joined.Add(10 * time.Second))
 	is.True(share(whole) > 0.97 && share(whole) < 1.03)
-	is.Equal(whole.Reshare(joined.Add(time.Minute)), whole)
+	is.Equal(whole.UpdateShares(joined.Add(time.Minute)), whole)
 	before, _ := m.ServiceNamed("archive")
 	after, _ := whole.ServiceNamed("archive")
 	is.Equal(before, after)
@@ -269,7 +269,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		m.Reshare(settled.Add(time.Second))
+		m.UpdateShares(settled.Add(time.Second))
 	}
 }
 
@@ -304,6 +304,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		m.Reshare(settled.Add(time.Second))
+		m.UpdateShares(settled.Add(time.Second))
 	}
 }
--- a/internal/steering/shares.go
+++ b/internal/steering/shares.go
@@ -17,7 +17,7 @@
 func stepAt(now time.Time) int64 { return now.UnixMilli() / stepMS }
 
 // setChoosers builds the choosers of the given services.
-func (m *Map) setChoosers(of []*Service) {
+func (ct *CompiledTable) setChoosers(of []*Service) {
 	type group struct {
 		active, live []Candidate
 	}
@@ -25,14 +25,14 @@
 	for _, s := range of {
 		groups[s.ID] = new(group)
 	}
-	for _, x := range m.table.Targets {
+	for _, x := range ct.table.Targets {
 		g := groups[x.Service]
 		if g == nil || x.State == table.Retired {
 			continue
 		}
 		g.live = append(g.live, Candidate{Agent: x.Agent, Share: 1})
 		if x.State == table.Active {
-			g.active = append(g.active, Candidate{Agent: x.Agent, Share: slowstart.Share(x, m.step*stepMS)})
+			g.active = append(g.active, Candidate{Agent: x.Agent, Share: slowstart.Share(x, ct.step*stepMS)})
 		}
 	}
 	for _, s := range of {
@@ -41,22 +41,22 @@
 	}
 }
 
-// Reshare returns the map with the shares of the given time, or the same map
+// UpdateShares returns the table with the shares of the given time, or the same table
 // where none has moved. Only the choosers of services with a moving target are
 // built anew.
-func (m *Map) Reshare(now time.Time) *Map {
+func (ct *CompiledTable) UpdateShares(now time.Time) *CompiledTable {
 	step := stepAt(now)
-	if step <= m.step {
-		return m
+	if step <= ct.step {
+		return ct
 	}
-	moving := m.moving()
+	moving := ct.moving()
 	if len(moving) == 0 {
-		return m
+		return ct
 	}
-	out := *m
+	out := *ct
 	out.step = step
-	out.Services = slices.Clone(m.Services)
-	out.services = make(map[table.ServiceID]*Service, len(m.services))
+	out.Services = slices.Clone(ct.Services)
+	out.services = make(map[table.ServiceID]*Service, len(ct.services))
 	var fresh []*Service
 	for i, s := range out.Services {
 		if moving[s.ID] {
@@ -71,12 +71,12 @@
 }
 
 // moving returns the services with a target whose share wasn't at its end at the
-// map's step.
-func (m *Map) moving() map[table.ServiceID]bool {
+// table's step.
+func (ct *CompiledTable) moving() map[table.ServiceID]bool {
 	var out map[table.ServiceID]bool
-	at := m.step * stepMS
-	for i := range m.table.Targets {
-		x := &m.table.Targets[i]
+	at := ct.step * stepMS
+	for i := range ct.table.Targets {
+		x := &ct.table.Targets[i]
 		if at-x.ChangedAtMS >= slowstart.ShiftMS && at-x.JoinedAtMS >= slowstart.SlowStartMS {
 			continue
 		}
