--- a/internal/passthrough/agent/agent.go
+++ b/internal/passthrough/agent/agent.go
@@ -85,7 +85,7 @@
 
 	mu      sync.Mutex
 	engine  *flowtable.Engine
-	answers datagram.Batches[peer.Ruling]
+	answers datagram.Batches[peer.Answer]
 	buf     []byte
 	// heard is when each balancer last sent something.
 	heard    map[netip.AddrPort]time.Duration
@@ -108,8 +108,8 @@
 	a.answeredAfter = cfg.Metrics.Histogram("pass_answered_after")
 	a.admittedAfter = cfg.Metrics.Histogram("pass_admitted_after")
 	a.meter = peer.NewMeter(cfg.Metrics)
-	a.outbound.Count(a.meter, peer.PacketKind)
-	a.nodes.Count(a.meter, peer.NodeKind)
+	a.outbound.SetMeter(a.meter, peer.PacketKind)
+	a.nodes.SetMeter(a.meter, peer.NodeKind)
 	process := rand.Uint64()
 	a.engine = flowtable.New(flowtable.Config{
 		Service: cfg.Service, Address: cfg.Target.String(), Zone: cfg.Zone, Region: cfg.Region, Process: process,
@@ -118,7 +118,7 @@
 	})
 	a.client = membership.NewClient(membership.ClientConfig{
 		Node:  membership.Node{Role: membership.Agent, Address: cfg.Nodes.String(), Zone: cfg.Zone, Service: uint64(route.IDOf(cfg.Service)), Process: process},
-		Seeds: cfg.Seeds, Port: cfg.ControlPort, Table: a.setTable, Evacuated: a.setEvacuated, Recalled: a.recalled, Meter: a.meter, Log: cfg.Log,
+		Seeds: cfg.Seeds, Port: cfg.ControlPort, OnTable: a.setTable, OnEvacuations: a.setEvacuated, OnFlowRecords: a.recalled, Meter: a.meter, Log: cfg.Log,
 	})
 	for v := flowtable.Verdict(0); v.String() != "unknown"; v++ {
 		a.verdicts = append(a.verdicts, cfg.Metrics.Counter("pass_"+v.String()))
@@ -160,11 +160,11 @@
 func (a *Agent) Ready() bool { return a.client.Version() > 0 }
 
 // Announced takes what a target says of itself.
-func (a *Agent) Announced(x flowtable.Announcement) flowtable.Ruling {
+func (a *Agent) Announced(x flowtable.Announcement) flowtable.AnnouncementResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	ruling := a.engine.Announced(a.now(), x)
-	if ruling == flowtable.NotOurs {
+	ruling := a.engine.HandleAnnouncement(a.now(), x)
+	if ruling == flowtable.AnnouncementForOtherTarget {
 		events.Log(a.cfg.Log, events.AnnouncementRefused, logrus.Fields{"target": x.ID, "service": x.Service, "address": x.Address, "reason": "another service or address"})
 	}
 	return ruling
@@ -174,7 +174,7 @@
 func (a *Agent) Left(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.engine.Left(a.now(), id)
+	a.engine.HandleTargetLeft(a.now(), id)
 }
 
 func (a *Agent) readTarget(ctx context.Context) {
@@ -290,7 +290,7 @@
 func (a *Agent) recalled(u flowlog.Update) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.engine.Recalled(a.now(), u)
+	a.engine.HandleRecall(a.now(), u)
 }
 
 // tellFlows tells control of the flows held, so that they are known after a power
@@ -306,7 +306,7 @@
 		}
 		a.mu.Unlock()
 		if settled {
-			a.client.TellFlows(changes, changed, a.wholeFlows)
+			a.client.ReportFlows(changes, changed, a.wholeFlows)
 		}
 	}
 }
--- a/internal/passthrough/agent/output.go
+++ b/internal/passthrough/agent/output.go
@@ -27,17 +27,17 @@
 
 // Refuse implements flowtable.Output.
 func (a *Agent) Refuse(to netip.AddrPort, why peer.Reason, age time.Duration, raw []byte) {
-	a.buf = peer.Head{Kind: peer.KindRefused, Reason: why, Age: peer.AgeOf(age)}.Append(a.buf[:0], raw)
+	a.buf = peer.Header{Kind: peer.KindRefused, Reason: why, Age: peer.AgeMillis(age)}.Append(a.buf[:0], raw)
 	a.nodes.Send(a.buf, to)
 }
 
 // Answer implements flowtable.Output; the answers to one datagram's questions
 // share one, sent once all are there.
-func (a *Agent) Answer(to netip.AddrPort, r peer.Ruling) {
+func (a *Agent) Answer(to netip.AddrPort, r peer.Answer) {
 	a.answers.Add(to, r, 0, nil)
 }
 
-func (a *Agent) sendAnswer(to netip.AddrPort, rs []peer.Ruling) {
+func (a *Agent) sendAnswer(to netip.AddrPort, rs []peer.Answer) {
 	a.buf = peer.AppendAnswer(a.buf[:0], rs)
 	a.nodes.Send(a.buf, to)
 }
--- a/internal/passthrough/balancer/balancer.go
+++ b/internal/passthrough/balancer/balancer.go
@@ -96,8 +96,8 @@
 		return nil, errors.Wrap(err, "balancer: listen for nodes")
 	}
 	b.meter = peer.NewMeter(cfg.Metrics)
-	b.fabric.Count(b.meter, peer.PacketKind)
-	b.nodes.Count(b.meter, peer.NodeKind)
+	b.fabric.SetMeter(b.meter, peer.PacketKind)
+	b.nodes.SetMeter(b.meter, peer.NodeKind)
 	seed := rand.Uint64()
 	b.engine = forward.New(forward.Config{
 		Zone: cfg.Zone, Regions: cfg.Regions, Rand: rand.New(rand.NewPCG(seed, seed)), Policy: forward.DefaultPolicy(),
@@ -105,7 +105,7 @@
 	})
 	b.client = membership.NewClient(membership.ClientConfig{
 		Node:  membership.Node{Role: membership.Balancer, Address: cfg.Nodes.String(), Zone: cfg.Zone, Process: seed},
-		Seeds: cfg.Seeds, Port: cfg.ControlPort, Table: b.setTable, Evacuated: b.setEvacuated, Agents: b.setAgents, Meter: b.meter, Log: cfg.Log,
+		Seeds: cfg.Seeds, Port: cfg.ControlPort, OnTable: b.setTable, OnEvacuations: b.setEvacuated, OnAgents: b.setAgents, Meter: b.meter, Log: cfg.Log,
 	})
 	b.verdicts = counters(cfg.Metrics)
 	b.waits = waitHistograms(cfg.Metrics)
@@ -145,11 +145,11 @@
 func (b *Balancer) Ready() bool {
 	tabled := time.Duration(b.tabledAt.Load())
 	isolated, agents := b.reach()
-	inTouch := b.client.InTouch(time.Now())
+	inTouch := b.client.TableCurrent(time.Now())
 	ready := !b.stopping.Load() && tabled > 0 && b.now()-tabled > readyAfter && !isolated && inTouch
 	if b.wasReady.Swap(ready) != ready {
 		events.Log(b.cfg.Log, events.ReadinessChanged, logrus.Fields{
-			"ready": ready, "stopping": b.stopping.Load(), "version": uint64(b.client.Version()), "controls": b.client.Heard(),
+			"ready": ready, "stopping": b.stopping.Load(), "version": uint64(b.client.Version()), "controls": b.client.LiveControls(),
 			"isolated": isolated, "agents": agents, "in_touch": inTouch,
 		})
 	}
@@ -174,7 +174,7 @@
 func (b *Balancer) reach() (isolated bool, agents int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.engine.Isolated(b.now()), b.engine.Known()
+	return b.engine.Isolated(b.now()), b.engine.AgentCount()
 }
 
 // setAgents tells the engine which agents there are.
@@ -183,13 +183,13 @@
 	defer b.mu.Unlock()
 	now := b.now()
 	for _, n := range c.Present {
-		b.engine.List(now, forward.Listed{Address: n.Address, Zone: n.Zone, Service: route.ServiceID(n.Service), Process: n.Process})
+		b.engine.ListAgent(now, forward.AgentInfo{Address: n.Address, Zone: n.Zone, Service: route.ServiceID(n.Service), Process: n.Process})
 	}
 	for _, at := range c.Gone {
-		b.engine.Delist(now, at)
+		b.engine.DelistAgent(now, at)
 	}
 	for _, at := range c.Retired {
-		b.engine.Retire(at)
+		b.engine.RetireAgent(at)
 	}
 }
 
@@ -201,7 +201,7 @@
 		}
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.engine.FromClient(b.now(), p, raw)
+		b.engine.HandleClientPacket(b.now(), p, raw)
 		return nil
 	})
 }
@@ -219,16 +219,16 @@
 		if err != nil {
 			return err
 		}
-		b.engine.Refused(now, from, h, p, carried)
+		b.engine.HandleRefused(now, from, h, p, carried)
 		return nil
 	case peer.KindAnswer:
-		return peer.ReadAnswer(raw, func(r peer.Ruling) { b.engine.Answered(now, from, r) })
+		return peer.ReadAnswer(raw, func(r peer.Answer) { b.engine.HandleAnswer(now, from, r) })
 	case peer.KindReport:
 		var r peer.Report
 		if _, err := r.UnmarshalMsg(raw[1:]); err != nil {
 			return errors.Wrap(err, "balancer: report")
 		}
-		b.engine.Reported(now, from, r)
+		b.engine.HandleReport(now, from, r)
 		return nil
 	}
 	return errors.Errorf("balancer: datagram kind %d", peer.KindOf(raw))
--- a/internal/passthrough/balancer/output.go
+++ b/internal/passthrough/balancer/output.go
@@ -37,7 +37,7 @@
 
 // Deliver implements forward.Output.
 func (b *Balancer) Deliver(to netip.AddrPort, service route.ServiceID, age time.Duration, raw []byte) {
-	b.buf = peer.Head{Kind: peer.KindDeliver, Service: service, Age: peer.AgeOf(age)}.Append(b.buf[:0], raw)
+	b.buf = peer.Header{Kind: peer.KindDeliver, Service: service, Age: peer.AgeMillis(age)}.Append(b.buf[:0], raw)
 	b.nodes.Send(b.buf, to)
 }
 
@@ -82,8 +82,8 @@
 	b.fabric.Send(b.buf, netip.AddrPortFrom(netip.AddrFrom4(f.Client.IP), b.cfg.Fabric.Port()))
 }
 
-// Note implements forward.Output.
-func (b *Balancer) Note(d forward.Decision) {
+// LogDecision implements forward.Output.
+func (b *Balancer) LogDecision(d forward.Decision) {
 	b.verdicts[d.Verdict].Add(1)
 	fields := logrus.Fields{"flow": d.Flow.String(), "verdict": d.Verdict.String(), "version": uint64(d.Version)}
 	if d.Agent.IsValid() {
--- a/internal/passthrough/datagram/datagram.go
+++ b/internal/passthrough/datagram/datagram.go
@@ -19,7 +19,7 @@
 	readSize = 2048
 	// readErrorPause keeps a socket that fails repeatedly from using a whole processor.
 	readErrorPause = 10 * time.Millisecond
-	// maxBatchEntries bounds the entries of one datagram: 75 rulings of 17 bytes stay
+	// maxBatchEntries bounds the entries of one datagram: 75 answers of 17 bytes stay
 	// under 1,300 bytes, which every link carries without fragmentation.
 	maxBatchEntries = 75
 )
@@ -33,8 +33,8 @@
 	kind    func(raw []byte) int
 }
 
-// Count has the meter count datagrams by the kind that the given function returns.
-func (s *Socket) Count(meter *traffic.Meter, kind func(raw []byte) int) {
+// SetMeter has the meter count datagrams by the kind that the given function returns.
+func (s *Socket) SetMeter(meter *traffic.Meter, kind func(raw []byte) int) {
 	s.meter, s.kind = meter, kind
 }
 
--- a/internal/passthrough/flowlog/flowlog.go
+++ b/internal/passthrough/flowlog/flowlog.go
@@ -26,8 +26,8 @@
 // maxAgents bounds the agents.
 const maxAgents = 16_000
 
-// Of returns the record of a flow.
-func Of(f packet.Flow, ack uint32) Record {
+// NewRecord returns the record of a flow.
+func NewRecord(f packet.Flow, ack uint32) Record {
 	return Record{
 		ClientIP: f.Client.IP, ClientPort: f.Client.Port,
 		ServiceIP: f.Service.IP, ServicePort: f.Service.Port, Ack: ack,
@@ -95,7 +95,7 @@
 func (h *held) update(agent string) Update {
 	u := Update{Agent: agent, Target: h.target, Born: h.born, Whole: true}
 	for f, ack := range h.flows {
-		u.Opened = append(u.Opened, Of(f, ack))
+		u.Opened = append(u.Opened, NewRecord(f, ack))
 	}
 	return u
 }
--- a/internal/passthrough/flowlog/flowlog_test.go
+++ b/internal/passthrough/flowlog/flowlog_test.go
@@ -21,7 +21,7 @@
 }
 
 func record(port uint16, ack uint32) Record {
-	return Of(packet.Flow{
+	return NewRecord(packet.Flow{
 		Client:  packet.Endpoint{IP: [4]byte{100, 64, 0, 1}, Port: port},
 		Service: packet.Endpoint{IP: [4]byte{198, 18, 0, 1}, Port: 443},
 	}, ack)
--- a/internal/passthrough/flowtable/admission.go
+++ b/internal/passthrough/flowtable/admission.go
@@ -36,13 +36,13 @@
 	// slot free meanwhile.
 	ExpectFor   time.Duration
 	ExpectTimes float64
-	// Ahead, if above 0, is how many requests more than it has slots a target is
+	// ExtraRequests, if above 0, is how many requests more than it has slots a target is
 	// given, as a part of the slots, in place of what is observed.
-	Ahead float64
-	// Unlimited lets all through to the target; Bypass lets the requests of open
-	// flows through; OldestFirst admits in the order of arrival; Unranked ignores
+	ExtraRequests float64
+	// Unlimited lets all through to the target; PassOpenFlows lets the requests of open
+	// flows through; OldestFirst admits in the order of arrival; IgnorePriority ignores
 	// which routes are urgent.
-	Unlimited, Bypass, OldestFirst, Unranked bool
+	Unlimited, PassOpenFlows, OldestFirst, IgnorePriority bool
 }
 
 // DefaultPolicy is the policy in use.
@@ -76,8 +76,8 @@
 // meanwhile. More would wait in the target's own queue, in order of arrival.
 func (e *Engine) room() int {
 	slots := int(max(e.target.slots, 1))
-	if e.cfg.Policy.Ahead > 0 {
-		return slots + max(1, int(e.cfg.Policy.Ahead*float64(slots)))
+	if e.cfg.Policy.ExtraRequests > 0 {
+		return slots + max(1, int(e.cfg.Policy.ExtraRequests*float64(slots)))
 	}
 	return slots + max(1, e.pace.endDuringHandshake(slots))
 }
--- a/internal/passthrough/flowtable/admission_test.go
+++ b/internal/passthrough/flowtable/admission_test.go
@@ -56,13 +56,13 @@
 func TestUrgentRouteGoesFirst(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
-	urgent := route.Route{Name: "u", IP: service.IP, Port: 80, Priority: 1, TimeoutMS: 1, Backends: []route.Backed{{Service: desk, Weight: 1}}}
+	urgent := route.Route{Name: "u", IP: service.IP, Port: 80, Priority: 1, TimeoutMS: 1, Backends: []route.Backend{{Service: desk, Weight: 1}}}
 	other := urgent
 	other.Name, other.Port, other.Priority = "o", service.Port, 2
 	r.engine.SetTable(route.NewTable(&route.Definition{Version: 1, Routes: []route.Route{urgent, other}}))
 	busyTarget(r)
 	p := packet.Packet{Src: flowOf(8).Client, Dst: packet.Endpoint{IP: service.IP, Port: 80}, Flags: packet.SYN}
-	r.engine.FromBalancer(r.now, balancer, peer.Head{Service: route.IDOf(desk)}, p, rawOf(8))
+	r.engine.FromBalancer(r.now, balancer, peer.Header{Service: route.IDOf(desk)}, p, rawOf(8))
 	r.syn(9) // newer, less urgent
 	r.answered(100, 0)
 	is.Equal(r.toTarget, []uint16{8})
@@ -205,7 +205,7 @@
 	busyTarget(r)
 	first := func(port uint16, copies uint32, held uint16) {
 		p := packet.Packet{Src: flowOf(port).Client, Dst: service, Flags: packet.SYN, Ack: copies}
-		r.engine.FromBalancer(r.now, balancer, peer.Head{Service: route.IDOf(desk), Age: held}, p, rawOf(port))
+		r.engine.FromBalancer(r.now, balancer, peer.Header{Service: route.IDOf(desk), Age: held}, p, rawOf(port))
 	}
 	first(1, 0, 0)
 	first(2, 2, 0)
@@ -227,7 +227,7 @@
 	r := newRig(t)
 	busyTarget(r)
 	p := packet.Packet{Src: flowOf(9).Client, Dst: service, Flags: packet.SYN}
-	r.engine.FromBalancer(r.now, balancer, peer.Head{Service: route.IDOf(desk), Age: 300}, p, rawOf(9))
+	r.engine.FromBalancer(r.now, balancer, peer.Header{Service: route.IDOf(desk), Age: 300}, p, rawOf(9))
 	r.pass(200 * time.Millisecond)
 	r.say("i-1", 0, 2, true)
 	r.pass(10 * time.Millisecond)
--- a/internal/passthrough/flowtable/ask.go
+++ b/internal/passthrough/flowtable/ask.go
@@ -14,10 +14,10 @@
 	if !e.target.known && !e.empty(now) {
 		return
 	}
-	e.cfg.Out.Answer(from, peer.Ruling{Question: q, Verdict: e.verdict(now, q)})
+	e.cfg.Out.Answer(from, peer.Answer{Question: q, Status: e.verdict(now, q)})
 }
 
-func (e *Engine) verdict(now time.Duration, q peer.Question) peer.Verdict {
+func (e *Engine) verdict(now time.Duration, q peer.Question) peer.FlowStatus {
 	if !e.target.known {
 		return peer.Lacks
 	}
--- a/internal/passthrough/flowtable/cold_test.go
+++ b/internal/passthrough/flowtable/cold_test.go
@@ -26,7 +26,7 @@
 // beat has the target announce how long it stays cold.
 func (r *rig) beat(cold time.Duration) {
 	r.number++
-	r.engine.Announced(r.now, Announcement{
+	r.engine.HandleAnnouncement(r.now, Announcement{
 		ID: "i-1", Service: desk, Address: address, Born: started.UnixMilli(), Number: r.number, Slots: 100, Cold: cold,
 	})
 }
@@ -39,7 +39,7 @@
 		before := len(r.toTarget)
 		from := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(1 + first%14)}), 7000)
 		p := packet.Packet{Src: flowOf(first).Client, Dst: service, Flags: packet.SYN}
-		r.engine.FromBalancer(r.now, from, peer.Head{Service: route.IDOf(desk)}, p, rawOf(first))
+		r.engine.FromBalancer(r.now, from, peer.Header{Service: route.IDOf(desk)}, p, rawOf(first))
 		first++
 		if len(r.toTarget) > before {
 			sent = append(sent, r.now)
@@ -74,11 +74,11 @@
 func TestColdTargetThatIsFullReportsSo(t *testing.T) {
 	is := is.New(t)
 	r := coldRig(t)
-	is.True(r.report().Open)
+	is.True(r.report().AcceptsFlows)
 	r.flood(1, 10*time.Millisecond)
-	is.True(!r.report().Open)
+	is.True(!r.report().AcceptsFlows)
 	r.now += coldWindow
-	is.True(r.report().Open)
+	is.True(r.report().AcceptsFlows)
 }
 
 // Guards against a flow that was let in already and whose copies are turned away.
@@ -129,7 +129,7 @@
 	r.engine.cfg.Region = "lombardia"
 	homes := func(regions ...string) {
 		d := &route.Definition{Version: 1, Services: []route.Service{{Name: desk}}}
-		d.Routes = []route.Route{{IP: service.IP, Port: service.Port, TimeoutMS: 1000, Backends: []route.Backed{{Service: desk, Weight: 1}}, Homes: regions}}
+		d.Routes = []route.Route{{IP: service.IP, Port: service.Port, TimeoutMS: 1000, Backends: []route.Backend{{Service: desk, Weight: 1}}, AllowedRegions: regions}}
 		r.engine.SetTable(route.NewTable(d))
 	}
 	homes("ashanti")
--- a/internal/passthrough/flowtable/decision.go
+++ b/internal/passthrough/flowtable/decision.go
@@ -18,7 +18,7 @@
 	// sent it, as far as is known.
 	Refuse(to netip.AddrPort, why peer.Reason, age time.Duration, raw []byte)
 	// Answer tells a balancer who holds a flow.
-	Answer(to netip.AddrPort, r peer.Ruling)
+	Answer(to netip.AddrPort, r peer.Answer)
 	// Reset tells a client that its flow is over.
 	Reset(f packet.Flow, seq uint32)
 	// Report says that balancers should hear of a change at once.
--- a/internal/passthrough/flowtable/evacuation.go
+++ b/internal/passthrough/flowtable/evacuation.go
@@ -26,6 +26,6 @@
 
 // atHome tells whether a flow's route may use targets of this region.
 func (e *Engine) atHome(f packet.Flow) bool {
-	homes := e.table.Homes(f.Service)
+	homes := e.table.AllowedRegions(f.Service)
 	return homes == nil || slices.Contains(homes, e.cfg.Region)
 }
--- a/internal/passthrough/flowtable/evacuation_test.go
+++ b/internal/passthrough/flowtable/evacuation_test.go
@@ -16,14 +16,14 @@
 	reports := r.reports
 	r.engine.SetEvacuated(r.now, true)
 	is.Equal(r.reports, reports+1)
-	is.True(!r.report().Open)
+	is.True(!r.report().AcceptsFlows)
 	r.syn(2)
 	is.Equal(r.refused, []refusal{{2, peer.Evacuated}})
 	sent := len(r.toTarget)
 	r.ask(1, 1) // an open flow goes on
 	is.Equal(len(r.toTarget), sent+1)
 	r.engine.SetEvacuated(r.now, false)
-	is.True(r.report().Open)
+	is.True(r.report().AcceptsFlows)
 	r.syn(3)
 	is.Equal(r.toTarget[len(r.toTarget)-1], uint16(3))
 }
--- a/internal/passthrough/flowtable/flows_test.go
+++ b/internal/passthrough/flowtable/flows_test.go
@@ -45,7 +45,7 @@
 func TestPacketForAnotherServiceIsHandedBack(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
-	h := peer.Head{Kind: peer.KindDeliver, Service: route.IDOf("mapdocs")}
+	h := peer.Header{Kind: peer.KindDeliver, Service: route.IDOf("mapdocs")}
 	p := packet.Packet{Src: flowOf(9).Client, Dst: service, Flags: packet.SYN}
 	r.engine.FromBalancer(r.now, balancer, h, p, rawOf(9))
 	is.Equal(r.refused, []refusal{{9, peer.WrongService}})
@@ -73,11 +73,11 @@
 	r.syn(9)
 	r.pass(firstPatience + 20*time.Millisecond)
 	is.Equal(r.refused, []refusal{{9, peer.Silent}})
-	is.Equal(r.report().Open, false)
+	is.Equal(r.report().AcceptsFlows, false)
 	r.syn(10)
 	is.Equal(r.refused[1], refusal{10, peer.Silent})
 	r.announce("i-1", 0, 2)
-	is.Equal(r.report().Open, true)
+	is.Equal(r.report().AcceptsFlows, true)
 }
 
 // The target crashed: it owes an answer, and its announcements stop. Callers of
@@ -218,7 +218,7 @@
 	})
 	is.Equal(r.report().Service, uint64(0))
 	p := packet.Packet{Src: flowOf(9).Client, Dst: service, Flags: packet.ACK, Seq: 11, Ack: 500, Data: 100}
-	r.engine.FromBalancer(r.now, balancer, peer.Head{}, p, rawOf(9))
+	r.engine.FromBalancer(r.now, balancer, peer.Header{}, p, rawOf(9))
 	is.Equal(len(r.refused), 0)
 	is.Equal(r.toTarget, []uint16{9})
 }
--- a/internal/passthrough/flowtable/flowtable.go
+++ b/internal/passthrough/flowtable/flowtable.go
@@ -159,7 +159,7 @@
 func (e *Engine) Flows() int { return e.load.flows }
 
 // FromBalancer takes a client's packet.
-func (e *Engine) FromBalancer(now time.Duration, from netip.AddrPort, h peer.Head, p packet.Packet, raw []byte) {
+func (e *Engine) FromBalancer(now time.Duration, from netip.AddrPort, h peer.Header, p packet.Packet, raw []byte) {
 	f := p.FromClient()
 	if why := e.misdirected(now, h, p); why != 0 {
 		e.refuse(now, from, f, p, why, now-h.Waited(), raw)
@@ -180,7 +180,7 @@
 
 // misdirected tells why a packet isn't for the target here. Addresses are used
 // again by other services, and balancers learn of it a moment later.
-func (e *Engine) misdirected(now time.Duration, h peer.Head, p packet.Packet) peer.Reason {
+func (e *Engine) misdirected(now time.Duration, h peer.Header, p packet.Packet) peer.Reason {
 	switch {
 	case !e.target.known && !p.Opens() && !e.empty(now) && (h.Service == 0 || h.Service == route.IDOf(e.cfg.Service)):
 		// The agent may have restarted beside a target that lives. Balancers that
@@ -338,7 +338,7 @@
 }
 
 func (e *Engine) toTarget(from netip.AddrPort, raw []byte) {
-	e.cfg.Codec.Mark(raw, e.tags.of(from))
+	e.cfg.Codec.SetTag(raw, e.tags.of(from))
 	e.cfg.Out.ToTarget(raw)
 }
 
@@ -411,7 +411,7 @@
 	if !ok {
 		return // from before this process; the caller sends it again
 	}
-	e.cfg.Codec.Mark(raw, 0)
+	e.cfg.Codec.SetTag(raw, 0)
 	e.refuse(now, to, f, p, why, sentAt, raw)
 }
 
--- a/internal/passthrough/flowtable/queue.go
+++ b/internal/passthrough/flowtable/queue.go
@@ -77,7 +77,7 @@
 // route the newest, whose caller can still be answered in time. In order of arrival a
 // backlog makes all of them late.
 func (p *Policy) before(q, other *queued) bool {
-	if q.urgency != other.urgency && !p.Unranked {
+	if q.urgency != other.urgency && !p.IgnorePriority {
 		return q.urgency < other.urgency
 	}
 	if p.OldestFirst {
@@ -100,7 +100,7 @@
 
 // mayHold tells whether a request over an open flow should wait here.
 func (e *Engine) mayHold(now time.Duration) bool {
-	return !e.cfg.Policy.Bypass && e.busy(now) && !e.target.draining && !e.leaving && len(e.admission.queue) < maxQueue && e.admission.held < maxHeld
+	return !e.cfg.Policy.PassOpenFlows && e.busy(now) && !e.target.draining && !e.leaving && len(e.admission.queue) < maxQueue && e.admission.held < maxHeld
 }
 
 // queueRequest lets a request over an open flow wait. Its client sends copies
--- a/internal/passthrough/flowtable/recall.go
+++ b/internal/passthrough/flowtable/recall.go
@@ -19,9 +19,9 @@
 	recallFor = 20 * time.Second
 )
 
-// Recalled takes what control remembers of the flows of the target here. The
+// HandleRecall takes what control remembers of the flows of the target here. The
 // newest incarnation that any control VM remembers counts.
-func (e *Engine) Recalled(now time.Duration, u flowlog.Update) {
+func (e *Engine) HandleRecall(now time.Duration, u flowlog.Update) {
 	if now-e.startedAt > recallFor || e.recall != nil && u.Born < e.recall.Born {
 		return
 	}
@@ -88,10 +88,10 @@
 		x.recorded = true
 		x.recordedAck = x.ack
 		e.flows[f] = x
-		u.Opened = append(u.Opened, flowlog.Of(f, x.ack))
+		u.Opened = append(u.Opened, flowlog.NewRecord(f, x.ack))
 	}
 	for _, f := range e.ended {
-		u.Ended = append(u.Ended, flowlog.Of(f, 0))
+		u.Ended = append(u.Ended, flowlog.NewRecord(f, 0))
 	}
 	e.ended = nil
 	return u, whole || len(u.Opened) > 0 || len(u.Ended) > 0
--- a/internal/passthrough/flowtable/recall_test.go
+++ b/internal/passthrough/flowtable/recall_test.go
@@ -22,7 +22,7 @@
 func remembered(id string, born int64, ports ...uint16) flowlog.Update {
 	u := flowlog.Update{Target: id, Born: started.UnixMilli() + born, Whole: true}
 	for _, port := range ports {
-		u.Opened = append(u.Opened, flowlog.Of(flowOf(port), 5000))
+		u.Opened = append(u.Opened, flowlog.NewRecord(flowOf(port), 5000))
 	}
 	return u
 }
@@ -33,13 +33,13 @@
 func TestRememberedFlowsOfADeadTargetAreReset(t *testing.T) {
 	is := is.New(t)
 	r := restarted(t)
-	r.engine.Recalled(r.now, remembered("i-1", -60_000, 9, 10))
+	r.engine.HandleRecall(r.now, remembered("i-1", -60_000, 9, 10))
 	is.Equal(len(r.resets), 0) // who is there isn't known yet
 	r.announce("i-2", -100, 1)
 	is.Equal(len(r.resets), 2)
 	is.Equal(r.resets[0].seq, uint32(5000))
-	r.engine.Recalled(r.now, remembered("i-1", -60_000, 9, 10)) // from another control VM
-	is.Equal(len(r.resets), 4)                                  // a reset more does no harm
+	r.engine.HandleRecall(r.now, remembered("i-1", -60_000, 9, 10)) // from another control VM
+	is.Equal(len(r.resets), 4)                                      // a reset more does no harm
 }
 
 // Only the agent's process restarted. Its target is the one remembered, and lives:
@@ -48,7 +48,7 @@
 	is := is.New(t)
 	r := restarted(t)
 	r.announce("i-1", -60_000, 55)
-	r.engine.Recalled(r.now, remembered("i-1", -60_000, 9))
+	r.engine.HandleRecall(r.now, remembered("i-1", -60_000, 9))
 	is.Equal(len(r.resets), 0)
 	is.Equal(r.verdictOn(9, 1), peer.Holds)
 	is.Equal(r.verdictOn(10, 1), peer.Unsure)
@@ -60,8 +60,8 @@
 func TestOldMemoryIsNotActedOn(t *testing.T) {
 	is := is.New(t)
 	r := restarted(t)
-	r.engine.Recalled(r.now, remembered("i-2", -5_000, 9))
-	r.engine.Recalled(r.now, remembered("i-1", -60_000, 10))
+	r.engine.HandleRecall(r.now, remembered("i-2", -5_000, 9))
+	r.engine.HandleRecall(r.now, remembered("i-1", -60_000, 10))
 	r.announce("i-2", -5_000, 3)
 	is.Equal(len(r.resets), 0)
 	is.Equal(r.verdictOn(9, 1), peer.Holds)
@@ -69,7 +69,7 @@
 
 	r = restarted(t)
 	r.announce("i-1", -60_000, 55)
-	r.engine.Recalled(r.now, remembered("i-3", -1_000, 9))
+	r.engine.HandleRecall(r.now, remembered("i-3", -1_000, 9))
 	is.Equal(len(r.resets), 0)
 }
 
@@ -77,7 +77,7 @@
 func TestRememberedFlowsWithoutATargetAreReset(t *testing.T) {
 	is := is.New(t)
 	r := restarted(t)
-	r.engine.Recalled(r.now, remembered("i-1", -60_000, 9))
+	r.engine.HandleRecall(r.now, remembered("i-1", -60_000, 9))
 	r.engine.Probed(r.now, false)
 	r.pass(20 * time.Millisecond)
 	is.Equal(r.resets, []reset{{9, 5000}})
--- a/internal/passthrough/flowtable/report.go
+++ b/internal/passthrough/flowtable/report.go
@@ -34,15 +34,15 @@
 	e.number++
 	t := &e.target
 	r := peer.Report{
-		Process: e.cfg.Process, Number: e.number, Zone: e.cfg.Zone, Leaving: e.leaving,
+		Process: e.cfg.Process, Sequence: e.number, Zone: e.cfg.Zone, Leaving: e.leaving,
 		Slots: t.slots, Running: uint32(e.load.running + len(e.admission.queue)), Load: uint32(e.load.mean * 100), Flows: uint32(e.load.flows),
 	}
 	if t.known {
 		r.Service = uint64(t.service)
-		r.Born = t.born
-		r.Open = !t.draining && !t.silent && !e.leaving && !e.evacuated && !e.coldFull(now)
+		r.Incarnation = t.born
+		r.AcceptsFlows = !t.draining && !t.silent && !e.leaving && !e.evacuated && !e.coldFull(now)
 	}
-	r.Empty = e.empty(now)
+	r.NoTarget = e.empty(now)
 	r.Unsteady = e.outcomes.unsteady(now)
 	if t.coldTill > now {
 		r.ColdMS = uint32((t.coldTill - now).Milliseconds())
--- a/internal/passthrough/flowtable/rig_test.go
+++ b/internal/passthrough/flowtable/rig_test.go
@@ -33,7 +33,7 @@
 	refused  []refusal
 	// refusedAge is the age told with the last refusal.
 	refusedAge time.Duration
-	answers    []peer.Ruling
+	answers    []peer.Answer
 	resets     []reset
 	reports    int
 	notes      []Decision
@@ -51,7 +51,7 @@
 
 func (r *rig) ToTarget(raw []byte)                    { r.toTarget = append(r.toTarget, portOf(raw)) }
 func (r *rig) ToClient(c packet.Endpoint, _ []byte)   { r.toClient = append(r.toClient, c.Port) }
-func (r *rig) Answer(_ netip.AddrPort, x peer.Ruling) { r.answers = append(r.answers, x) }
+func (r *rig) Answer(_ netip.AddrPort, x peer.Answer) { r.answers = append(r.answers, x) }
 func (r *rig) Reset(f packet.Flow, seq uint32) {
 	r.resets = append(r.resets, reset{f.Client.Port, seq})
 }
@@ -68,7 +68,7 @@
 type codec struct{}
 
 func (codec) Decode([]byte) (packet.Packet, error)                  { return packet.Packet{}, nil }
-func (codec) Mark(raw []byte, tag uint16)                           { raw[2] = byte(tag) }
+func (codec) SetTag(raw []byte, tag uint16)                         { raw[2] = byte(tag) }
 func (codec) AppendReset(to []byte, _ packet.Flow, _ uint32) []byte { return to }
 
 func rawOf(port uint16) []byte { return []byte{byte(port >> 8), byte(port), 0} }
@@ -90,12 +90,12 @@
 
 // announce has a target say of itself that it is ready; born is in milliseconds
 // after the agent's start.
-func (r *rig) announce(id string, born int64, number uint64) Ruling {
+func (r *rig) announce(id string, born int64, number uint64) AnnouncementResult {
 	return r.say(id, born, number, false)
 }
 
-func (r *rig) say(id string, born int64, number uint64, draining bool) Ruling {
-	return r.engine.Announced(r.now, Announcement{
+func (r *rig) say(id string, born int64, number uint64, draining bool) AnnouncementResult {
+	return r.engine.HandleAnnouncement(r.now, Announcement{
 		ID: id, Service: desk, Address: address, Born: started.UnixMilli() + born, Number: number, Slots: 4, Draining: draining,
 	})
 }
@@ -110,7 +110,7 @@
 
 func (r *rig) fromClient(port uint16, flags packet.Flags, seq, ack uint32, data int) {
 	p := packet.Packet{Src: flowOf(port).Client, Dst: service, Flags: flags, Seq: seq, Ack: ack, Data: data}
-	h := peer.Head{Kind: peer.KindDeliver, Service: route.IDOf(desk)}
+	h := peer.Header{Kind: peer.KindDeliver, Service: route.IDOf(desk)}
 	r.engine.FromBalancer(r.now, balancer, h, p, rawOf(port))
 }
 
@@ -142,7 +142,7 @@
 
 func (r *rig) report() peer.Report { return r.engine.Report(r.now) }
 
-func (r *rig) verdictOn(port uint16, ack uint32) peer.Verdict {
+func (r *rig) verdictOn(port uint16, ack uint32) peer.FlowStatus {
 	r.engine.Ask(r.now, balancer, peer.Question{Flow: flowOf(port), Ack: ack})
-	return r.answers[len(r.answers)-1].Verdict
+	return r.answers[len(r.answers)-1].Status
 }
--- a/internal/passthrough/flowtable/target.go
+++ b/internal/passthrough/flowtable/target.go
@@ -22,17 +22,17 @@
 	Cold time.Duration
 }
 
-// Ruling says what became of an announcement.
-type Ruling uint8
+// AnnouncementResult says what became of an announcement.
+type AnnouncementResult uint8
 
 const (
-	// Taken: it describes the target from now on.
-	Taken Ruling = iota + 1
-	// Late: a newer one of the same incarnation, or a newer incarnation, was
+	// AnnouncementAccepted: it describes the target from now on.
+	AnnouncementAccepted AnnouncementResult = iota + 1
+	// AnnouncementOutdated: a newer one of the same incarnation, or a newer incarnation, was
 	// taken before. It changes nothing.
-	Late
-	// NotOurs: it is of another service or address than this VM's target.
-	NotOurs
+	AnnouncementOutdated
+	// AnnouncementForOtherTarget: it is of another service or address than this VM's target.
+	AnnouncementForOtherTarget
 )
 
 // target is what the agent knows of its target.
@@ -83,22 +83,22 @@
 	return a.Born == 0 || e.cfg.StartedWall.Sub(time.UnixMilli(a.Born)) > bornTogether
 }
 
-// Announced takes what a target says of itself.
-func (e *Engine) Announced(now time.Duration, a Announcement) Ruling {
+// HandleAnnouncement takes what a target says of itself.
+func (e *Engine) HandleAnnouncement(now time.Duration, a Announcement) AnnouncementResult {
 	if e.cfg.Service != "" && a.Service != e.cfg.Service || e.cfg.Address != "" && a.Address != e.cfg.Address {
-		return NotOurs
+		return AnnouncementForOtherTarget
 	}
 	t := &e.target
 	switch {
 	case t.id == a.ID && t.born == a.Born && (t.known || t.leftAt > 0):
 		if a.Number <= t.number || !t.known {
-			return Late
+			return AnnouncementOutdated
 		}
 	case t.id == a.ID && t.born == a.Born && a.Number <= t.number:
-		return Late // it was taken for dead, and this was said before
+		return AnnouncementOutdated // it was taken for dead, and this was said before
 	case t.id != "" && a.Born < t.born:
 		e.note(now, Decision{Verdict: StaleAnnouncement})
-		return Late
+		return AnnouncementOutdated
 	default:
 		e.arrive(now, a)
 	}
@@ -113,7 +113,7 @@
 		e.note(now, Decision{Verdict: TargetDrains, Flows: e.load.flows})
 		e.cfg.Out.Report()
 	}
-	return Taken
+	return AnnouncementAccepted
 }
 
 // clockSlack is how far the time of day may be off between a target's birth and
@@ -157,8 +157,8 @@
 	e.cfg.Out.Report()
 }
 
-// Left takes a target's word that it ends.
-func (e *Engine) Left(now time.Duration, id string) {
+// HandleTargetLeft takes a target's word that it ends.
+func (e *Engine) HandleTargetLeft(now time.Duration, id string) {
 	if !e.target.known || e.target.id != id {
 		return
 	}
--- a/internal/passthrough/flowtable/target_test.go
+++ b/internal/passthrough/flowtable/target_test.go
@@ -16,15 +16,15 @@
 	is := is.New(t)
 	r := newRig(t)
 	r.open(9, 1000)
-	is.Equal(r.say("i-1", 0, 2, true), Taken)
+	is.Equal(r.say("i-1", 0, 2, true), AnnouncementAccepted)
 	is.Equal(r.reports > 0, true)
-	is.Equal(r.report().Open, false)
+	is.Equal(r.report().AcceptsFlows, false)
 	r.syn(10)
 	is.Equal(r.refused, []refusal{{10, peer.Draining}})
 	r.ask(9, 0)
 	is.Equal(len(r.toTarget), 3)
-	is.Equal(r.say("i-1", 0, 3, false), Taken) // one that drains doesn't come back
-	is.Equal(r.report().Open, false)
+	is.Equal(r.say("i-1", 0, 3, false), AnnouncementAccepted) // one that drains doesn't come back
+	is.Equal(r.report().AcceptsFlows, false)
 }
 
 // A target ends as planned. Its process may run a little after its farewell;
@@ -35,13 +35,13 @@
 	r := newRig(t)
 	r.open(9, 1000)
 	r.say("i-1", 0, 2, true)
-	r.engine.Left(r.now, "i-0") // another one's
-	r.engine.Left(r.now, "i-1")
+	r.engine.HandleTargetLeft(r.now, "i-0") // another one's
+	r.engine.HandleTargetLeft(r.now, "i-1")
 	is.Equal(len(r.resets), 0)
-	is.Equal(r.report().Empty, false)
+	is.Equal(r.report().NoTarget, false)
 	r.pass(afterLeft + 20*time.Millisecond)
 	is.Equal(r.resets, []reset{{9, 1001}})
-	is.Equal(r.report().Empty, true)
+	is.Equal(r.report().NoTarget, true)
 	r.syn(10)
 	is.Equal(r.refused, []refusal{{10, peer.NoTarget}})
 }
@@ -55,7 +55,7 @@
 	r.engine.Stop(r.now)
 	is.Equal(len(r.resets), 0)
 	is.Equal(r.report().Leaving, true)
-	is.Equal(r.report().Empty, false)
+	is.Equal(r.report().NoTarget, false)
 	r.syn(10)
 	is.Equal(r.refused, []refusal{{10, peer.Draining}})
 }
@@ -66,10 +66,10 @@
 	is := is.New(t)
 	r := newRig(t)
 	r.open(9, 1000)
-	r.engine.Left(r.now, "i-1")
+	r.engine.HandleTargetLeft(r.now, "i-1")
 	r.engine.Stop(r.now)
 	is.Equal(r.resets, []reset{{9, 1001}})
-	is.Equal(r.report().Empty, true)
+	is.Equal(r.report().NoTarget, true)
 }
 
 // A target crashed and came back under its id. Its callers' flows are gone with
@@ -79,11 +79,11 @@
 	is := is.New(t)
 	r := newRig(t)
 	r.open(9, 1000)
-	is.Equal(r.announce("i-1", 5_000, 1), Taken)
+	is.Equal(r.announce("i-1", 5_000, 1), AnnouncementAccepted)
 	is.Equal(r.resets, []reset{{9, 1001}})
-	is.Equal(r.say("i-1", 0, 50, true), Late)
-	is.Equal(r.report().Open, true)
-	is.Equal(r.announce("i-1", 5_000, 1), Late) // the same again
+	is.Equal(r.say("i-1", 0, 50, true), AnnouncementOutdated)
+	is.Equal(r.report().AcceptsFlows, true)
+	is.Equal(r.announce("i-1", 5_000, 1), AnnouncementOutdated) // the same again
 	is.Equal(r.verdictOn(9, 5), peer.Lacks)
 }
 
@@ -92,10 +92,10 @@
 	is := is.New(t)
 	r := newRig(t)
 	a := Announcement{ID: "i-7", Service: "mapdocs", Address: address, Born: 9e15, Number: 1}
-	is.Equal(r.engine.Announced(r.now, a), NotOurs)
+	is.Equal(r.engine.HandleAnnouncement(r.now, a), AnnouncementForOtherTarget)
 	a.Service, a.Address = desk, "10.0.0.8:8080"
-	is.Equal(r.engine.Announced(r.now, a), NotOurs)
-	is.Equal(r.report().Open, true)
+	is.Equal(r.engine.HandleAnnouncement(r.now, a), AnnouncementForOtherTarget)
+	is.Equal(r.report().AcceptsFlows, true)
 }
 
 // An agent whose VM never gets a target says so after a while, and not before:
@@ -104,16 +104,16 @@
 	is := is.New(t)
 	r := newRig(t)
 	r.engine = New(Config{Service: desk, Address: address, Heartbeat: time.Second, StartedAt: r.now, Policy: policy, Codec: codec{}, Out: r})
-	is.Equal(r.report().Empty, false)
+	is.Equal(r.report().NoTarget, false)
 	r.pass(3 * time.Second)
-	is.Equal(r.report().Empty, true)
+	is.Equal(r.report().NoTarget, true)
 }
 
 // A target that just started is slow, and balancers are told for how long.
 func TestColdTarget(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
-	r.engine.Announced(r.now, Announcement{ID: "i-1", Service: desk, Address: address, Born: started.UnixMilli(), Number: 2, Slots: 4, Cold: time.Second})
+	r.engine.HandleAnnouncement(r.now, Announcement{ID: "i-1", Service: desk, Address: address, Born: started.UnixMilli(), Number: 2, Slots: 4, Cold: time.Second})
 	is.Equal(r.report().ColdMS, uint32(1000))
 	r.pass(time.Second)
 	is.Equal(r.report().ColdMS, uint32(0))
@@ -142,12 +142,12 @@
 	r.engine = New(Config{Service: desk, Address: address, Heartbeat: time.Second, StartedAt: r.now, Policy: policy, Codec: codec{}, Out: r})
 	is.True(r.engine.WantsProbe(r.now))
 	r.engine.Probed(r.now, true) // somebody is there
-	is.Equal(r.report().Empty, false)
+	is.Equal(r.report().NoTarget, false)
 	r.engine.Probed(r.now, false)
-	is.Equal(r.report().Empty, true)
+	is.Equal(r.report().NoTarget, true)
 	is.Equal(r.verdictOn(9, 5), peer.Lacks)
 	r.announce("i-1", 0, 1)
-	is.Equal(r.report().Empty, false)
+	is.Equal(r.report().NoTarget, false)
 	is.Equal(r.engine.WantsProbe(r.now), false)
 }
 
@@ -166,10 +166,10 @@
 	is.Equal(len(r.resets), 0)
 	r.engine.Probed(r.now, false)
 	is.Equal(r.resets, []reset{{9, 1001}})
-	is.Equal(r.report().Open, false)
-	is.Equal(r.report().Empty, true)
+	is.Equal(r.report().AcceptsFlows, false)
+	is.Equal(r.report().NoTarget, true)
 	r.announce("i-1", 3000, 1) // reborn
-	is.Equal(r.report().Open, true)
+	is.Equal(r.report().AcceptsFlows, true)
 }
 
 // A target was taken for dead, and announces itself on: it lives, with flows
@@ -178,8 +178,8 @@
 	is := is.New(t)
 	r := newRig(t)
 	r.engine.Probed(r.now, false)
-	is.Equal(r.announce("i-1", 0, 2), Taken)
-	is.Equal(r.report().Open, true)
+	is.Equal(r.announce("i-1", 0, 2), AnnouncementAccepted)
+	is.Equal(r.report().AcceptsFlows, true)
 	is.Equal(r.verdictOn(9, 5), peer.Unsure)
 }
 
@@ -193,7 +193,7 @@
 	r.open(9, 1000) // at the first incarnation
 	r.now += 10 * time.Second
 	r.open(10, 5000) // at the second one, born a moment ago
-	is.Equal(r.announce("i-1", 9_900, 1), Taken)
+	is.Equal(r.announce("i-1", 9_900, 1), AnnouncementAccepted)
 	is.Equal(r.resets, []reset{{9, 1001}})
 	is.Equal(r.verdictOn(10, 5001), peer.Holds)
 	is.Equal(r.verdictOn(9, 1001), peer.Lacks)
@@ -208,7 +208,7 @@
 	r := newRig(t)
 	r.engine = New(Config{Service: desk, Address: address, StartedAt: r.now, StartedWall: started, Policy: policy, Codec: codec{}, Out: r})
 	say := func(id string) {
-		r.engine.Announced(r.now, Announcement{ID: id, Service: desk, Address: address, Number: 1, Slots: 4})
+		r.engine.HandleAnnouncement(r.now, Announcement{ID: id, Service: desk, Address: address, Number: 1, Slots: 4})
 	}
 	say("i-1")
 	r.open(9, 1000)
--- a/internal/passthrough/flowtable/tick.go
+++ b/internal/passthrough/flowtable/tick.go
@@ -51,7 +51,7 @@
 			e.note(now, Decision{Verdict: TargetSilent, Flow: f})
 			e.cfg.Out.Report()
 		}
-		e.cfg.Codec.Mark(w.raw, 0)
+		e.cfg.Codec.SetTag(w.raw, 0)
 		e.refuseFirst(now, w.arrival, peer.Silent)
 	}
 }
--- a/internal/passthrough/forward/agents.go
+++ b/internal/passthrough/forward/agents.go
@@ -11,8 +11,8 @@
 // noAgent marks the absence of an agent number.
 const noAgent = ^uint32(0)
 
-// Listed is an entry of the agent list that control distributes.
-type Listed struct {
+// AgentInfo is an entry of the agent list that control distributes.
+type AgentInfo struct {
 	Address netip.AddrPort
 	Zone    string
 	// Service is the one that the agent's VM belongs to, 0 if unknown.
@@ -28,7 +28,7 @@
 	// listed says that control lists the agent; delistedAt is when it was removed from
 	// the list.
 	listed     bool
-	entry      Listed
+	entry      AgentInfo
 	delistedAt time.Duration
 	report     peer.Report
 	// reportedAt is the time of the last report, lastSeenAt of the last datagram,
@@ -65,7 +65,7 @@
 // target runs on, unless it reports that there is none, and its next process takes the
 // flows over.
 func (a *agent) mayHoldFlows(now time.Duration) bool {
-	if a.report.Empty && (a.report.Leaving || a.hasFreshReport(now)) {
+	if a.report.NoTarget && (a.report.Leaving || a.hasFreshReport(now)) {
 		return false
 	}
 	return a.listed || max(a.reportedAt, a.delistedAt) > 0 && now-max(a.reportedAt, a.delistedAt) < delistedAgentTTL
@@ -151,8 +151,8 @@
 	return number
 }
 
-// List adds an agent that control lists, or updates its entry.
-func (e *Engine) List(now time.Duration, x Listed) {
+// ListAgent adds an agent that control lists, or updates its entry.
+func (e *Engine) ListAgent(now time.Duration, x AgentInfo) {
 	number := e.agents.number(x.Address)
 	a := &e.agents.list[number]
 	if !a.listed {
@@ -168,9 +168,9 @@
 	e.agents.updateGroup(now, number)
 }
 
-// Delist records that control no longer lists an agent. It is asked for flows for
+// DelistAgent records that control no longer lists an agent. It is asked for flows for
 // delistedAgentTTL, since it may be cut off from control only.
-func (e *Engine) Delist(now time.Duration, at netip.AddrPort) {
+func (e *Engine) DelistAgent(now time.Duration, at netip.AddrPort) {
 	a := &e.agents.list[e.agents.number(at)]
 	if !a.listed {
 		return
@@ -180,9 +180,9 @@
 	e.agents.listed--
 }
 
-// Retire records that an agent is gone together with its target. It isn't asked any more,
+// RetireAgent records that an agent is gone together with its target. It isn't asked any more,
 // since no flow can be open there.
-func (e *Engine) Retire(at netip.AddrPort) {
+func (e *Engine) RetireAgent(at netip.AddrPort) {
 	a := &e.agents.list[e.agents.number(at)]
 	if a.listed {
 		e.agents.listed--
@@ -192,12 +192,12 @@
 	a.report = peer.Report{}
 }
 
-// Reported handles an agent's report. Reports of one process that arrive out of order are
+// HandleReport handles an agent's report. Reports of one process that arrive out of order are
 // ignored; the first report of a new process at the address replaces the old state.
-func (e *Engine) Reported(now time.Duration, from netip.AddrPort, r peer.Report) {
+func (e *Engine) HandleReport(now time.Duration, from netip.AddrPort, r peer.Report) {
 	number := e.agents.markSeen(now, from)
 	a := &e.agents.list[number]
-	if a.report.Process == r.Process && a.report.Number >= r.Number {
+	if a.report.Process == r.Process && a.report.Sequence >= r.Sequence {
 		return
 	}
 	a.report = r
@@ -216,8 +216,8 @@
 	}
 }
 
-// Known returns the number of agents that flows are placed at or asked for.
-func (e *Engine) Known() int {
+// AgentCount returns the number of agents that flows are placed at or asked for.
+func (e *Engine) AgentCount() int {
 	n := 0
 	for _, g := range e.agents.index.groups {
 		n += len(g.members)
--- a/internal/passthrough/forward/choose.go
+++ b/internal/passthrough/forward/choose.go
@@ -37,7 +37,7 @@
 	n := c.n
 	c.n = 0
 	for i := range n {
-		if p.Relieves(&c.targets[i], own) {
+		if p.TakesOverflow(&c.targets[i], own) {
 			c.add(c.numbers[i], c.targets[i])
 		}
 	}
@@ -154,7 +154,7 @@
 	if c.e.evacuated[zone] {
 		return false
 	}
-	homes := c.e.table.Homes(c.flow.Service)
+	homes := c.e.table.AllowedRegions(c.flow.Service)
 	return homes == nil || slices.Contains(homes, c.e.cfg.Regions[zone])
 }
 
@@ -165,7 +165,7 @@
 	case slices.Contains(c.excluded, number), c.now < a.avoidUntil, a.report.Leaving, !a.mayHoldFlows(c.now), a.unresponsive(c.now):
 		return false
 	case a.hasFreshReport(c.now):
-		return a.report.Open
+		return a.report.AcceptsFlows
 	}
 	return true
 }
@@ -197,7 +197,7 @@
 // usableAsFallback tells whether an agent without a fresh report may receive new flows:
 // its last report accepts them and is younger than fallbackReportAge.
 func (a *agent) usableAsFallback(now time.Duration) bool {
-	return a.report.Open && !a.report.Leaving && !a.hasFreshReport(now) && now-a.reportedAt < fallbackReportAge
+	return a.report.AcceptsFlows && !a.report.Leaving && !a.hasFreshReport(now) && now-a.reportedAt < fallbackReportAge
 }
 
 func (e *Engine) targetOf(number uint32, near bool) placement.Target {
--- a/internal/passthrough/forward/decision.go
+++ b/internal/passthrough/forward/decision.go
@@ -19,8 +19,8 @@
 	Probe(to netip.AddrPort)
 	// Reset sends a reset for the flow to its client.
 	Reset(f packet.Flow, seq uint32)
-	// Note records a decision in the log.
-	Note(d Decision)
+	// LogDecision records a decision in the log.
+	LogDecision(d Decision)
 }
 
 // Verdict is the outcome of a decision on a flow.
@@ -39,11 +39,11 @@
 	Found
 	// ResetRouteGone: a flow whose route was removed was reset.
 	ResetRouteGone
-	// ResetNowhere: a flow that no agent holds was reset.
-	ResetNowhere
-	// DroppedUnfound: a packet was dropped because the search ended without answers from
+	// ResetNoHolder: a flow that no agent holds was reset.
+	ResetNoHolder
+	// DroppedNotFound: a packet was dropped because the search ended without answers from
 	// all agents.
-	DroppedUnfound
+	DroppedNotFound
 	// HeldEarly: a packet that arrived before the table or the first reports is held.
 	HeldEarly
 	// DroppedBusy: a packet was dropped because too many packets or searches are pending.
--- a/internal/passthrough/forward/early.go
+++ b/internal/passthrough/forward/early.go
@@ -16,7 +16,7 @@
 
 const (
 	// earlyPacketTTL is how long a packet is held.
-	earlyPacketTTL = packet.OpenPatience
+	earlyPacketTTL = packet.HandshakeTimeout
 	// maxEarlyPackets bounds the packets held, 1.3 kB each.
 	maxEarlyPackets = 4_096
 )
@@ -83,5 +83,5 @@
 	if e.table == nil {
 		return false
 	}
-	return !e.startingUp(now) || !x.searchFailed && e.Known() > 0
+	return !e.startingUp(now) || !x.searchFailed && e.AgentCount() > 0
 }
--- a/internal/passthrough/forward/evacuation_test.go
+++ b/internal/passthrough/forward/evacuation_test.go
@@ -14,7 +14,7 @@
 // agentIn has an agent of a data centre report that its target takes new flows.
 func (r *testEngine) agentIn(n byte, service, zone string) netip.AddrPort {
 	at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 7000)
-	r.report(at, peer.Report{Process: uint64(n), Service: uint64(route.IDOf(service)), Zone: zone, Open: true, Slots: 4})
+	r.report(at, peer.Report{Process: uint64(n), Service: uint64(route.IDOf(service)), Zone: zone, AcceptsFlows: true, Slots: 4})
 	return at
 }
 
@@ -34,7 +34,7 @@
 			is.True(d.to != agents[evacuated])
 		}
 		r.engine.SetEvacuated(nil)
-		r.engine.Refused(r.now, r.delivered[0].to, peer.Head{Reason: peer.Draining}, syn(0), rawOf(0))
+		r.engine.HandleRefused(r.now, r.delivered[0].to, peer.Header{Reason: peer.Draining}, syn(0), rawOf(0))
 		is.Equal(r.delivered[len(r.delivered)-1].to, agents[evacuated]) // available again
 	}
 }
@@ -77,7 +77,7 @@
 	r.agentIn(1, casework, zone)
 	away := r.agentIn(2, casework, "kumasi-a")
 	d := &route.Definition{Version: 2, Routes: []route.Route{{
-		IP: service.IP, Port: service.Port, TimeoutMS: 1000, Backends: []route.Backed{{Service: casework, Weight: 1}}, Homes: []string{"ashanti"},
+		IP: service.IP, Port: service.Port, TimeoutMS: 1000, Backends: []route.Backend{{Service: casework, Weight: 1}}, AllowedRegions: []string{"ashanti"},
 	}}}
 	r.engine.SetTable(r.now, route.NewTable(d))
 	for port := range uint16(20) {
@@ -87,7 +87,7 @@
 	for _, x := range r.delivered {
 		is.Equal(x.to, away)
 	}
-	d.Routes[0].Homes = []string{"volta"}
+	d.Routes[0].AllowedRegions = []string{"volta"}
 	r.engine.SetTable(r.now, route.NewTable(d))
 	r.send(syn(99))
 	is.Equal(len(r.resets), 1)
--- a/internal/passthrough/forward/fleet_test.go
+++ b/internal/passthrough/forward/fleet_test.go
@@ -143,11 +143,11 @@
 		QuestionBudget: 0.2 * fleetLinkBytesPerSecond, Out: b,
 	})
 	d := &route.Definition{Version: 1, Routes: []route.Route{{
-		IP: service.IP, Port: service.Port, TimeoutMS: 1000, Backends: []route.Backed{{Service: casework, Weight: 1}},
+		IP: service.IP, Port: service.Port, TimeoutMS: 1000, Backends: []route.Backend{{Service: casework, Weight: 1}},
 	}}}
 	b.engine.SetTable(b.f.now, route.NewTable(d))
 	for n, a := range b.f.agents {
-		b.engine.List(b.f.now, Listed{Address: a.address, Zone: fleetZones[n%len(fleetZones)], Service: route.IDOf(casework)})
+		b.engine.ListAgent(b.f.now, AgentInfo{Address: a.address, Zone: fleetZones[n%len(fleetZones)], Service: route.IDOf(casework)})
 	}
 	b.tick(b.process)
 }
@@ -216,7 +216,7 @@
 			v = peer.Holds
 		}
 		b.receive(peer.QuestionCost+1, func() {
-			b.engine.Answered(b.f.now, a.address, peer.Ruling{Question: q, Verdict: v})
+			b.engine.HandleAnswer(b.f.now, a.address, peer.Answer{Question: q, Status: v})
 		})
 	})
 }
@@ -227,14 +227,14 @@
 		a.number++
 		ip := a.address.Addr().As4()
 		r := peer.Report{
-			Number: a.number, Service: uint64(route.IDOf(casework)), Zone: fleetZones[(int(ip[2])<<8|int(ip[3]))%len(fleetZones)], Open: true, Slots: 2,
+			Sequence: a.number, Service: uint64(route.IDOf(casework)), Zone: fleetZones[(int(ip[2])<<8|int(ip[3]))%len(fleetZones)], AcceptsFlows: true, Slots: 2,
 		}
-		b.receive(reportBytes, func() { b.engine.Reported(b.f.now, a.address, r) })
+		b.receive(reportBytes, func() { b.engine.HandleReport(b.f.now, a.address, r) })
 	})
 }
 
 func (b *fleetBalancer) Reset(x packet.Flow, _ uint32) { b.f.reset(x) }
-func (b *fleetBalancer) Note(Decision)                 {}
+func (b *fleetBalancer) LogDecision(Decision)          {}
 
 // callerOf returns the caller of a flow, nil if it has abandoned the flow.
 func (f *fleet) callerOf(x packet.Flow) *fleetCaller {
@@ -259,7 +259,7 @@
 		}
 	case !a.held[x]:
 		p := packet.Packet{Src: x.Client, Dst: service, Flags: packet.ACK}
-		b.receive(packetBytes, func() { b.engine.Refused(f.now, a.address, peer.Head{Reason: peer.NotHeld}, p, raw) })
+		b.receive(packetBytes, func() { b.engine.HandleRefused(f.now, a.address, peer.Header{Reason: peer.NotHeld}, p, raw) })
 	case c != nil && c.waiting:
 		c.waiting = false
 		if f.now-c.sentAt <= onTimeLimit {
@@ -322,7 +322,7 @@
 		p.Data = 0
 	}
 	if b := f.pick(c); b != nil {
-		b.receive(packetBytes, func() { b.engine.FromClient(f.now, p, raw) })
+		b.receive(packetBytes, func() { b.engine.HandleClientPacket(f.now, p, raw) })
 	}
 	wait := 200 * time.Millisecond << c.tries
 	c.tries++
--- a/internal/passthrough/forward/forward.go
+++ b/internal/passthrough/forward/forward.go
@@ -77,7 +77,7 @@
 
 // DefaultPolicy returns the policy used in production.
 func DefaultPolicy() Policy {
-	return Policy{Place: placement.Default(), Youth: 150 * time.Millisecond}
+	return Policy{Place: placement.DefaultPolicy(), Youth: 150 * time.Millisecond}
 }
 
 // flowEntry is the flow table's entry: the agent that a flow's packets go to.
@@ -182,8 +182,8 @@
 	return now - a.arrivedAt
 }
 
-// FromClient handles a client's packet from the fabric.
-func (e *Engine) FromClient(now time.Duration, p packet.Packet, raw []byte) {
+// HandleClientPacket handles a client's packet from the fabric.
+func (e *Engine) HandleClientPacket(now time.Duration, p packet.Packet, raw []byte) {
 	e.fromClient(now, arrival{arrivedAt: now, p: p, raw: raw})
 }
 
@@ -261,9 +261,9 @@
 	e.cfg.Out.Deliver(a.address, a.service(), age, raw)
 }
 
-// Refused handles a packet that an agent handed back. The head tells why, and how long
+// HandleRefused handles a packet that an agent handed back. The header tells why, and how long
 // the packet has been under way.
-func (e *Engine) Refused(now time.Duration, from netip.AddrPort, h peer.Head, p packet.Packet, raw []byte) {
+func (e *Engine) HandleRefused(now time.Duration, from netip.AddrPort, h peer.Header, p packet.Packet, raw []byte) {
 	f := p.FromClient()
 	agent := e.agents.markSeen(now, from)
 	if e.table == nil || len(e.table.Services(f.Service)) == 0 {
@@ -294,7 +294,7 @@
 	if known && entry.agent != agent {
 		return // a retransmit has already gone to another agent
 	}
-	if reason == peer.Busy || a.age(now) >= packet.OpenPatience {
+	if reason == peer.Busy || a.age(now) >= packet.HandshakeTimeout {
 		e.rejectFlow(f, entry, reason)
 		return
 	}
@@ -302,7 +302,7 @@
 	case peer.Full:
 		e.agents.list[agent].avoidUntil = now + fullTargetBackoff
 	case peer.Silent, peer.Draining, peer.NoTarget, peer.WrongService, peer.Evacuated, peer.Cold, peer.NotHome:
-		e.agents.list[agent].report.Open = false // until its next report
+		e.agents.list[agent].report.AcceptsFlows = false // until its next report
 	}
 	entry.exclude(agent)
 	if entry.attempts == 0 {
@@ -335,5 +335,5 @@
 	if e.table != nil {
 		d.Version = e.table.Version
 	}
-	e.cfg.Out.Note(d)
+	e.cfg.Out.LogDecision(d)
 }
--- a/internal/passthrough/forward/placing_test.go
+++ b/internal/passthrough/forward/placing_test.go
@@ -27,7 +27,7 @@
 	for i, why := range []peer.Reason{peer.Draining, peer.Full} {
 		to := r.delivered[i].to
 		seen[to.String()] = true
-		r.engine.Refused(r.now, to, peer.Head{Reason: why}, syn(9), rawOf(0))
+		r.engine.HandleRefused(r.now, to, peer.Header{Reason: why}, syn(9), rawOf(0))
 		is.Equal(r.lastDecision().Verdict, Moved)
 		is.Equal(r.lastDecision().Reason, why)
 	}
@@ -43,7 +43,7 @@
 	r := newTestEngine(t)
 	a := r.agentAt(1, casework)
 	r.send(syn(9))
-	r.engine.Refused(r.now, a, peer.Head{Reason: peer.Silent}, syn(9), rawOf(0))
+	r.engine.HandleRefused(r.now, a, peer.Header{Reason: peer.Silent}, syn(9), rawOf(0))
 	is.Equal(len(r.resets), 1)
 	is.Equal(r.lastDecision().Verdict, RefusedNoTarget)
 	is.Equal(r.engine.Flows(), 0)
@@ -102,7 +102,7 @@
 	is.Equal(len(r.delivered), 0)
 	is.Equal(len(r.probed), minKnownCandidates+1)
 	for _, at := range r.probed[1:] {
-		r.report(at, peer.Report{Process: uint64(at.Addr().As4()[3]), Service: uint64(route.IDOf(casework)), Zone: zone, Open: true, Slots: 4})
+		r.report(at, peer.Report{Process: uint64(at.Addr().As4()[3]), Service: uint64(route.IDOf(casework)), Zone: zone, AcceptsFlows: true, Slots: 4})
 	}
 	is.Equal(len(r.delivered), 1)
 	is.Equal(r.lastDecision().Waited, time.Duration(0))
@@ -126,7 +126,7 @@
 	for _, agents := range []int{10, 200, 2000} {
 		r := newFleetTestEngine(t, "a", 0, 0)
 		for n := range agents {
-			r.engine.List(r.now, Listed{Address: fleetAddress(n), Zone: fleetZones[n%len(fleetZones)], Service: route.IDOf(casework)})
+			r.engine.ListAgent(r.now, AgentInfo{Address: fleetAddress(n), Zone: fleetZones[n%len(fleetZones)], Service: route.IDOf(casework)})
 		}
 		const flows = 1000
 		for port := range uint16(flows) {
@@ -179,10 +179,10 @@
 	is := is.New(t)
 	r := newTestEngine(t)
 	a := r.agentAt(1, casework)
-	x := peer.Report{Process: 1, Service: uint64(route.IDOf(casework)), Zone: zone, Number: 50}
-	r.engine.Reported(r.now, a, x) // draining
-	x.Number, x.Open = 49, true
-	r.engine.Reported(r.now, a, x)
+	x := peer.Report{Process: 1, Service: uint64(route.IDOf(casework)), Zone: zone, Sequence: 50}
+	r.engine.HandleReport(r.now, a, x) // draining
+	x.Sequence, x.AcceptsFlows = 49, true
+	r.engine.HandleReport(r.now, a, x)
 	r.send(syn(9))
 	is.Equal(len(r.delivered), 0)
 	is.Equal(len(r.resets), 1)
@@ -221,7 +221,7 @@
 	*discarding = *r.engine
 	discarding.cfg.Out = discardOutput{}
 	p, raw := data(9, 5), rawOf(5)
-	if n := testing.AllocsPerRun(1000, func() { discarding.FromClient(r.now, p, raw) }); n != 0 {
+	if n := testing.AllocsPerRun(1000, func() { discarding.HandleClientPacket(r.now, p, raw) }); n != 0 {
 		t.Errorf("%v allocations a packet", n)
 	}
 }
@@ -236,7 +236,7 @@
 		n := i % benchFlows
 		p := data(uint16(n), 5)
 		p.Src.IP[3] = byte(n >> 16)
-		e.FromClient(time.Hour, p, raw)
+		e.HandleClientPacket(time.Hour, p, raw)
 	}
 }
 
@@ -251,8 +251,8 @@
 		p := data(uint16(i), 5)
 		p.Src.IP[2], p.Src.IP[3] = 9, byte(i>>16)
 		delete(e.flows, p.FromClient())
-		e.FromClient(time.Hour, p, raw)
-		e.Answered(time.Hour, at, peer.Ruling{Question: peer.Question{Flow: p.FromClient(), Ack: 5}, Verdict: peer.Holds})
+		e.HandleClientPacket(time.Hour, p, raw)
+		e.HandleAnswer(time.Hour, at, peer.Answer{Question: peer.Question{Flow: p.FromClient(), Ack: 5}, Status: peer.Holds})
 	}
 }
 
@@ -281,7 +281,7 @@
 func (discardOutput) Ask(netip.AddrPort, peer.Question)                              {}
 func (discardOutput) Probe(netip.AddrPort)                                           {}
 func (discardOutput) Reset(packet.Flow, uint32)                                      {}
-func (discardOutput) Note(Decision)                                                  {}
+func (discardOutput) LogDecision(Decision)                                           {}
 
 // BenchmarkFlowMemory measures the memory of a flow table entry.
 func BenchmarkFlowMemory(b *testing.B) {
@@ -318,7 +318,7 @@
 	r.agentAt(1, casework)
 	r.agentAt(2, casework)
 	r.send(syn(9))
-	r.engine.Refused(r.now, r.delivered[0].to, peer.Head{Reason: peer.Busy, Age: 800}, syn(9), rawOf(0))
+	r.engine.HandleRefused(r.now, r.delivered[0].to, peer.Header{Reason: peer.Busy, Age: 800}, syn(9), rawOf(0))
 	is.Equal(len(r.delivered), 1)
 	is.Equal(r.resets, []reset{{flowOf(9), 0}})
 	is.Equal(r.lastDecision().Verdict, RefusedNoTarget)
@@ -332,7 +332,7 @@
 	r.agentAt(1, casework)
 	r.agentAt(2, casework)
 	r.send(syn(9))
-	r.engine.Refused(r.now, r.delivered[0].to, peer.Head{Reason: peer.Draining, Age: 300}, syn(9), rawOf(0))
+	r.engine.HandleRefused(r.now, r.delivered[0].to, peer.Header{Reason: peer.Draining, Age: 300}, syn(9), rawOf(0))
 	is.Equal(r.lastDecision().Verdict, Moved)
 	is.Equal(r.delivered[1].age, 300*time.Millisecond)
 }
@@ -347,7 +347,7 @@
 	second := syn(9)
 	second.Ack = 2
 	r.send(second)
-	r.engine.Refused(r.now, r.delivered[0].to, peer.Head{Reason: peer.Silent, Age: 900}, second, rawOf(2))
+	r.engine.HandleRefused(r.now, r.delivered[0].to, peer.Header{Reason: peer.Silent, Age: 900}, second, rawOf(2))
 	is.Equal(len(r.delivered), 1)
 	is.Equal(len(r.resets), 1)
 }
@@ -356,7 +356,7 @@
 func (r *testEngine) agentWithLoad(n byte, service string, running uint32) netip.AddrPort {
 	at := r.agentAt(n, service)
 	r.report(at, peer.Report{
-		Process: uint64(n), Service: uint64(route.IDOf(service)), Zone: zone, Open: true, Slots: 4,
+		Process: uint64(n), Service: uint64(route.IDOf(service)), Zone: zone, AcceptsFlows: true, Slots: 4,
 		Running: running, Load: running * 100,
 	})
 	return at
@@ -403,7 +403,7 @@
 // service.
 func newOverflowTestEngine(t *testing.T, running uint32) (r *testEngine, idleAgent netip.AddrPort) {
 	r = newTestEngine(t)
-	r.weightedTable(2, route.Backed{Service: casework, Weight: 1_000_000}, route.Backed{Service: mapdocs, Weight: 1})
+	r.weightedTable(2, route.Backend{Service: casework, Weight: 1_000_000}, route.Backend{Service: mapdocs, Weight: 1})
 	r.agentWithLoad(1, casework, running)
 	r.agentWithLoad(2, casework, running)
 	return r, r.agentWithLoad(3, mapdocs, 0)
@@ -425,7 +425,7 @@
 func TestWeightsApplyWhileSlotsAreFree(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	r.weightedTable(2, route.Backed{Service: casework, Weight: 1_000_000}, route.Backed{Service: mapdocs, Weight: 1})
+	r.weightedTable(2, route.Backend{Service: casework, Weight: 1_000_000}, route.Backend{Service: mapdocs, Weight: 1})
 	r.agentWithLoad(1, casework, 20)
 	free := r.agentWithLoad(2, casework, 1)
 	r.agentWithLoad(3, mapdocs, 0)
--- a/internal/passthrough/forward/ranking_test.go
+++ b/internal/passthrough/forward/ranking_test.go
@@ -37,7 +37,7 @@
 func (r *testEngine) reportFleet(n int) {
 	for i := range n {
 		r.report(fleetAddress(i), peer.Report{
-			Process: 1, Service: uint64(route.IDOf(casework)), Zone: fleetZones[i%len(fleetZones)], Open: true, Slots: 2,
+			Process: 1, Service: uint64(route.IDOf(casework)), Zone: fleetZones[i%len(fleetZones)], AcceptsFlows: true, Slots: 2,
 		})
 	}
 }
@@ -51,7 +51,7 @@
 		for _, at := range probed {
 			ip := at.Addr().As4()
 			z := fleetZones[(int(ip[2])<<8|int(ip[3]))%len(fleetZones)]
-			r.report(at, peer.Report{Service: uint64(route.IDOf(casework)), Zone: z, Open: true, Slots: 2})
+			r.report(at, peer.Report{Service: uint64(route.IDOf(casework)), Zone: z, AcceptsFlows: true, Slots: 2})
 		}
 	}
 }
@@ -67,7 +67,7 @@
 			if q.to == holder {
 				v = peer.Holds
 			}
-			r.engine.Answered(r.now, q.to, peer.Ruling{Question: q.q, Verdict: v})
+			r.engine.HandleAnswer(r.now, q.to, peer.Answer{Question: q.q, Status: v})
 		}
 	}
 }
@@ -117,7 +117,7 @@
 			if q.to == placer.delivered[portOf(q.q.Flow)].to {
 				v = peer.Holds
 			}
-			finder.engine.Answered(finder.now, q.to, peer.Ruling{Question: q.q, Verdict: v})
+			finder.engine.HandleAnswer(finder.now, q.to, peer.Answer{Question: q.q, Status: v})
 		}
 		finder.advance(10 * time.Millisecond)
 	}
@@ -144,7 +144,7 @@
 			n += len(asked)
 			for _, q := range asked {
 				if q.to != unresponsive {
-					r.engine.Answered(r.now, q.to, peer.Ruling{Question: q.q, Verdict: peer.Lacks})
+					r.engine.HandleAnswer(r.now, q.to, peer.Answer{Question: q.q, Status: peer.Lacks})
 				}
 			}
 			r.reportFleet(agents)
@@ -152,7 +152,7 @@
 		return n
 	}
 	is.True(search() >= agents)
-	is.Equal(r.lastDecision().Verdict, DroppedUnfound)
+	is.Equal(r.lastDecision().Verdict, DroppedNotFound)
 	// Retransmits in quick succession: the backoff between wide searches doubles.
 	const copies = 30
 	n := 0
@@ -177,7 +177,7 @@
 		total += len(asked)
 		is.True(total <= wideBatchSize*int(1+(r.now-began)/wideBatchInterval))
 		for _, q := range asked {
-			r.engine.Answered(r.now, q.to, peer.Ruling{Question: q.q, Verdict: peer.Lacks})
+			r.engine.HandleAnswer(r.now, q.to, peer.Answer{Question: q.q, Status: peer.Lacks})
 		}
 		r.advance(10 * time.Millisecond)
 	}
@@ -213,7 +213,7 @@
 		r.engine.agents.number(fleetAddress(n + 500)) // known, but not of the service
 	}
 	last := fleetAddress(900)
-	r.report(last, peer.Report{Process: 1, Service: uint64(route.IDOf(casework)), Zone: "a", Open: true, Slots: 2})
+	r.report(last, peer.Report{Process: 1, Service: uint64(route.IDOf(casework)), Zone: "a", AcceptsFlows: true, Slots: 2})
 	is.Equal(r.engine.agents.number(last)%64, uint32(1))
 	f := packet.Flow{Client: client(9), Service: service}
 	c := chooser{e: r.engine, now: r.now, flow: f, excluded: []uint32{0, 1}}
--- a/internal/passthrough/forward/rig_test.go
+++ b/internal/passthrough/forward/rig_test.go
@@ -51,7 +51,7 @@
 }
 func (r *testEngine) Probe(to netip.AddrPort)         { r.probed = append(r.probed, to) }
 func (r *testEngine) Reset(f packet.Flow, seq uint32) { r.resets = append(r.resets, reset{f, seq}) }
-func (r *testEngine) Note(d Decision)                 { r.notes = append(r.notes, d) }
+func (r *testEngine) LogDecision(d Decision)          { r.notes = append(r.notes, d) }
 
 func rawOf(n uint32) []byte { return binary.BigEndian.AppendUint32(nil, n) }
 
@@ -80,15 +80,15 @@
 
 // table sets a table version whose only route splits its flows evenly among services.
 func (r *testEngine) table(version route.Version, services ...string) {
-	var backends []route.Backed
+	var backends []route.Backend
 	for _, s := range services {
-		backends = append(backends, route.Backed{Service: s, Weight: 1})
+		backends = append(backends, route.Backend{Service: s, Weight: 1})
 	}
 	r.weightedTable(version, backends...)
 }
 
 // weightedTable sets a table version whose only route splits its flows by weight.
-func (r *testEngine) weightedTable(version route.Version, backends ...route.Backed) {
+func (r *testEngine) weightedTable(version route.Version, backends ...route.Backend) {
 	d := &route.Definition{Version: version}
 	at := route.Route{Name: "r", IP: service.IP, Port: service.Port, TimeoutMS: 1000, Backends: backends}
 	if len(backends) > 0 {
@@ -100,21 +100,21 @@
 // agentAt has an agent report that its target takes new flows.
 func (r *testEngine) agentAt(n byte, service string) netip.AddrPort {
 	at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 7000)
-	r.report(at, peer.Report{Process: uint64(n), Service: uint64(route.IDOf(service)), Zone: zone, Open: true, Slots: 4})
+	r.report(at, peer.Report{Process: uint64(n), Service: uint64(route.IDOf(service)), Zone: zone, AcceptsFlows: true, Slots: 4})
 	return at
 }
 
 // list adds an agent to control's list.
 func (r *testEngine) list(n byte, service string) netip.AddrPort {
 	at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 7000)
-	r.engine.List(r.now, Listed{Address: at, Zone: zone, Service: route.IDOf(service), Process: uint64(n)})
+	r.engine.ListAgent(r.now, AgentInfo{Address: at, Zone: zone, Service: route.IDOf(service), Process: uint64(n)})
 	return at
 }
 
 func (r *testEngine) report(at netip.AddrPort, x peer.Report) {
 	r.number++
-	x.Number = r.number
-	r.engine.Reported(r.now, at, x)
+	x.Sequence = r.number
+	r.engine.HandleReport(r.now, at, x)
 }
 
 // advance moves the clock forward in steps of 10 ms with a tick at each.
@@ -139,13 +139,13 @@
 	return packet.Packet{Src: client(port), Dst: service, Flags: packet.ACK, Ack: ack, Data: 100}
 }
 
-func (r *testEngine) send(p packet.Packet) { r.engine.FromClient(r.now, p, rawOf(p.Ack)) }
+func (r *testEngine) send(p packet.Packet) { r.engine.HandleClientPacket(r.now, p, rawOf(p.Ack)) }
 
 // answerAs has an agent answer all questions that it was asked.
-func (r *testEngine) answerAs(at netip.AddrPort, v peer.Verdict) {
+func (r *testEngine) answerAs(at netip.AddrPort, v peer.FlowStatus) {
 	for _, q := range r.asked {
 		if q.to == at {
-			r.engine.Answered(r.now, at, peer.Ruling{Question: q.q, Verdict: v})
+			r.engine.HandleAnswer(r.now, at, peer.Answer{Question: q.q, Status: v})
 		}
 	}
 }
--- a/internal/passthrough/forward/search.go
+++ b/internal/passthrough/forward/search.go
@@ -176,15 +176,15 @@
 	e.cfg.Out.Ask(a.address, peer.Question{Flow: f, Ack: s.ack})
 }
 
-// Answered handles an agent's answer to a question.
-func (e *Engine) Answered(now time.Duration, from netip.AddrPort, r peer.Ruling) {
+// HandleAnswer handles an agent's answer to a question.
+func (e *Engine) HandleAnswer(now time.Duration, from netip.AddrPort, r peer.Answer) {
 	f := r.Question.Flow
 	s := e.searches[f]
 	if s == nil || !s.started {
 		return
 	}
 	agent := e.agents.markSeen(now, from)
-	switch r.Verdict {
+	switch r.Status {
 	case peer.Holds:
 		e.finishSearch(now, f, s, agent)
 	case peer.Unsure:
@@ -261,9 +261,9 @@
 		return
 	}
 	silent := len(s.unanswered)
-	verdict := DroppedUnfound
+	verdict := DroppedNotFound
 	if silent == 0 && e.agents.addedAt <= s.allListedAt && !s.skippedAll && len(s.pending) == 0 && len(s.asked) > 0 && !s.clientReset {
-		verdict = ResetNowhere
+		verdict = ResetNoHolder
 		e.cfg.Out.Reset(f, s.ack)
 	}
 	e.logDecision(Decision{Flow: f, Verdict: verdict, Asked: len(s.asked), Silent: silent})
--- a/internal/passthrough/forward/search_test.go
+++ b/internal/passthrough/forward/search_test.go
@@ -54,7 +54,7 @@
 	r.answerAs(a, peer.Lacks)
 	r.answerAs(b, peer.Lacks)
 	is.Equal(r.resets, []reset{{flowOf(9), 77}})
-	is.Equal(r.lastDecision().Verdict, ResetNowhere)
+	is.Equal(r.lastDecision().Verdict, ResetNoHolder)
 }
 
 // Guards against the reset of a flow that may be open at a frozen VM, whose agent answers
@@ -69,7 +69,7 @@
 	r.answerAs(b, peer.Lacks)
 	r.advance(2 * lastRoundTimeout)
 	is.Equal(len(r.resets), 0)
-	is.Equal(r.lastDecision().Verdict, DroppedUnfound)
+	is.Equal(r.lastDecision().Verdict, DroppedNotFound)
 	is.Equal(r.engine.Searches(), 0)
 }
 
@@ -98,7 +98,7 @@
 	r.answerAs(b, peer.Unsure)
 	is.Equal(len(r.delivered), 1) // one target at a time
 	is.Equal(r.delivered[0].to, a)
-	r.engine.Refused(r.now, a, peer.Head{Reason: peer.NotHeld}, data(9, 77), rawOf(77))
+	r.engine.HandleRefused(r.now, a, peer.Header{Reason: peer.NotHeld}, data(9, 77), rawOf(77))
 	is.Equal(r.delivered[1].to, b)
 	r.advance(trialTimeout + 20*time.Millisecond)
 	is.Equal(r.lastDecision().Verdict, Found)
@@ -179,13 +179,13 @@
 	r.answerAs(a, peer.Lacks)
 	r.advance(2 * lastRoundTimeout)
 	is.Equal(len(r.resets), 0)
-	is.Equal(r.lastDecision().Verdict, DroppedUnfound)
+	is.Equal(r.lastDecision().Verdict, DroppedNotFound)
 	r.agentAt(1, casework)
 	r.send(syn(10))
 	is.Equal(r.delivered[0].to, a) // the leaving agent gets no new flows
 
 	// An agent that stops because its target is gone holds no flows.
-	r.report(b, peer.Report{Process: 2, Service: uint64(route.IDOf(casework)), Zone: zone, Leaving: true, Empty: true})
+	r.report(b, peer.Report{Process: 2, Service: uint64(route.IDOf(casework)), Zone: zone, Leaving: true, NoTarget: true})
 	r.send(data(11, 77))
 	r.answerAs(a, peer.Lacks)
 	is.Equal(r.resets, []reset{{flowOf(11), 77}})
@@ -204,7 +204,7 @@
 	is.Equal(len(r.resets), 0)
 	r.advance(2 * lastRoundTimeout)
 	is.Equal(len(r.resets), 0)
-	is.Equal(r.lastDecision().Verdict, DroppedUnfound)
+	is.Equal(r.lastDecision().Verdict, DroppedNotFound)
 	holder := r.agentAt(3, casework)
 	r.asked = nil
 	r.send(data(9, 77))
@@ -235,7 +235,7 @@
 	a, b := r.agentAt(1, casework), r.agentAt(2, casework)
 	r.advance(delistedAgentTTL)
 	r.agentAt(1, casework)
-	r.engine.Delist(r.now, b)
+	r.engine.DelistAgent(r.now, b)
 	r.send(data(9, 77))
 	r.answerAs(a, peer.Lacks)
 	r.advance(2 * lastRoundTimeout)
@@ -265,7 +265,7 @@
 	r := newTestEngine(t)
 	r.list(2, casework)
 	a, b := r.agentAt(1, casework), r.agentAt(2, casework)
-	r.engine.Retire(b)
+	r.engine.RetireAgent(b)
 	r.send(data(9, 77))
 	r.answerAs(a, peer.Lacks)
 	is.Equal(r.questionsTo(b), 0)
--- a/internal/passthrough/membership/attach_test.go
+++ b/internal/passthrough/membership/attach_test.go
@@ -20,7 +20,7 @@
 	d := &route.Definition{Version: 1, Services: []route.Service{{Name: "desk"}}}
 	for n := range 245 {
 		d.Routes = append(d.Routes, route.Route{
-			IP: [4]byte{198, 18, byte(n >> 8), byte(n)}, Port: 443, TimeoutMS: 1000, Backends: []route.Backed{{Service: "desk", Weight: 1}},
+			IP: [4]byte{198, 18, byte(n >> 8), byte(n)}, Port: 443, TimeoutMS: 1000, Backends: []route.Backend{{Service: "desk", Weight: 1}},
 		})
 	}
 	command, err := route.Command(d)
--- a/internal/passthrough/membership/choice_test.go
+++ b/internal/passthrough/membership/choice_test.go
@@ -68,7 +68,7 @@
 	const name = "10.0.0.1:1"
 	balancer := startNode(t, Balancer, "10.0.0.9:1", all...)
 	agent := startNode(t, Agent, name, all...)
-	await(t, "two streams", func() bool { return agent.client.Heard() == agentStreamCount })
+	await(t, "two streams", func() bool { return agent.client.LiveControls() == agentStreamCount })
 	order := rankControls(name, ips)
 	for _, v := range all {
 		if slices.Index(order, v.ip) < agentStreamCount {
--- a/internal/passthrough/membership/client.go
+++ b/internal/passthrough/membership/client.go
@@ -46,16 +46,16 @@
 	Seeds func() []string
 	// Port is the TCP port of the streams, the same at all control VMs.
 	Port uint16
-	// Table is called with each newer table. Evacuated is called with the data centres
-	// that take no new flows, whenever they change. Agents, at balancers, is called with
+	// OnTable is called with each newer table, OnEvacuations with the data centres
+	// that take no new flows, whenever they change. OnAgents, at balancers, is called with
 	// the changes in the union of the VMs' lists of agents. All are called from the
 	// streams' goroutines, one call at a time.
-	Table     func(t *route.Table)
-	Evacuated func(zones []string)
-	Agents    func(c Changes)
-	// Recalled, at agents, is called with the flow records that a control VM holds for
+	OnTable       func(t *route.Table)
+	OnEvacuations func(zones []string)
+	OnAgents      func(c Changes)
+	// OnFlowRecords, at agents, is called with the flow records that a control VM holds for
 	// the agent's address.
-	Recalled func(u flowlog.Update)
+	OnFlowRecords func(u flowlog.Update)
 	// Meter counts the streams' messages and bytes.
 	Meter *traffic.Meter
 	Log   logrus.FieldLogger
@@ -124,8 +124,8 @@
 	return c.version
 }
 
-// Heard returns the number of control VMs heard within streamTimeout.
-func (c *Client) Heard() int {
+// LiveControls returns the number of control VMs heard within streamTimeout.
+func (c *Client) LiveControls() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
@@ -137,10 +137,10 @@
 	return n
 }
 
-// InTouch reports whether the node's table is most likely the newest: the node hears
+// TableCurrent reports whether the node's table is most likely the newest: the node hears
 // control VMs, and none has had a newer version for more than maxTableLag. A VM that has
 // lost its quorum counts as heard, since no newer version can be accepted without one.
-func (c *Client) InTouch(now time.Time) bool {
+func (c *Client) TableCurrent(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	heard := false
--- a/internal/passthrough/membership/client_list.go
+++ b/internal/passthrough/membership/client_list.go
@@ -70,7 +70,7 @@
 	c.notifyAgents(s, changed, retired)
 }
 
-// notifyAgents calls the Agents callback for the given addresses. updated is the VM whose
+// notifyAgents calls OnAgents for the given addresses. updated is the VM whose
 // list has changed. retired are the processes that ended together with their targets: one
 // VM's report suffices, because the agent may not have reached the others. The lock is
 // held.
@@ -95,8 +95,8 @@
 			out.Gone = append(out.Gone, address)
 		}
 	}
-	if len(seen) > 0 && c.cfg.Agents != nil {
-		c.cfg.Agents(out)
+	if len(seen) > 0 && c.cfg.OnAgents != nil {
+		c.cfg.OnAgents(out)
 	}
 }
 
--- a/internal/passthrough/membership/client_stream.go
+++ b/internal/passthrough/membership/client_stream.go
@@ -110,7 +110,7 @@
 	s.flowsReported = false
 }
 
-// nextUpdate waits for an update. Flow records that arrive first go to Recalled.
+// nextUpdate waits for an update. Flow records that arrive first go to OnFlowRecords.
 func (c *Client) nextUpdate(conn *framing.Conn) (Update, error) {
 	for {
 		f, err := read(conn)
@@ -127,16 +127,16 @@
 			if err := f.Decode(&u); err != nil {
 				return Update{}, err
 			}
-			c.cfg.Recalled(u)
+			c.cfg.OnFlowRecords(u)
 		default:
 			return Update{}, errors.Errorf("membership: unexpected frame kind %d", f.Kind)
 		}
 	}
 }
 
-// TellFlows reports changes of the flows held to the control VMs. VMs that were connected
+// ReportFlows reports changes of the flows held to the control VMs. VMs that were connected
 // since the last call get the flows that whole returns, which are all.
-func (c *Client) TellFlows(changes flowlog.Update, changed bool, whole func() flowlog.Update) {
+func (c *Client) ReportFlows(changes flowlog.Update, changed bool, whole func() flowlog.Update) {
 	c.mu.Lock()
 	var known, unknown []*framing.Conn
 	for _, s := range c.streams {
--- a/internal/passthrough/membership/client_update.go
+++ b/internal/passthrough/membership/client_update.go
@@ -124,7 +124,7 @@
 	c.table = table
 	c.version = table.Version
 	c.tableSourceAt = s.heardAt
-	c.cfg.Table(table)
+	c.cfg.OnTable(table)
 	events.Log(c.cfg.Log, events.PassTableInForce, logrus.Fields{
 		"version": u.Version, "routes": table.Len(), "from": uint64(update.From), "changes": len(update.Routes) + len(update.Removed), "bytes": len(u.Table),
 	})
@@ -136,6 +136,6 @@
 		return
 	}
 	c.evacuations = e.Revision
-	c.cfg.Evacuated(e.Zones)
+	c.cfg.OnEvacuations(e.Zones)
 	events.Log(c.cfg.Log, events.EvacuationsInForce, logrus.Fields{"revision": e.Revision, "zones": e.Zones})
 }
--- a/internal/passthrough/membership/evacuation_test.go
+++ b/internal/passthrough/membership/evacuation_test.go
@@ -59,7 +59,7 @@
 	all[1].order(t, "accra-a", true) // one order behind
 	n := startNode(t, Balancer, "10.0.0.1:1", all...)
 	await(t, "both orders", func() bool { return len(n.evacuatedZones()) == 2 })
-	await(t, "streams", func() bool { return n.client.Heard() == 2 })
+	await(t, "streams", func() bool { return n.client.LiveControls() == 2 })
 	all[1].put(t, 2) // an update from the VM that is behind
 	await(t, "version 2", func() bool { return n.client.Version() == 2 })
 	is.Equal(n.evacuatedZones(), []string{"accra-a", "accra-b"})
--- a/internal/passthrough/membership/list_test.go
+++ b/internal/passthrough/membership/list_test.go
@@ -34,7 +34,7 @@
 func TestRetiredAgentsAreReportedAsRetired(t *testing.T) {
 	is := is.New(t)
 	var last Changes
-	c := NewClient(ClientConfig{Node: Node{Role: Balancer}, Log: discardLog(), Agents: func(x Changes) { last = x }})
+	c := NewClient(ClientConfig{Node: Node{Role: Balancer}, Log: discardLog(), OnAgents: func(x Changes) { last = x }})
 	first, second := newDirectory(), newDirectory()
 	one, other := newClientStream("1"), newClientStream("2")
 	c.streams["1"], c.streams["2"] = one, other
@@ -89,7 +89,7 @@
 func TestAgentIsPresentWhileAnyListHasIt(t *testing.T) {
 	is := is.New(t)
 	present := map[netip.AddrPort]bool{}
-	c := NewClient(ClientConfig{Node: Node{Role: Balancer}, Log: discardLog(), Agents: func(x Changes) {
+	c := NewClient(ClientConfig{Node: Node{Role: Balancer}, Log: discardLog(), OnAgents: func(x Changes) {
 		for _, a := range x.Present {
 			present[a.Address] = true
 		}
--- a/internal/passthrough/membership/membership_test.go
+++ b/internal/passthrough/membership/membership_test.go
@@ -131,7 +131,7 @@
 	client *Client
 	mu     sync.Mutex
 	tables []route.Version
-	// evacuated are the data centres of the last call of Evacuated; tableFirst means that
+	// evacuated are the data centres of the last call of OnEvacuations; tableFirst means that
 	// a table came before the first such call.
 	evacuated  []string
 	tableFirst bool
@@ -154,23 +154,23 @@
 			}
 			return out
 		},
-		Recalled: func(u flowlog.Update) {
+		OnFlowRecords: func(u flowlog.Update) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.recalled = append(n.recalled, u)
 		},
-		Table: func(table *route.Table) {
+		OnTable: func(table *route.Table) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.tables = append(n.tables, table.Version)
 			n.tableFirst = n.tableFirst || n.evacuated == nil
 		},
-		Evacuated: func(zones []string) {
+		OnEvacuations: func(zones []string) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.evacuated = append([]string{}, zones...)
 		},
-		Agents: func(c Changes) {
+		OnAgents: func(c Changes) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.changes += len(c.Present) + len(c.Gone) + len(c.Retired)
@@ -226,7 +226,7 @@
 		v.put(t, 1)
 	}
 	n := startNode(t, Balancer, "10.0.0.1:1", all[0])
-	await(t, "three control VMs", func() bool { return n.client.Heard() == 3 })
+	await(t, "three control VMs", func() bool { return n.client.LiveControls() == 3 })
 	for _, v := range all {
 		v.put(t, 2)
 	}
@@ -242,7 +242,7 @@
 	all[0].put(t, 1)
 	all[0].isolated.Store(true)
 	n := startNode(t, Balancer, "10.0.0.1:1", all[0])
-	await(t, "a stream", func() bool { return n.client.Heard() == 1 })
+	await(t, "a stream", func() bool { return n.client.LiveControls() == 1 })
 	time.Sleep(3 * pushInterval)
 	is.Equal(len(n.seen()), 0)
 	all[0].isolated.Store(false)
@@ -259,7 +259,7 @@
 		v.put(t, 1)
 	}
 	n := startNode(t, Balancer, "10.0.0.1:1", all...)
-	await(t, "streams", func() bool { return n.client.Heard() == 3 && n.client.Version() == 1 })
+	await(t, "streams", func() bool { return n.client.LiveControls() == 3 && n.client.Version() == 1 })
 	n.client.mu.Lock()
 	source := n.client.tableSource
 	n.client.mu.Unlock()
@@ -284,7 +284,7 @@
 		d := &route.Definition{Version: version, Services: []route.Service{{Name: "desk"}}}
 		for n := range 1000 {
 			d.Routes = append(d.Routes, route.Route{
-				IP: [4]byte{198, 18, byte(n >> 8), byte(n)}, Port: 443, TimeoutMS: 1000, Backends: []route.Backed{{Service: "desk", Weight: 1}},
+				IP: [4]byte{198, 18, byte(n >> 8), byte(n)}, Port: 443, TimeoutMS: 1000, Backends: []route.Backend{{Service: "desk", Weight: 1}},
 			})
 		}
 		d.Routes[0].TimeoutMS = timeout
@@ -298,7 +298,7 @@
 	whole, err := all[0].store.Current().Since(0)
 	is.NoErr(err)
 	n := startNode(t, Balancer, "10.0.0.1:1", all...)
-	await(t, "streams and a table", func() bool { return n.client.Heard() == 5 && n.client.Version() == 1 })
+	await(t, "streams and a table", func() bool { return n.client.LiveControls() == 5 && n.client.Version() == 1 })
 	for version := route.Version(2); version <= 6; version++ {
 		put(version, uint32(version))
 		await(t, "the next version", func() bool { return n.client.Version() == version })
@@ -315,21 +315,21 @@
 	is := is.New(t)
 	c := NewClient(ClientConfig{Node: Node{Role: Balancer}, Log: discardLog()})
 	now := time.Now()
-	is.True(!c.InTouch(now)) // no VM was ever heard
+	is.True(!c.TableCurrent(now)) // no VM was ever heard
 	s := newClientStream("a")
 	c.streams["a"] = s
 	s.heardAt, s.version, s.versionAt = now, 7, now
 	c.version = 7
-	is.True(c.InTouch(now))
+	is.True(c.TableCurrent(now))
 	s.contactAge = time.Minute // its VM has lost the quorum: no version can be accepted
-	is.True(c.InTouch(now))
-	is.True(!c.InTouch(now.Add(maxSilence)))
+	is.True(c.TableCurrent(now))
+	is.True(!c.TableCurrent(now.Add(maxSilence)))
 	s.version = 8
-	is.True(c.InTouch(now))
+	is.True(c.TableCurrent(now))
 	s.heardAt = now.Add(2 * maxTableLag)
-	is.True(!c.InTouch(now.Add(2 * maxTableLag)))
+	is.True(!c.TableCurrent(now.Add(2 * maxTableLag)))
 	c.version = 8
-	is.True(c.InTouch(now.Add(2 * maxTableLag)))
+	is.True(c.TableCurrent(now.Add(2 * maxTableLag)))
 }
 
 // Guards against a table for each version of a burst: a node gets at most ten a second,
@@ -382,9 +382,9 @@
 	is := is.New(t)
 	all := startVMs(t, 2)
 	first := startNode(t, Agent, "10.0.0.9:1", all...)
-	await(t, "streams", func() bool { return first.client.Heard() == 2 })
+	await(t, "streams", func() bool { return first.client.LiveControls() == 2 })
 	held := flowlog.Update{Target: "i-1", Born: 5, Whole: true, Opened: []flowlog.Record{{ClientPort: 1}, {ClientPort: 2}}}
-	first.client.TellFlows(flowlog.Update{}, false, func() flowlog.Update { return held })
+	first.client.ReportFlows(flowlog.Update{}, false, func() flowlog.Update { return held })
 	remembers := func(n int) func() bool {
 		return func() bool {
 			for _, v := range all {
@@ -397,7 +397,7 @@
 	}
 	await(t, "both VMs to hold the flows", remembers(2))
 	ended := flowlog.Update{Target: "i-1", Born: 5, Ended: []flowlog.Record{{ClientPort: 1}}}
-	first.client.TellFlows(ended, true, func() flowlog.Update {
+	first.client.ReportFlows(ended, true, func() flowlog.Update {
 		t.Error("all flows requested")
 		return held
 	})
--- a/internal/passthrough/packet/packet.go
+++ b/internal/passthrough/packet/packet.go
@@ -54,9 +54,9 @@
 // flow.
 func (p Packet) Closes() bool { return p.Flags&(FIN|RST) != 0 }
 
-// OpenPatience is how long the platform's clients wait for a target's answer to the first
+// HandshakeTimeout is how long the platform's clients wait for a target's answer to the first
 // packet of a flow. After that the flow is of no use.
-const OpenPatience = 1400 * time.Millisecond
+const HandshakeTimeout = 1400 * time.Millisecond
 
 // retransmitDelays is when the platform's clients send the first packet and its
 // retransmits, counted from the first.
@@ -78,9 +78,9 @@
 type Codec interface {
 	// Decode reads the packet header; it fails on bytes that aren't a complete packet.
 	Decode(raw []byte) (Packet, error)
-	// Mark sets the tag and clears Bounced, so that another target accepts the packet as
+	// SetTag sets the tag and clears Bounced, so that another target accepts the packet as
 	// its sender wrote it.
-	Mark(raw []byte, tag uint16)
+	SetTag(raw []byte, tag uint16)
 	// AppendReset appends a reset from the flow's service address to its client.
 	AppendReset(to []byte, f Flow, seq uint32) []byte
 }
--- a/internal/passthrough/peer/messages.go
+++ b/internal/passthrough/peer/messages.go
@@ -4,19 +4,19 @@
 type Report struct {
 	// Process is a random number drawn at each start of the agent.
 	Process uint64 `msg:"p"`
-	// Number rises with each report of a process; reports that arrive out of order are
+	// Sequence rises with each report of a process; reports that arrive out of order are
 	// ignored.
-	Number uint64 `msg:"n"`
+	Sequence uint64 `msg:"n"`
 	// Service is the target's, 0 while no target is known.
 	Service uint64 `msg:"s"`
-	// Born distinguishes the target's incarnations; see package flowtable.
-	Born int64  `msg:"b"`
-	Zone string `msg:"z"`
-	// Open says that the target accepts new flows.
-	Open bool `msg:"o"`
-	// Empty says that no target is there that could hold flows: it has left, or none has
+	// Incarnation distinguishes the target's incarnations; see package flowtable.
+	Incarnation int64  `msg:"b"`
+	Zone        string `msg:"z"`
+	// AcceptsFlows says that the target accepts new flows.
+	AcceptsFlows bool `msg:"o"`
+	// NoTarget says that no target is there that could hold flows: it has left, or none has
 	// announced itself for a long time.
-	Empty bool `msg:"e"`
+	NoTarget bool `msg:"e"`
 	// Leaving says that the agent itself is about to stop.
 	Leaving bool `msg:"l"`
 	// Slots is how many requests the target runs at once.
--- a/internal/passthrough/peer/messages_gen.go
+++ b/internal/passthrough/peer/messages_gen.go
@@ -15,22 +15,22 @@
 	o = msgp.AppendUint64(o, z.Process)
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.Number)
+	o = msgp.AppendUint64(o, z.Sequence)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
 	o = msgp.AppendUint64(o, z.Service)
 	// string "b"
 	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendInt64(o, z.Born)
+	o = msgp.AppendInt64(o, z.Incarnation)
 	// string "z"
 	o = append(o, 0xa1, 0x7a)
 	o = msgp.AppendString(o, z.Zone)
 	// string "o"
 	o = append(o, 0xa1, 0x6f)
-	o = msgp.AppendBool(o, z.Open)
+	o = msgp.AppendBool(o, z.AcceptsFlows)
 	// string "e"
 	o = append(o, 0xa1, 0x65)
-	o = msgp.AppendBool(o, z.Empty)
+	o = msgp.AppendBool(o, z.NoTarget)
 	// string "l"
 	o = append(o, 0xa1, 0x6c)
 	o = msgp.AppendBool(o, z.Leaving)
@@ -80,9 +80,9 @@
 				return
 			}
 		case "n":
-			z.Number, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Sequence, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Number")
+				err = msgp.WrapError(err, "Sequence")
 				return
 			}
 		case "s":
@@ -92,9 +92,9 @@
 				return
 			}
 		case "b":
-			z.Born, bts, err = msgp.ReadInt64Bytes(bts)
+			z.Incarnation, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Born")
+				err = msgp.WrapError(err, "Incarnation")
 				return
 			}
 		case "z":
@@ -104,15 +104,15 @@
 				return
 			}
 		case "o":
-			z.Open, bts, err = msgp.ReadBoolBytes(bts)
+			z.AcceptsFlows, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Open")
+				err = msgp.WrapError(err, "AcceptsFlows")
 				return
 			}
 		case "e":
-			z.Empty, bts, err = msgp.ReadBoolBytes(bts)
+			z.NoTarget, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Empty")
+				err = msgp.WrapError(err, "NoTarget")
 				return
 			}
 		case "l":
--- a/internal/passthrough/peer/peer.go
+++ b/internal/passthrough/peer/peer.go
@@ -91,9 +91,9 @@
 	return "unknown"
 }
 
-// Head precedes a carried packet. It has a fixed size, because it is encoded and decoded
+// Header precedes a carried packet. It has a fixed size, because it is encoded and decoded
 // for each packet of every flow.
-type Head struct {
+type Header struct {
 	Kind Kind
 	// Reason is set in KindRefused.
 	Reason Reason
@@ -104,40 +104,40 @@
 	Age uint16
 }
 
-// AgeOf converts a duration to the unit and range of Head.Age.
-func AgeOf(d time.Duration) uint16 {
+// AgeMillis converts a duration to the unit and range of Header.Age.
+func AgeMillis(d time.Duration) uint16 {
 	return uint16(max(0, min(d.Milliseconds(), math.MaxUint16)))
 }
 
 // Waited returns Age as a duration.
-func (h Head) Waited() time.Duration { return time.Duration(h.Age) * time.Millisecond }
+func (h Header) Waited() time.Duration { return time.Duration(h.Age) * time.Millisecond }
 
-// HeadSize is the encoded size of Head in bytes.
-const HeadSize = 12
+// HeaderSize is the encoded size of Header in bytes.
+const HeaderSize = 12
 
-// ErrShort means that a datagram's length doesn't fit its kind.
-var ErrShort = errors.New("peer: datagram has an invalid length")
+// ErrBadLength means that a datagram's length doesn't fit its kind.
+var ErrBadLength = errors.New("peer: datagram has an invalid length")
 
-// Append encodes the head and the packet after it.
-func (h Head) Append(to, raw []byte) []byte {
+// Append encodes the header and the packet after it.
+func (h Header) Append(to, raw []byte) []byte {
 	to = append(to, byte(h.Kind), byte(h.Reason))
 	to = binary.BigEndian.AppendUint64(to, uint64(h.Service))
 	to = binary.BigEndian.AppendUint16(to, h.Age)
 	return append(to, raw...)
 }
 
-// DecodeHead splits a datagram into head and packet. It fails with ErrShort.
-func DecodeHead(b []byte) (Head, []byte, error) {
-	if len(b) < HeadSize {
-		return Head{}, nil, errors.Wrapf(ErrShort, "%d bytes", len(b))
+// DecodeHeader splits a datagram into header and packet. It fails with ErrBadLength.
+func DecodeHeader(b []byte) (Header, []byte, error) {
+	if len(b) < HeaderSize {
+		return Header{}, nil, errors.Wrapf(ErrBadLength, "%d bytes", len(b))
 	}
-	h := Head{Kind: Kind(b[0]), Reason: Reason(b[1]), Service: route.ServiceID(binary.BigEndian.Uint64(b[2:])), Age: binary.BigEndian.Uint16(b[10:])}
-	return h, b[HeadSize:], nil
+	h := Header{Kind: Kind(b[0]), Reason: Reason(b[1]), Service: route.ServiceID(binary.BigEndian.Uint64(b[2:])), Age: binary.BigEndian.Uint16(b[10:])}
+	return h, b[HeaderSize:], nil
 }
 
-// DecodeCarried splits a datagram into head and packet, and decodes the packet.
-func DecodeCarried(codec packet.Codec, b []byte) (Head, packet.Packet, []byte, error) {
-	h, raw, err := DecodeHead(b)
+// DecodeCarried splits a datagram into header and packet, and decodes the packet.
+func DecodeCarried(codec packet.Codec, b []byte) (Header, packet.Packet, []byte, error) {
+	h, raw, err := DecodeHeader(b)
 	if err != nil {
 		return h, packet.Packet{}, nil, err
 	}
@@ -162,12 +162,12 @@
 	Ack uint32
 }
 
-// Verdict is an agent's answer about a flow.
-type Verdict uint8
+// FlowStatus is an agent's status of a flow.
+type FlowStatus uint8
 
 const (
 	// Holds means that the target has the flow open.
-	Holds Verdict = iota + 1
+	Holds FlowStatus = iota + 1
 	// Lacks means that the target certainly doesn't have the flow.
 	Lacks
 	// Unsure means that the target may have the flow: the agent started after its target
@@ -175,13 +175,13 @@
 	Unsure
 )
 
-// Ruling is the answer to one question.
-type Ruling struct {
+// Answer is the answer to one Question.
+type Answer struct {
 	Question Question
-	Verdict  Verdict
+	Status   FlowStatus
 }
 
-// Questions and rulings have a fixed binary encoding: when all flows of a large service are
+// Questions and answers have a fixed binary encoding: when all flows of a large service are
 // searched at once, they are most of a balancer's traffic. In msgpack they take more than
 // twice the space.
 const (
@@ -205,12 +205,12 @@
 	return to
 }
 
-// AppendAnswer encodes a batch of rulings.
-func AppendAnswer(to []byte, rs []Ruling) []byte {
+// AppendAnswer encodes a batch of answers.
+func AppendAnswer(to []byte, rs []Answer) []byte {
 	to = append(to, byte(KindAnswer))
 	for _, r := range rs {
 		to = r.Question.append(to)
-		to = append(to, byte(r.Verdict))
+		to = append(to, byte(r.Status))
 	}
 	return to
 }
@@ -236,7 +236,7 @@
 // ReadAsk calls handle for each question of a datagram.
 func ReadAsk(b []byte, handle func(Question)) error {
 	if len(b) < 1 || (len(b)-1)%questionSize != 0 {
-		return errors.Wrapf(ErrShort, "batch of questions with %d bytes", len(b))
+		return errors.Wrapf(ErrBadLength, "batch of questions with %d bytes", len(b))
 	}
 	for b = b[1:]; len(b) > 0; b = b[questionSize:] {
 		handle(decodeQuestion(b))
@@ -244,13 +244,13 @@
 	return nil
 }
 
-// ReadAnswer calls handle for each ruling of a datagram.
-func ReadAnswer(b []byte, handle func(Ruling)) error {
+// ReadAnswer calls handle for each answer of a datagram.
+func ReadAnswer(b []byte, handle func(Answer)) error {
 	if len(b) < 1 || (len(b)-1)%rulingSize != 0 {
-		return errors.Wrapf(ErrShort, "batch of answers with %d bytes", len(b))
+		return errors.Wrapf(ErrBadLength, "batch of answers with %d bytes", len(b))
 	}
 	for b = b[1:]; len(b) > 0; b = b[rulingSize:] {
-		handle(Ruling{Question: decodeQuestion(b), Verdict: Verdict(b[questionSize])})
+		handle(Answer{Question: decodeQuestion(b), Status: FlowStatus(b[questionSize])})
 	}
 	return nil
 }
--- a/internal/passthrough/peer/peer_test.go
+++ b/internal/passthrough/peer/peer_test.go
@@ -24,40 +24,40 @@
 	var got []Question
 	is.NoErr(ReadAsk(AppendAsk(nil, qs), func(q Question) { got = append(got, q) }))
 	is.Equal(got, qs)
-	rs := []Ruling{{qs[0], Holds}, {qs[1], Unsure}}
-	var gotRulings []Ruling
-	is.NoErr(ReadAnswer(AppendAnswer(nil, rs), func(r Ruling) { gotRulings = append(gotRulings, r) }))
+	rs := []Answer{{qs[0], Holds}, {qs[1], Unsure}}
+	var gotRulings []Answer
+	is.NoErr(ReadAnswer(AppendAnswer(nil, rs), func(r Answer) { gotRulings = append(gotRulings, r) }))
 	is.Equal(gotRulings, rs)
 }
 
 func TestHeadRoundTrip(t *testing.T) {
 	is := is.New(t)
-	h := Head{Kind: KindRefused, Reason: Silent, Service: 77, Age: 1234}
-	got, carried, err := DecodeHead(h.Append(nil, []byte("packet")))
+	h := Header{Kind: KindRefused, Reason: Silent, Service: 77, Age: 1234}
+	got, carried, err := DecodeHeader(h.Append(nil, []byte("packet")))
 	is.NoErr(err)
 	is.Equal(got, h)
 	is.Equal(string(carried), "packet")
-	_, _, err = DecodeHead(make([]byte, HeadSize-1))
+	_, _, err = DecodeHeader(make([]byte, HeaderSize-1))
 	is.True(err != nil)
 }
 
 // Guards against a part of an entry taken for another flow when a datagram is truncated.
 func TestTruncatedBatchIsRejected(t *testing.T) {
 	is := is.New(t)
-	whole := AppendAnswer(nil, []Ruling{{question(1), Holds}})
+	whole := AppendAnswer(nil, []Answer{{question(1), Holds}})
 	for n := range whole {
 		if n == 1 {
 			continue // an empty batch
 		}
-		is.True(ReadAnswer(whole[:n], func(Ruling) { t.Error("a truncated batch was decoded") }) != nil)
+		is.True(ReadAnswer(whole[:n], func(Answer) { t.Error("a truncated batch was decoded") }) != nil)
 	}
 }
 
 func FuzzReadAnswer(f *testing.F) {
-	f.Add(AppendAnswer(nil, []Ruling{{question(1), Holds}}))
+	f.Add(AppendAnswer(nil, []Answer{{question(1), Holds}}))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var rs []Ruling
-		if ReadAnswer(data, func(r Ruling) { rs = append(rs, r) }) != nil {
+		var rs []Answer
+		if ReadAnswer(data, func(r Answer) { rs = append(rs, r) }) != nil {
 			return
 		}
 		if again := AppendAnswer(nil, rs); string(again[1:]) != string(data[1:]) {
--- a/internal/passthrough/placement/placement.go
+++ b/internal/passthrough/placement/placement.go
@@ -15,7 +15,7 @@
 //   - An outage or a burst that leaves one service of a route without a free slot
 //     while another one of the same route has many idle: flows overflow to it
 //     (Policy.Overflow), and to busy ones where callers wait for much less
-//     (Policy.Relieves). The weights say how the operator shares the work out while
+//     (Policy.TakesOverflow). The weights say how the operator shares the work out while
 //     there is room; nobody waits for a share. Without it callers queue
 //     at every target of one service beside free ones of the other.
 //   - A target that goes down and up, or breaks requests off: with nothing in
@@ -59,13 +59,13 @@
 	OverflowGain float64
 	// Draws is 2 to take the less loaded of two targets drawn, 1 to take any.
 	Draws int
-	// Spread gives up the preference for the own data centre; Trusting ignores that
-	// targets are unsteady; Strict never lets a service's flows overflow to another.
-	Spread, Trusting, Strict bool
+	// IgnoreDistance gives up the preference for the own data centre; IgnoreUnsteady
+	// ignores that targets are unsteady; NoOverflow never lets a service's flows overflow to another.
+	IgnoreDistance, IgnoreUnsteady, NoOverflow bool
 }
 
-// Default is the policy in use.
-func Default() Policy {
+// DefaultPolicy is the policy in use.
+func DefaultPolicy() Policy {
 	return Policy{
 		FlowShare: 0.05, SentShare: 1, SpillFrom: 0.7, SpillGain: 0.25, ColdSlowdown: 1.6,
 		Saturated: 1, Idle: 0.5, OverflowGain: 1, Draws: 2,
@@ -112,7 +112,7 @@
 // Overflow tells whether a flow should go to another service of its route: all
 // targets of its own are saturated.
 func (p *Policy) Overflow(own []Target) bool {
-	if p.Strict {
+	if p.NoOverflow {
 		return len(own) == 0
 	}
 	for i := range own {
@@ -126,11 +126,11 @@
 // HasSlot tells whether a steady target among near ones has a slot free almost surely,
 // so that no other data centre's need be looked at.
 func (p *Policy) HasSlot(near []Target) bool {
-	if p.Spread {
+	if p.IgnoreDistance {
 		return false
 	}
 	for i := range near {
-		if (p.Trusting || !near[i].Unsteady) && p.Score(&near[i]) <= p.SpillFrom {
+		if (p.IgnoreUnsteady || !near[i].Unsteady) && p.Score(&near[i]) <= p.SpillFrom {
 			return true
 		}
 	}
@@ -140,9 +140,9 @@
 // HasRoom tells whether a target has room for the overflow of another service.
 func (p *Policy) HasRoom(t *Target) bool { return p.Score(t) < p.Idle }
 
-// Relieves tells whether a target takes a flow of another service, all of whose targets
+// TakesOverflow tells whether a target takes a flow of another service, all of whose targets
 // are saturated: it has room, or its callers wait for much less.
-func (p *Policy) Relieves(t *Target, own []Target) bool {
+func (p *Policy) TakesOverflow(t *Target, own []Target) bool {
 	if p.HasRoom(t) {
 		return true
 	}
@@ -189,7 +189,7 @@
 func (p *Policy) draw(rng *rand.Rand, targets []Target, unsteady, near bool) int {
 	first, second, seen := -1, -1, 0
 	for i := range targets {
-		if (targets[i].Near || p.Spread) != near || (targets[i].Unsteady && !p.Trusting) != unsteady {
+		if (targets[i].Near || p.IgnoreDistance) != near || (targets[i].Unsteady && !p.IgnoreUnsteady) != unsteady {
 			continue
 		}
 		seen++
--- a/internal/passthrough/placement/placement_test.go
+++ b/internal/passthrough/placement/placement_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-var policy = Default()
+var policy = DefaultPolicy()
 
 func rng() *rand.Rand { return rand.New(rand.NewPCG(3, 4)) }
 
--- a/internal/passthrough/route/cost_test.go
+++ b/internal/passthrough/route/cost_test.go
@@ -14,7 +14,7 @@
 			for i := range n {
 				d.Routes = append(d.Routes, Route{
 					Name: fmt.Sprintf("r-%07x", i), IP: [4]byte{198, 18, byte(i >> 8), byte(i)}, Port: 8443, TimeoutMS: 2500, Priority: 2,
-					Backends: []Backed{{"huvo11a", 9000}, {"wuno96b", 1000}},
+					Backends: []Backend{{"huvo11a", 9000}, {"wuno96b", 1000}},
 				})
 			}
 			for range b.N {
--- a/internal/passthrough/route/route.go
+++ b/internal/passthrough/route/route.go
@@ -43,19 +43,19 @@
 type Route struct {
 	Name string `msg:"n"`
 	// IP and Port are the service address.
-	IP       [4]byte  `msg:"a"`
-	Port     uint16   `msg:"p"`
-	Backends []Backed `msg:"b"`
+	IP       [4]byte   `msg:"a"`
+	Port     uint16    `msg:"p"`
+	Backends []Backend `msg:"b"`
 	// TimeoutMS is the timeout of a request over the route, in milliseconds.
 	TimeoutMS uint32 `msg:"t"`
 	// Priority ranks routes for load shedding; 0 is the most urgent.
 	Priority uint32 `msg:"u"`
-	// Homes are the regions whose targets may take the route's flows; nil means all.
-	Homes []string `msg:"h"`
+	// AllowedRegions are the regions whose targets may take the route's flows; nil means all.
+	AllowedRegions []string `msg:"h"`
 }
 
-// Backed is a service behind a route with its weight, its share of new flows.
-type Backed struct {
+// Backend is a service behind a route with its weight, its share of new flows.
+type Backend struct {
 	Service string `msg:"s"`
 	Weight  uint32 `msg:"w"`
 }
@@ -194,8 +194,8 @@
 	return t.routes[at].timeout
 }
 
-// Homes returns the regions whose targets may take an address's flows; nil means all.
-func (t *Table) Homes(at packet.Endpoint) []string {
+// AllowedRegions returns the regions whose targets may take an address's flows; nil means all.
+func (t *Table) AllowedRegions(at packet.Endpoint) []string {
 	if t == nil {
 		return nil
 	}
--- a/internal/passthrough/route/route_gen.go
+++ b/internal/passthrough/route/route_gen.go
@@ -7,7 +7,7 @@
 )
 
 // MarshalMsg implements msgp.Marshaler
-func (z Backed) MarshalMsg(b []byte) (o []byte, err error) {
+func (z Backend) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "s"
@@ -20,7 +20,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Backed) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Backend) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -62,7 +62,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Backed) Msgsize() (s int) {
+func (z Backend) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Service) + 2 + msgp.Uint32Size
 	return
 }
@@ -262,9 +262,9 @@
 	o = msgp.AppendUint32(o, z.Priority)
 	// string "h"
 	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Homes)))
-	for za0003 := range z.Homes {
-		o = msgp.AppendString(o, z.Homes[za0003])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.AllowedRegions)))
+	for za0003 := range z.AllowedRegions {
+		o = msgp.AppendString(o, z.AllowedRegions[za0003])
 	}
 	return
 }
@@ -315,7 +315,7 @@
 			if cap(z.Backends) >= int(zb0002) {
 				z.Backends = (z.Backends)[:zb0002]
 			} else {
-				z.Backends = make([]Backed, zb0002)
+				z.Backends = make([]Backend, zb0002)
 			}
 			for za0002 := range z.Backends {
 				var zb0003 uint32
@@ -369,18 +369,18 @@
 			var zb0004 uint32
 			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Homes")
+				err = msgp.WrapError(err, "AllowedRegions")
 				return
 			}
-			if cap(z.Homes) >= int(zb0004) {
-				z.Homes = (z.Homes)[:zb0004]
+			if cap(z.AllowedRegions) >= int(zb0004) {
+				z.AllowedRegions = (z.AllowedRegions)[:zb0004]
 			} else {
-				z.Homes = make([]string, zb0004)
+				z.AllowedRegions = make([]string, zb0004)
 			}
-			for za0003 := range z.Homes {
-				z.Homes[za0003], bts, err = msgp.ReadStringBytes(bts)
+			for za0003 := range z.AllowedRegions {
+				z.AllowedRegions[za0003], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Homes", za0003)
+					err = msgp.WrapError(err, "AllowedRegions", za0003)
 					return
 				}
 			}
@@ -403,8 +403,8 @@
 		s += 1 + 2 + msgp.StringPrefixSize + len(z.Backends[za0002].Service) + 2 + msgp.Uint32Size
 	}
 	s += 2 + msgp.Uint32Size + 2 + msgp.Uint32Size + 2 + msgp.ArrayHeaderSize
-	for za0003 := range z.Homes {
-		s += msgp.StringPrefixSize + len(z.Homes[za0003])
+	for za0003 := range z.AllowedRegions {
+		s += msgp.StringPrefixSize + len(z.AllowedRegions[za0003])
 	}
 	return
 }
--- a/internal/passthrough/route/route_test.go
+++ b/internal/passthrough/route/route_test.go
@@ -14,8 +14,8 @@
 		Version:  7,
 		Services: []Service{{Name: "casework"}, {Name: "mapdocs"}},
 		Routes: []Route{
-			{Name: "a", IP: [4]byte{198, 18, 0, 1}, Port: 443, TimeoutMS: 1000, Priority: 1, Backends: []Backed{{"casework", 90}, {"mapdocs", 10}}},
-			{Name: "b", IP: [4]byte{198, 18, 0, 1}, Port: 80, TimeoutMS: 2000, Priority: 2, Backends: []Backed{{"mapdocs", 1}}},
+			{Name: "a", IP: [4]byte{198, 18, 0, 1}, Port: 443, TimeoutMS: 1000, Priority: 1, Backends: []Backend{{"casework", 90}, {"mapdocs", 10}}},
+			{Name: "b", IP: [4]byte{198, 18, 0, 1}, Port: 80, TimeoutMS: 2000, Priority: 2, Backends: []Backend{{"mapdocs", 1}}},
 		},
 		Document: []byte(`{"version":7}`),
 	}
--- a/internal/passthrough/route/table_update.go
+++ b/internal/passthrough/route/table_update.go
@@ -89,7 +89,7 @@
 			out.Backends = append(out.Backends, UpdateBackend{Service: u.service(b.Service), Weight: b.Weight})
 		}
 	}
-	for _, region := range r.Homes {
+	for _, region := range r.AllowedRegions {
 		out.AllowedRegions = append(out.AllowedRegions, u.region(region))
 	}
 	u.update.Routes = append(u.update.Routes, out)
@@ -157,7 +157,7 @@
 	if a.TimeoutMS != b.TimeoutMS || a.Priority != b.Priority {
 		return false
 	}
-	return slices.Equal(a.Backends, b.Backends) && slices.Equal(a.Homes, b.Homes)
+	return slices.Equal(a.Backends, b.Backends) && slices.Equal(a.AllowedRegions, b.AllowedRegions)
 }
 
 // merge adds a later delta.
--- a/internal/passthrough/route/table_update_test.go
+++ b/internal/passthrough/route/table_update_test.go
@@ -19,8 +19,8 @@
 		}
 		d.Routes = append(d.Routes, Route{
 			Name: fmt.Sprint(n), IP: [4]byte{198, 18, 0, byte(n)}, Port: 443, TimeoutMS: uint32(1 + rng.IntN(3)), Priority: uint32(rng.IntN(2)),
-			Backends: []Backed{{d.Services[rng.IntN(3)].Name, uint32(rng.IntN(2))}, {"desk", 1}},
-			Homes:    [][]string{nil, {"lombardia"}, {"lombardia", "ashanti"}}[rng.IntN(3)],
+			Backends:       []Backend{{d.Services[rng.IntN(3)].Name, uint32(rng.IntN(2))}, {"desk", 1}},
+			AllowedRegions: [][]string{nil, {"lombardia"}, {"lombardia", "ashanti"}}[rng.IntN(3)],
 		})
 	}
 	return d
@@ -79,7 +79,7 @@
 		s := NewStore()
 		d := &Definition{Version: 1, Services: []Service{{Name: "desk"}}}
 		for n := range routes {
-			d.Routes = append(d.Routes, Route{IP: [4]byte{198, 18, byte(n >> 8), byte(n)}, Port: 443, TimeoutMS: 1000, Backends: []Backed{{"desk", 1}}})
+			d.Routes = append(d.Routes, Route{IP: [4]byte{198, 18, byte(n >> 8), byte(n)}, Port: 443, TimeoutMS: 1000, Backends: []Backend{{"desk", 1}}})
 		}
 		s.setDefinition(d)
 		next := &Definition{Version: 2, Services: d.Services, Routes: append([]Route(nil), d.Routes...)}
--- a/internal/passthrough/simulation/caller.go
+++ b/internal/passthrough/simulation/caller.go
@@ -128,7 +128,7 @@
 			}
 		})
 	}
-	w.after(packet.OpenPatience, func() {
+	w.after(packet.HandshakeTimeout, func() {
 		if cf.req == r && !cf.open {
 			w.failed(cf, true)
 		}
--- a/internal/passthrough/simulation/deployment.go
+++ b/internal/passthrough/simulation/deployment.go
@@ -141,13 +141,13 @@
 		at := d.address(i)
 		r := route.Route{
 			Name: c.Name, IP: at.IP, Port: at.Port, TimeoutMS: uint32(c.Deadline.Milliseconds()), Priority: c.Priority,
-			Backends: []route.Backed{{Service: desk, Weight: 100 - c.Overflow}},
+			Backends: []route.Backend{{Service: desk, Weight: 100 - c.Overflow}},
 		}
 		switch {
 		case c.Archive:
 			r.Backends[0].Service = archive
 		case c.Overflow > 0:
-			r.Backends = append(r.Backends, route.Backed{Service: archive, Weight: c.Overflow})
+			r.Backends = append(r.Backends, route.Backend{Service: archive, Weight: c.Overflow})
 		}
 		def.Routes = append(def.Routes, r)
 	}
--- a/internal/passthrough/simulation/node.go
+++ b/internal/passthrough/simulation/node.go
@@ -41,7 +41,7 @@
 		b.engine.SetTable(w.clock(), w.table)
 		for _, a := range w.agents {
 			if a.up && a.attached {
-				b.engine.List(w.clock(), a.listed())
+				b.engine.ListAgent(w.clock(), a.listed())
 			}
 		}
 	})
@@ -66,14 +66,14 @@
 // fromCaller takes a packet from a caller.
 func (b *balancer) fromCaller(raw []byte) {
 	if b.up {
-		b.engine.FromClient(b.w.clock(), b.w.carried(raw).p, raw)
+		b.engine.HandleClientPacket(b.w.clock(), b.w.carried(raw).p, raw)
 	}
 }
 
 // Deliver implements forward.Output.
 func (b *balancer) Deliver(to netip.AddrPort, service route.ServiceID, age time.Duration, raw []byte) {
 	a := b.w.agentAt(to)
-	h := peer.Head{Kind: peer.KindDeliver, Service: service, Age: peer.AgeOf(age)}
+	h := peer.Header{Kind: peer.KindDeliver, Service: service, Age: peer.AgeMillis(age)}
 	raw = append([]byte(nil), raw...)
 	b.w.after(b.w.way(b.zone, a.zone), func() {
 		if a.up {
@@ -108,8 +108,8 @@
 // Reset implements forward.Output.
 func (b *balancer) Reset(f packet.Flow, _ uint32) { b.w.reset(f) }
 
-// Note implements forward.Output.
-func (b *balancer) Note(forward.Decision) {}
+// LogDecision implements forward.Output.
+func (b *balancer) LogDecision(forward.Decision) {}
 
 // agent is one agent's process with its target.
 type agent struct {
@@ -148,18 +148,18 @@
 	a.attached = true
 	a.engine.SetTable(a.w.table)
 	if u, ok := held(); ok {
-		a.engine.Recalled(a.w.clock(), u)
+		a.engine.HandleRecall(a.w.clock(), u)
 	}
 	for _, b := range a.w.balancers {
 		if b.up {
-			b.engine.List(a.w.clock(), a.listed())
+			b.engine.ListAgent(a.w.clock(), a.listed())
 		}
 	}
 }
 
 // listed is how control tells of the agent.
-func (a *agent) listed() forward.Listed {
-	return forward.Listed{Address: a.address(), Zone: zoneName(a.zone), Service: route.IDOf(a.service), Process: uint64(a.process)}
+func (a *agent) listed() forward.AgentInfo {
+	return forward.AgentInfo{Address: a.address(), Zone: zoneName(a.zone), Service: route.IDOf(a.service), Process: uint64(a.process)}
 }
 
 // know has a balancer that sent something get reports.
@@ -195,21 +195,21 @@
 // Refuse implements flowtable.Output.
 func (a *agent) Refuse(to netip.AddrPort, why peer.Reason, age time.Duration, raw []byte) {
 	b := a.w.balancers[int(to.Addr().As4()[3])]
-	h := peer.Head{Kind: peer.KindRefused, Reason: why, Age: peer.AgeOf(age)}
+	h := peer.Header{Kind: peer.KindRefused, Reason: why, Age: peer.AgeMillis(age)}
 	raw = append([]byte(nil), raw...)
 	p := a.w.carried(raw).p
 	process := b.process
 	a.w.afterEvent(p.FromClient(), a.w.way(a.zone, b.zone), func() {
 		if b.up && b.process == process {
-			b.engine.Refused(a.w.clock(), a.address(), h, p, raw)
+			b.engine.HandleRefused(a.w.clock(), a.address(), h, p, raw)
 		}
 	})
 }
 
 // Answer implements flowtable.Output.
-func (a *agent) Answer(to netip.AddrPort, r peer.Ruling) {
+func (a *agent) Answer(to netip.AddrPort, r peer.Answer) {
 	b := a.w.balancers[int(to.Addr().As4()[3])]
-	b.alive(a.w.way(a.zone, b.zone), func() { b.engine.Answered(a.w.clock(), a.address(), r) })
+	b.alive(a.w.way(a.zone, b.zone), func() { b.engine.HandleAnswer(a.w.clock(), a.address(), r) })
 }
 
 // Reset implements flowtable.Output.
@@ -229,7 +229,7 @@
 		return
 	}
 	r := a.engine.Report(a.w.clock())
-	b.alive(a.w.way(a.zone, b.zone), func() { b.engine.Reported(a.w.clock(), a.address(), r) })
+	b.alive(a.w.way(a.zone, b.zone), func() { b.engine.HandleReport(a.w.clock(), a.address(), r) })
 }
 
 // Note implements flowtable.Output.
--- a/internal/passthrough/simulation/scenario.go
+++ b/internal/passthrough/simulation/scenario.go
@@ -176,7 +176,7 @@
 
 // leave ends a target that has drained.
 func (a *agent) leave() {
-	a.engine.Left(a.w.clock(), a.target.id)
+	a.engine.HandleTargetLeft(a.w.clock(), a.target.id)
 	a.target.crash()
 }
 
--- a/internal/passthrough/simulation/simulation.go
+++ b/internal/passthrough/simulation/simulation.go
@@ -185,8 +185,8 @@
 // Decode implements packet.Codec; the model hands the engines packets itself.
 func (codec) Decode([]byte) (packet.Packet, error) { return packet.Packet{}, nil }
 
-// Mark implements packet.Codec.
-func (codec) Mark(raw []byte, tag uint16) { binary.BigEndian.PutUint16(raw[4:], tag) }
+// SetTag implements packet.Codec.
+func (codec) SetTag(raw []byte, tag uint16) { binary.BigEndian.PutUint16(raw[4:], tag) }
 
 // AppendReset implements packet.Codec.
 func (codec) AppendReset(to []byte, _ packet.Flow, _ uint32) []byte { return to }
--- a/internal/passthrough/simulation/simulation_test.go
+++ b/internal/passthrough/simulation/simulation_test.go
@@ -76,7 +76,7 @@
 func TestOpenFlowsWaitInABurst(t *testing.T) {
 	for _, name := range []string{"burst", "saturation"} {
 		through, held := InUse(), InUse()
-		through.Flowtable.Bypass = true
+		through.Flowtable.PassOpenFlows = true
 		with, _ := mean(t, name, held)
 		without, _ := mean(t, name, through)
 		t.Logf("%s: worth %.3f, %.3f if requests over open flows don't wait", name, with, without)
--- a/internal/passthrough/simulation/target.go
+++ b/internal/passthrough/simulation/target.go
@@ -60,7 +60,7 @@
 		pause = announceInterval / 10
 	} else {
 		t.number++
-		t.agent.engine.Announced(t.w.clock(), flowtable.Announcement{
+		t.agent.engine.HandleAnnouncement(t.w.clock(), flowtable.Announcement{
 			ID: t.id, Service: t.agent.service, Born: t.w.wall().Add(t.born - t.w.now).UnixMilli(), Number: t.number,
 			Slots: t.w.d.Slots, Draining: t.draining, Cold: max(0, t.coldLeft()),
 		})
@@ -194,7 +194,7 @@
 	u := flowlog.Update{Target: t.id, Born: t.w.wall().Add(t.born - t.w.now).UnixMilli(), Whole: true}
 	for f, h := range t.flows {
 		if h.open && t.w.now-h.openedAt > time.Second {
-			u.Opened = append(u.Opened, flowlog.Of(f, h.ack))
+			u.Opened = append(u.Opened, flowlog.NewRecord(f, h.ack))
 		}
 	}
 	sortRecords(u.Opened)
