--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -73,41 +73,41 @@
 // state. The whole state is written and synced again into a new segment, because after a
 // failed sync what was read may be in the kernel's page cache only. Errors are
 // ErrLocked, ErrIncomplete, *CorruptError, or errors of the file system.
-func Open(o Options) (*Journal, raft.Stored, error) {
+func Open(o Options) (*Journal, raft.StoredState, error) {
 	if err := o.FS.MakeDir(o.Folder); err != nil {
-		return nil, raft.Stored{}, errors.Wrap(err, "journal: make folder")
+		return nil, raft.StoredState{}, errors.Wrap(err, "journal: make folder")
 	}
 	lock, err := o.FS.Lock(filepath.Join(o.Folder, lockFile))
 	if err != nil {
-		return nil, raft.Stored{}, errors.Wrapf(err, "journal: lock %s", o.Folder)
+		return nil, raft.StoredState{}, errors.Wrapf(err, "journal: lock %s", o.Folder)
 	}
 	j := &Journal{fs: o.FS, dir: o.Folder, lock: lock}
 	stored, err := j.load(o.NewID)
 	if err != nil {
 		_ = lock.Close()
-		return nil, raft.Stored{}, err
+		return nil, raft.StoredState{}, err
 	}
 	return j, stored, nil
 }
 
-func (j *Journal) load(newID func() raft.ID) (raft.Stored, error) {
+func (j *Journal) load(newID func() raft.ID) (raft.StoredState, error) {
 	files, err := j.listFiles()
 	if err != nil {
-		return raft.Stored{}, err
+		return raft.StoredState{}, err
 	}
 	if !files.identity {
-		return raft.Stored{}, j.initialize(files, newID)
+		return raft.StoredState{}, j.initialize(files, newID)
 	}
 	if err := j.readIdentity(); err != nil {
-		return raft.Stored{}, err
+		return raft.StoredState{}, err
 	}
 	stored, err := j.replay(files)
 	if err != nil {
-		return raft.Stored{}, err
+		return raft.StoredState{}, err
 	}
 	state := Batch{Hard: stored.Hard, Commit: stored.Commit, Entries: stored.Entries}
 	if err := j.startLog(state); err != nil {
-		return raft.Stored{}, err
+		return raft.StoredState{}, err
 	}
 	return stored, j.removeBefore(j.segmentNumber, stored.Snapshot.Index)
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -16,7 +16,7 @@
 
 const folder = "/data"
 
-func openInMemory(m *memoryFS, id raft.ID) (*Journal, raft.Stored, error) {
+func openInMemory(m *memoryFS, id raft.ID) (*Journal, raft.StoredState, error) {
 	return Open(Options{FS: m, Folder: folder, NewID: func() raft.ID { return id }})
 }
 
@@ -24,7 +24,7 @@
 // has acknowledged so far.
 type workload struct {
 	rng  *rand.Rand
-	want raft.Stored
+	want raft.StoredState
 }
 
 func (s *workload) entries(n int) []raft.Entry {
@@ -67,7 +67,7 @@
 // hasAcknowledged reports whether got has everything acknowledged in want: the term and
 // vote, and each entry or a snapshot that includes it. It may also have the write that the
 // power cut interrupted.
-func hasAcknowledged(got, want raft.Stored) bool {
+func hasAcknowledged(got, want raft.StoredState) bool {
 	if got.Hard.Term < want.Hard.Term || got.Hard.Term == want.Hard.Term && got.Hard.Vote != want.Hard.Vote {
 		return false
 	}
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -9,14 +9,14 @@
 )
 
 // replay returns the state stored in the newest snapshot and all segments.
-func (j *Journal) replay(files folderFiles) (raft.Stored, error) {
+func (j *Journal) replay(files folderFiles) (raft.StoredState, error) {
 	if len(files.segments) == 0 {
-		return raft.Stored{}, errors.Wrapf(ErrIncomplete, "%s has no segment", j.dir)
+		return raft.StoredState{}, errors.Wrapf(ErrIncomplete, "%s has no segment", j.dir)
 	}
 	r := replayer{journal: j}
 	if n := len(files.snapshots); n > 0 {
 		if err := j.readSnapshot(files.snapshots[n-1], &r.stored.Snapshot); err != nil {
-			return raft.Stored{}, err
+			return raft.StoredState{}, err
 		}
 	}
 	for i, n := range files.segments {
@@ -24,7 +24,7 @@
 			r.discardRecords()
 		}
 		if err := r.readSegment(n, i == len(files.segments)-1); err != nil {
-			return raft.Stored{}, err
+			return raft.StoredState{}, err
 		}
 	}
 	j.lastNumber = r.lastNumber
@@ -54,7 +54,7 @@
 // replayer rebuilds the stored state from the records of the segments.
 type replayer struct {
 	journal    *Journal
-	stored     raft.Stored
+	stored     raft.StoredState
 	lastNumber uint64
 	// resetSeen is set after a record with Reset, which needs no record before it.
 	resetSeen bool
@@ -67,7 +67,7 @@
 func (r *replayer) discardRecords() {
 	r.resetSeen = false
 	r.lastNumber = 0
-	r.stored = raft.Stored{Snapshot: r.stored.Snapshot}
+	r.stored = raft.StoredState{Snapshot: r.stored.Snapshot}
 }
 
 func (r *replayer) readSegment(n uint64, last bool) error {
@@ -150,7 +150,7 @@
 // the writes of a snapshot and of its segment leaves older segments: entries up to the
 // snapshot's index are dropped, and the ones after it too unless the log has the
 // snapshot's term at that index.
-func (r *replayer) joinSnapshot() (raft.Stored, error) {
+func (r *replayer) joinSnapshot() (raft.StoredState, error) {
 	s := r.stored
 	if !r.resetSeen {
 		return s, errors.Wrapf(ErrIncomplete, "%s has no segment that begins a log", r.journal.dir)
--- a/internal/passthrough/flowtable/admission.go
+++ b/internal/passthrough/flowtable/admission.go
@@ -36,13 +36,13 @@
 	// and each keeps a slot free until then.
 	ExpectFor   time.Duration
 	ExpectTimes float64
-	// Ahead, if above 0, is how many requests beyond its slots a target is given, as a
+	// ExtraRequests, if above 0, is how many requests beyond its slots a target is given, as a
 	// fraction of the slots. It replaces the number that follows from observed latencies.
-	Ahead float64
-	// Unlimited passes everything to the target; Bypass passes the requests of open
-	// flows; OldestFirst admits in order of arrival; Unranked ignores the routes'
+	ExtraRequests float64
+	// Unlimited passes everything to the target; PassOpenFlows passes the requests of open
+	// flows; OldestFirst admits in order of arrival; IgnorePriority ignores the routes'
 	// priorities.
-	Unlimited, Bypass, OldestFirst, Unranked bool
+	Unlimited, PassOpenFlows, OldestFirst, IgnorePriority bool
 }
 
 // DefaultPolicy returns the policy used in production.
@@ -76,8 +76,8 @@
 // meanwhile. More would wait in the target's own queue, in order of arrival.
 func (e *Engine) capacity() int {
 	slots := int(max(e.target.slots, 1))
-	if e.cfg.Policy.Ahead > 0 {
-		return slots + max(1, int(e.cfg.Policy.Ahead*float64(slots)))
+	if e.cfg.Policy.ExtraRequests > 0 {
+		return slots + max(1, int(e.cfg.Policy.ExtraRequests*float64(slots)))
 	}
 	return slots + max(1, e.latencies.completionsPerHandshake(slots))
 }
--- a/internal/passthrough/flowtable/cold_test.go
+++ b/internal/passthrough/flowtable/cold_test.go
@@ -27,7 +27,7 @@
 // announceCold announces for how long the target is still cold.
 func (r *rig) announceCold(cold time.Duration) {
 	r.number++
-	r.engine.Announced(r.now, Announcement{
+	r.engine.HandleAnnouncement(r.now, Announcement{
 		ID: "i-1", Service: serviceName, Address: address, Born: startTime.UnixMilli(), Number: r.number, Slots: 100, Cold: cold,
 	})
 }
@@ -40,7 +40,7 @@
 		before := len(r.toTarget)
 		from := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(1 + first%14)}), 7000)
 		p := packet.Packet{Src: flowOf(first).Client, Dst: service, Flags: packet.SYN}
-		r.engine.FromBalancer(r.now, from, peer.Head{Service: route.IDOf(serviceName)}, p, rawOf(first))
+		r.engine.FromBalancer(r.now, from, peer.Header{Service: route.IDOf(serviceName)}, p, rawOf(first))
 		first++
 		if len(r.toTarget) > before {
 			sent = append(sent, r.now)
@@ -76,11 +76,11 @@
 func TestColdTargetThatIsFullReportsSo(t *testing.T) {
 	is := is.New(t)
 	r := coldRig(t)
-	is.True(r.report().Open)
+	is.True(r.report().AcceptsFlows)
 	r.openMany(1, 10*time.Millisecond)
-	is.True(!r.report().Open)
+	is.True(!r.report().AcceptsFlows)
 	r.now += coldWindow
-	is.True(r.report().Open)
+	is.True(r.report().AcceptsFlows)
 }
 
 // Guards against refusing the retransmission of a first packet that was admitted already.
@@ -131,7 +131,7 @@
 	r.engine.cfg.Region = "lombardia"
 	setRegions := func(regions ...string) {
 		d := &route.Definition{Version: 1, Services: []route.Service{{Name: serviceName}}}
-		d.Routes = []route.Route{{IP: service.IP, Port: service.Port, TimeoutMS: 1000, Backends: []route.Backed{{Service: serviceName, Weight: 1}}, Homes: regions}}
+		d.Routes = []route.Route{{IP: service.IP, Port: service.Port, TimeoutMS: 1000, Backends: []route.Backend{{Service: serviceName, Weight: 1}}, AllowedRegions: regions}}
 		r.engine.SetTable(route.NewTable(d))
 	}
 	setRegions("ashanti")
--- a/internal/passthrough/flowtable/decision.go
+++ b/internal/passthrough/flowtable/decision.go
@@ -18,7 +18,7 @@
 	// far as known.
 	Refuse(to netip.AddrPort, reason peer.Reason, age time.Duration, raw []byte)
 	// Answer tells a balancer whether this agent's target holds a flow.
-	Answer(to netip.AddrPort, r peer.Ruling)
+	Answer(to netip.AddrPort, r peer.Answer)
 	// Reset tells a client that its flow is over.
 	Reset(f packet.Flow, seq uint32)
 	// Report asks for a report to balancers at once, because something has changed.
--- a/internal/passthrough/flowtable/flowtable.go
+++ b/internal/passthrough/flowtable/flowtable.go
@@ -160,7 +160,7 @@
 func (e *Engine) Flows() int { return e.load.flows }
 
 // FromBalancer handles a client's packet that a balancer delivered.
-func (e *Engine) FromBalancer(now time.Duration, from netip.AddrPort, h peer.Head, p packet.Packet, raw []byte) {
+func (e *Engine) FromBalancer(now time.Duration, from netip.AddrPort, h peer.Header, p packet.Packet, raw []byte) {
 	f := p.FromClient()
 	if reason := e.misdirected(now, h, p); reason != 0 {
 		e.refuse(now, from, f, p, reason, now-h.Waited(), raw)
@@ -181,7 +181,7 @@
 
 // misdirected returns why a packet isn't for this agent's target, 0 if it is. Addresses
 // are reused by other services, and balancers learn of it with a delay.
-func (e *Engine) misdirected(now time.Duration, h peer.Head, p packet.Packet) peer.Reason {
+func (e *Engine) misdirected(now time.Duration, h peer.Header, p packet.Packet) peer.Reason {
 	switch {
 	case !e.target.known && !p.Opens() && !e.empty(now) && (h.Service == 0 || h.Service == route.IDOf(e.cfg.Service)):
 		// The agent may have restarted next to a live target. Balancers that have only a
@@ -344,7 +344,7 @@
 }
 
 func (e *Engine) sendToTarget(from netip.AddrPort, raw []byte) {
-	e.cfg.Codec.Mark(raw, e.tags.tagOf(from))
+	e.cfg.Codec.SetTag(raw, e.tags.tagOf(from))
 	e.cfg.Out.ToTarget(raw)
 }
 
@@ -417,7 +417,7 @@
 	if !ok {
 		return // the packet precedes this process; the caller retransmits it
 	}
-	e.cfg.Codec.Mark(raw, 0)
+	e.cfg.Codec.SetTag(raw, 0)
 	e.refuse(now, to, f, p, reason, sentAt, raw)
 }
 
--- a/internal/passthrough/flowtable/queue.go
+++ b/internal/passthrough/flowtable/queue.go
@@ -79,7 +79,7 @@
 // within a route the newest first, because its caller can still be answered in time. In
 // order of arrival a backlog would make all of them late.
 func (p *Policy) precedes(q, other *queueEntry) bool {
-	if q.priority != other.priority && !p.Unranked {
+	if q.priority != other.priority && !p.IgnorePriority {
 		return q.priority < other.priority
 	}
 	if p.OldestFirst {
@@ -102,7 +102,7 @@
 
 // shouldHold reports whether a request over an open flow should be held.
 func (e *Engine) shouldHold(now time.Duration) bool {
-	return !e.cfg.Policy.Bypass && e.busy(now) && !e.target.draining && !e.leaving && len(e.admission.queue) < maxQueue && e.admission.held < maxHeld
+	return !e.cfg.Policy.PassOpenFlows && e.busy(now) && !e.target.draining && !e.leaving && len(e.admission.queue) < maxQueue && e.admission.held < maxHeld
 }
 
 // enqueueRequest holds a request over an open flow. Retransmissions that arrive meanwhile
--- a/internal/passthrough/flowtable/recall.go
+++ b/internal/passthrough/flowtable/recall.go
@@ -20,9 +20,9 @@
 	recallPeriod = 20 * time.Second
 )
 
-// Recalled handles control's record of the flows of this agent's target. Of the records
+// HandleRecall handles control's record of the flows of this agent's target. Of the records
 // of several control VMs the one of the newest incarnation counts.
-func (e *Engine) Recalled(now time.Duration, u flowlog.Update) {
+func (e *Engine) HandleRecall(now time.Duration, u flowlog.Update) {
 	if now-e.startedAt > recallPeriod || e.recall != nil && u.Born < e.recall.Born {
 		return
 	}
@@ -89,10 +89,10 @@
 		x.recorded = true
 		x.recordedAck = x.clientAck
 		e.flows[f] = x
-		u.Opened = append(u.Opened, flowlog.Of(f, x.clientAck))
+		u.Opened = append(u.Opened, flowlog.NewRecord(f, x.clientAck))
 	}
 	for _, f := range e.ended {
-		u.Ended = append(u.Ended, flowlog.Of(f, 0))
+		u.Ended = append(u.Ended, flowlog.NewRecord(f, 0))
 	}
 	e.ended = nil
 	return u, whole || len(u.Opened) > 0 || len(u.Ended) > 0
--- a/internal/passthrough/flowtable/recall_test.go
+++ b/internal/passthrough/flowtable/recall_test.go
@@ -23,7 +23,7 @@
 func recordedFlows(id string, born int64, ports ...uint16) flowlog.Update {
 	u := flowlog.Update{Target: id, Born: startTime.UnixMilli() + born, Whole: true}
 	for _, port := range ports {
-		u.Opened = append(u.Opened, flowlog.Of(flowOf(port), 5000))
+		u.Opened = append(u.Opened, flowlog.NewRecord(flowOf(port), 5000))
 	}
 	return u
 }
@@ -34,13 +34,13 @@
 func TestRecordedFlowsOfADeadTargetAreReset(t *testing.T) {
 	is := is.New(t)
 	r := restartedAgent(t)
-	r.engine.Recalled(r.now, recordedFlows("i-1", -60_000, 9, 10))
+	r.engine.HandleRecall(r.now, recordedFlows("i-1", -60_000, 9, 10))
 	is.Equal(len(r.resets), 0) // the target isn't known yet
 	r.announce("i-2", -100, 1)
 	is.Equal(len(r.resets), 2)
 	is.Equal(r.resets[0].seq, uint32(5000))
-	r.engine.Recalled(r.now, recordedFlows("i-1", -60_000, 9, 10)) // from another control VM
-	is.Equal(len(r.resets), 4)                                     // a second reset does no harm
+	r.engine.HandleRecall(r.now, recordedFlows("i-1", -60_000, 9, 10)) // from another control VM
+	is.Equal(len(r.resets), 4)                                         // a second reset does no harm
 }
 
 // Only the agent restarted, and its target is the recorded one: nothing may be reset, and
@@ -49,7 +49,7 @@
 	is := is.New(t)
 	r := restartedAgent(t)
 	r.announce("i-1", -60_000, 55)
-	r.engine.Recalled(r.now, recordedFlows("i-1", -60_000, 9))
+	r.engine.HandleRecall(r.now, recordedFlows("i-1", -60_000, 9))
 	is.Equal(len(r.resets), 0)
 	is.Equal(r.verdictOn(9, 1), peer.Holds)
 	is.Equal(r.verdictOn(10, 1), peer.Unsure)
@@ -61,8 +61,8 @@
 func TestOlderRecordIsNotApplied(t *testing.T) {
 	is := is.New(t)
 	r := restartedAgent(t)
-	r.engine.Recalled(r.now, recordedFlows("i-2", -5_000, 9))
-	r.engine.Recalled(r.now, recordedFlows("i-1", -60_000, 10))
+	r.engine.HandleRecall(r.now, recordedFlows("i-2", -5_000, 9))
+	r.engine.HandleRecall(r.now, recordedFlows("i-1", -60_000, 10))
 	r.announce("i-2", -5_000, 3)
 	is.Equal(len(r.resets), 0)
 	is.Equal(r.verdictOn(9, 1), peer.Holds)
@@ -70,7 +70,7 @@
 
 	r = restartedAgent(t)
 	r.announce("i-1", -60_000, 55)
-	r.engine.Recalled(r.now, recordedFlows("i-3", -1_000, 9))
+	r.engine.HandleRecall(r.now, recordedFlows("i-3", -1_000, 9))
 	is.Equal(len(r.resets), 0)
 }
 
@@ -78,7 +78,7 @@
 func TestRecordedFlowsWithoutATargetAreReset(t *testing.T) {
 	is := is.New(t)
 	r := restartedAgent(t)
-	r.engine.Recalled(r.now, recordedFlows("i-1", -60_000, 9))
+	r.engine.HandleRecall(r.now, recordedFlows("i-1", -60_000, 9))
 	r.engine.Probed(r.now, false)
 	r.advance(20 * time.Millisecond)
 	is.Equal(r.resets, []reset{{9, 5000}})
--- a/internal/passthrough/flowtable/target.go
+++ b/internal/passthrough/flowtable/target.go
@@ -22,17 +22,17 @@
 	Cold time.Duration
 }
 
-// Ruling is the result of handling an announcement.
-type Ruling uint8
+// AnnouncementResult is the result of handling an announcement.
+type AnnouncementResult uint8
 
 const (
-	// Taken: the announcement is now the agent's view of the target.
-	Taken Ruling = iota + 1
-	// Late: a newer announcement, or one of a newer incarnation, came before. It changes
+	// AnnouncementAccepted: the announcement is now the agent's view of the target.
+	AnnouncementAccepted AnnouncementResult = iota + 1
+	// AnnouncementOutdated: a newer announcement, or one of a newer incarnation, came before. It changes
 	// nothing.
-	Late
-	// NotOurs: the announcement has another service or address than this VM's target.
-	NotOurs
+	AnnouncementOutdated
+	// AnnouncementForOtherTarget: the announcement has another service or address than this VM's target.
+	AnnouncementForOtherTarget
 )
 
 // target is what the agent knows about its target.
@@ -84,22 +84,22 @@
 	return a.Born == 0 || e.cfg.StartedWall.Sub(time.UnixMilli(a.Born)) > commonStartWindow
 }
 
-// Announced handles an announcement of a target.
-func (e *Engine) Announced(now time.Duration, a Announcement) Ruling {
+// HandleAnnouncement handles an announcement of a target.
+func (e *Engine) HandleAnnouncement(now time.Duration, a Announcement) AnnouncementResult {
 	if e.cfg.Service != "" && a.Service != e.cfg.Service || e.cfg.Address != "" && a.Address != e.cfg.Address {
-		return NotOurs
+		return AnnouncementForOtherTarget
 	}
 	t := &e.target
 	switch {
 	case t.id == a.ID && t.born == a.Born && (t.known || t.leftAt > 0):
 		if a.Number <= t.number || !t.known {
-			return Late
+			return AnnouncementOutdated
 		}
 	case t.id == a.ID && t.born == a.Born && a.Number <= t.number:
-		return Late // sent before the target was taken for dead
+		return AnnouncementOutdated // sent before the target was taken for dead
 	case t.id != "" && a.Born < t.born:
 		e.noteDecision(now, Decision{Verdict: StaleAnnouncement})
-		return Late
+		return AnnouncementOutdated
 	default:
 		e.startIncarnation(now, a)
 	}
@@ -114,7 +114,7 @@
 		e.noteDecision(now, Decision{Verdict: TargetDrains, Flows: e.load.flows})
 		e.cfg.Out.Report()
 	}
-	return Taken
+	return AnnouncementAccepted
 }
 
 // clockTolerance is how far wall-clock times may be off between a target's start and the
@@ -159,8 +159,8 @@
 	e.cfg.Out.Report()
 }
 
-// Left handles a target's announcement that it ends.
-func (e *Engine) Left(now time.Duration, id string) {
+// HandleTargetLeft handles a target's announcement that it ends.
+func (e *Engine) HandleTargetLeft(now time.Duration, id string) {
 	if !e.target.known || e.target.id != id {
 		return
 	}
--- a/internal/passthrough/flowtable/target_test.go
+++ b/internal/passthrough/flowtable/target_test.go
@@ -16,15 +16,15 @@
 	is := is.New(t)
 	r := newRig(t)
 	r.open(9, 1000)
-	is.Equal(r.announceState("i-1", 0, 2, true), Taken)
+	is.Equal(r.announceState("i-1", 0, 2, true), AnnouncementAccepted)
 	is.Equal(r.reports > 0, true)
-	is.Equal(r.report().Open, false)
+	is.Equal(r.report().AcceptsFlows, false)
 	r.syn(10)
 	is.Equal(r.refused, []refusal{{10, peer.Draining}})
 	r.sendRequest(9, 0)
 	is.Equal(len(r.toTarget), 3)
-	is.Equal(r.announceState("i-1", 0, 3, false), Taken) // a draining target doesn't become ready again
-	is.Equal(r.report().Open, false)
+	is.Equal(r.announceState("i-1", 0, 3, false), AnnouncementAccepted) // a draining target doesn't become ready again
+	is.Equal(r.report().AcceptsFlows, false)
 }
 
 // A target announces its end. Its process may run a little longer; after that its
@@ -34,13 +34,13 @@
 	r := newRig(t)
 	r.open(9, 1000)
 	r.announceState("i-1", 0, 2, true)
-	r.engine.Left(r.now, "i-0") // another target's
-	r.engine.Left(r.now, "i-1")
+	r.engine.HandleTargetLeft(r.now, "i-0") // another target's
+	r.engine.HandleTargetLeft(r.now, "i-1")
 	is.Equal(len(r.resets), 0)
-	is.Equal(r.report().Empty, false)
+	is.Equal(r.report().NoTarget, false)
 	r.advance(exitGrace + 20*time.Millisecond)
 	is.Equal(r.resets, []reset{{9, 1001}})
-	is.Equal(r.report().Empty, true)
+	is.Equal(r.report().NoTarget, true)
 	r.syn(10)
 	is.Equal(r.refused, []refusal{{10, peer.NoTarget}})
 }
@@ -54,7 +54,7 @@
 	r.engine.Stop(r.now)
 	is.Equal(len(r.resets), 0)
 	is.Equal(r.report().Leaving, true)
-	is.Equal(r.report().Empty, false)
+	is.Equal(r.report().NoTarget, false)
 	r.syn(10)
 	is.Equal(r.refused, []refusal{{10, peer.Draining}})
 }
@@ -65,10 +65,10 @@
 	is := is.New(t)
 	r := newRig(t)
 	r.open(9, 1000)
-	r.engine.Left(r.now, "i-1")
+	r.engine.HandleTargetLeft(r.now, "i-1")
 	r.engine.Stop(r.now)
 	is.Equal(r.resets, []reset{{9, 1001}})
-	is.Equal(r.report().Empty, true)
+	is.Equal(r.report().NoTarget, true)
 }
 
 // A target crashed and came back under its ID. The flows of the old incarnation must be
@@ -77,11 +77,11 @@
 	is := is.New(t)
 	r := newRig(t)
 	r.open(9, 1000)
-	is.Equal(r.announce("i-1", 5_000, 1), Taken)
+	is.Equal(r.announce("i-1", 5_000, 1), AnnouncementAccepted)
 	is.Equal(r.resets, []reset{{9, 1001}})
-	is.Equal(r.announceState("i-1", 0, 50, true), Late)
-	is.Equal(r.report().Open, true)
-	is.Equal(r.announce("i-1", 5_000, 1), Late) // a duplicate
+	is.Equal(r.announceState("i-1", 0, 50, true), AnnouncementOutdated)
+	is.Equal(r.report().AcceptsFlows, true)
+	is.Equal(r.announce("i-1", 5_000, 1), AnnouncementOutdated) // a duplicate
 	is.Equal(r.verdictOn(9, 5), peer.Lacks)
 }
 
@@ -90,10 +90,10 @@
 	is := is.New(t)
 	r := newRig(t)
 	a := Announcement{ID: "i-7", Service: "mapdocs", Address: address, Born: 9e15, Number: 1}
-	is.Equal(r.engine.Announced(r.now, a), NotOurs)
+	is.Equal(r.engine.HandleAnnouncement(r.now, a), AnnouncementForOtherTarget)
 	a.Service, a.Address = serviceName, "10.0.0.8:8080"
-	is.Equal(r.engine.Announced(r.now, a), NotOurs)
-	is.Equal(r.report().Open, true)
+	is.Equal(r.engine.HandleAnnouncement(r.now, a), AnnouncementForOtherTarget)
+	is.Equal(r.report().AcceptsFlows, true)
 }
 
 // An agent whose VM has no target must report that, but not before a target's
@@ -102,16 +102,16 @@
 	is := is.New(t)
 	r := newRig(t)
 	r.engine = New(Config{Service: serviceName, Address: address, Heartbeat: time.Second, StartedAt: r.now, Policy: policy, Codec: codec{}, Out: r})
-	is.Equal(r.report().Empty, false)
+	is.Equal(r.report().NoTarget, false)
 	r.advance(3 * time.Second)
-	is.Equal(r.report().Empty, true)
+	is.Equal(r.report().NoTarget, true)
 }
 
 // A target that just started is slow, and the report must say for how long.
 func TestColdTimeIsReported(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
-	r.engine.Announced(r.now, Announcement{ID: "i-1", Service: serviceName, Address: address, Born: startTime.UnixMilli(), Number: 2, Slots: 4, Cold: time.Second})
+	r.engine.HandleAnnouncement(r.now, Announcement{ID: "i-1", Service: serviceName, Address: address, Born: startTime.UnixMilli(), Number: 2, Slots: 4, Cold: time.Second})
 	is.Equal(r.report().ColdMS, uint32(1000))
 	r.advance(time.Second)
 	is.Equal(r.report().ColdMS, uint32(0))
@@ -140,12 +140,12 @@
 	r.engine = New(Config{Service: serviceName, Address: address, Heartbeat: time.Second, StartedAt: r.now, Policy: policy, Codec: codec{}, Out: r})
 	is.True(r.engine.WantsProbe(r.now))
 	r.engine.Probed(r.now, true) // a process is listening
-	is.Equal(r.report().Empty, false)
+	is.Equal(r.report().NoTarget, false)
 	r.engine.Probed(r.now, false)
-	is.Equal(r.report().Empty, true)
+	is.Equal(r.report().NoTarget, true)
 	is.Equal(r.verdictOn(9, 5), peer.Lacks)
 	r.announce("i-1", 0, 1)
-	is.Equal(r.report().Empty, false)
+	is.Equal(r.report().NoTarget, false)
 	is.Equal(r.engine.WantsProbe(r.now), false)
 }
 
@@ -164,10 +164,10 @@
 	is.Equal(len(r.resets), 0)
 	r.engine.Probed(r.now, false)
 	is.Equal(r.resets, []reset{{9, 1001}})
-	is.Equal(r.report().Open, false)
-	is.Equal(r.report().Empty, true)
+	is.Equal(r.report().AcceptsFlows, false)
+	is.Equal(r.report().NoTarget, true)
 	r.announce("i-1", 3000, 1) // a new incarnation
-	is.Equal(r.report().Open, true)
+	is.Equal(r.report().AcceptsFlows, true)
 }
 
 // A target that was taken for dead announces itself again: it is alive, with flows that
@@ -176,8 +176,8 @@
 	is := is.New(t)
 	r := newRig(t)
 	r.engine.Probed(r.now, false)
-	is.Equal(r.announce("i-1", 0, 2), Taken)
-	is.Equal(r.report().Open, true)
+	is.Equal(r.announce("i-1", 0, 2), AnnouncementAccepted)
+	is.Equal(r.report().AcceptsFlows, true)
 	is.Equal(r.verdictOn(9, 5), peer.Unsure)
 }
 
@@ -190,7 +190,7 @@
 	r.open(9, 1000) // at the first incarnation
 	r.now += 10 * time.Second
 	r.open(10, 5000) // at the second incarnation, which has just started
-	is.Equal(r.announce("i-1", 9_900, 1), Taken)
+	is.Equal(r.announce("i-1", 9_900, 1), AnnouncementAccepted)
 	is.Equal(r.resets, []reset{{9, 1001}})
 	is.Equal(r.verdictOn(10, 5001), peer.Holds)
 	is.Equal(r.verdictOn(9, 1001), peer.Lacks)
@@ -204,7 +204,7 @@
 	r := newRig(t)
 	r.engine = New(Config{Service: serviceName, Address: address, StartedAt: r.now, StartedWall: startTime, Policy: policy, Codec: codec{}, Out: r})
 	announceState := func(id string) {
-		r.engine.Announced(r.now, Announcement{ID: id, Service: serviceName, Address: address, Number: 1, Slots: 4})
+		r.engine.HandleAnnouncement(r.now, Announcement{ID: id, Service: serviceName, Address: address, Number: 1, Slots: 4})
 	}
 	announceState("i-1")
 	r.open(9, 1000)
--- a/internal/passthrough/flowtable/tick.go
+++ b/internal/passthrough/flowtable/tick.go
@@ -50,7 +50,7 @@
 			e.noteDecision(now, Decision{Verdict: TargetSilent, Flow: f})
 			e.cfg.Out.Report()
 		}
-		e.cfg.Codec.Mark(w.raw, 0)
+		e.cfg.Codec.SetTag(w.raw, 0)
 		e.refuseFirst(now, w.arrival, peer.Silent)
 	}
 }
--- a/internal/passthrough/placement/placement.go
+++ b/internal/passthrough/placement/placement.go
@@ -15,7 +15,7 @@
 //   - An outage or a burst that leaves one service of a route without a free slot while
 //     another service of the route has many idle ones: flows overflow to the other
 //     service (Policy.Overflow), even to busy targets if callers wait much less there
-//     (Policy.Relieves). Weights say how the operator divides the load while there is
+//     (Policy.TakesOverflow). Weights say how the operator divides the load while there is
 //     room; no caller waits to keep to them. Without overflow, callers queue at every
 //     target of one service next to free targets of the other.
 //   - A target that goes down and up, or breaks requests off: as nothing is in progress
@@ -59,14 +59,14 @@
 	OverflowGain float64
 	// Draws is 2 to take the less loaded of two targets drawn at random, 1 to take any.
 	Draws int
-	// Spread turns off the preference for targets in the same data centre; Trusting
-	// treats unsteady targets like others; Strict turns off the overflow to other
+	// IgnoreDistance turns off the preference for targets in the same data centre; IgnoreUnsteady
+	// treats unsteady targets like others; NoOverflow turns off the overflow to other
 	// services.
-	Spread, Trusting, Strict bool
+	IgnoreDistance, IgnoreUnsteady, NoOverflow bool
 }
 
-// Default returns the policy used in production.
-func Default() Policy {
+// DefaultPolicy returns the policy used in production.
+func DefaultPolicy() Policy {
 	return Policy{
 		FlowShare: 0.05, SentShare: 1, SpillFrom: 0.7, SpillGain: 0.25, ColdSlowdown: 1.6,
 		Saturated: 1, Idle: 0.5, OverflowGain: 1, Draws: 2,
@@ -114,7 +114,7 @@
 // Overflow reports whether a flow should go to another service of its route: all targets
 // of its own service are saturated.
 func (p *Policy) Overflow(own []Target) bool {
-	if p.Strict {
+	if p.NoOverflow {
 		return len(own) == 0
 	}
 	for i := range own {
@@ -128,11 +128,11 @@
 // HasSlot reports whether one of the near targets is steady and almost certainly has a
 // free slot, so that other data centres needn't be considered.
 func (p *Policy) HasSlot(near []Target) bool {
-	if p.Spread {
+	if p.IgnoreDistance {
 		return false
 	}
 	for i := range near {
-		if (p.Trusting || !near[i].Unsteady) && p.Score(&near[i]) <= p.SpillFrom {
+		if (p.IgnoreUnsteady || !near[i].Unsteady) && p.Score(&near[i]) <= p.SpillFrom {
 			return true
 		}
 	}
@@ -142,9 +142,9 @@
 // HasRoom reports whether a target has room for the overflow of another service.
 func (p *Policy) HasRoom(t *Target) bool { return p.Score(t) < p.Idle }
 
-// Relieves reports whether a target takes a flow of another service whose targets are all
+// TakesOverflow reports whether a target takes a flow of another service whose targets are all
 // saturated: it has room, or callers wait much less there.
-func (p *Policy) Relieves(t *Target, own []Target) bool {
+func (p *Policy) TakesOverflow(t *Target, own []Target) bool {
 	if p.HasRoom(t) {
 		return true
 	}
@@ -191,7 +191,7 @@
 func (p *Policy) draw(rng *rand.Rand, targets []Target, unsteady, near bool) int {
 	first, second, seen := -1, -1, 0
 	for i := range targets {
-		if (targets[i].Near || p.Spread) != near || (targets[i].Unsteady && !p.Trusting) != unsteady {
+		if (targets[i].Near || p.IgnoreDistance) != near || (targets[i].Unsteady && !p.IgnoreUnsteady) != unsteady {
 			continue
 		}
 		seen++
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -31,9 +31,9 @@
 const (
 	// Draws is how many peers are probed at once; see docs/PLACEMENT.md.
 	Draws = 2
-	// From is the fraction of its slots in use from which a host looks for a less loaded
+	// ProbeThreshold is the fraction of its slots in use from which a host looks for a less loaded
 	// peer; see docs/PLACEMENT.md.
-	From = 0.5
+	ProbeThreshold = 0.5
 )
 
 // Peer is another agent that a request may be handed to.
@@ -99,12 +99,12 @@
 	return len(peers) - 1
 }
 
-// LookAround reports whether a host with this load probes peers for a new request, even
+// ShouldProbe reports whether a host with this load probes peers for a new request, even
 // if it has a free slot.
-func LookAround(home Load) bool { return LookAroundFrom(home, From) }
+func ShouldProbe(home Load) bool { return ShouldProbeFrom(home, ProbeThreshold) }
 
-// LookAroundFrom is LookAround with another threshold, for experiments.
-func LookAroundFrom(home Load, from float64) bool {
+// ShouldProbeFrom is ShouldProbe with another threshold, for experiments.
+func ShouldProbeFrom(home Load, from float64) bool {
 	return !home.Room() || float64(home.Running) >= from*float64(home.Slots)
 }
 
--- a/internal/steering/route.go
+++ b/internal/steering/route.go
@@ -76,7 +76,7 @@
 
 // Route returns the agent that a packet to the service is sent to, or nil if it is
 // dropped. It doesn't allocate memory.
-func (r *Router) Route(m *Map, s *Service, caller netip.AddrPort, packet []byte) (*Agent, Outcome) {
+func (r *Router) Route(m *CompiledTable, s *Service, caller netip.AddrPort, packet []byte) (*Agent, Outcome) {
 	if !ReadShape(packet, &r.shape) {
 		return nil, DropMalformed
 	}
@@ -92,7 +92,7 @@
 	return nil, DropForeign
 }
 
-func (r *Router) established(m *Map, s *Service, caller netip.AddrPort, number table.AgentNumber) (*Agent, Outcome) {
+func (r *Router) established(m *CompiledTable, s *Service, caller netip.AddrPort, number table.AgentNumber) (*Agent, Outcome) {
 	agent, ok := m.Agent(number)
 	switch {
 	case !ok:
@@ -109,7 +109,7 @@
 
 // choose returns the first active agent in the flow's order that answers. A packet that
 // doesn't open a flow may also go to a draining agent.
-func (r *Router) choose(m *Map, s *Service, caller netip.AddrPort, outcome Outcome) (*Agent, Outcome) {
+func (r *Router) choose(m *CompiledTable, s *Service, caller netip.AddrPort, outcome Outcome) (*Agent, Outcome) {
 	key := m.FlowKey(r.shape.Destination, caller)
 	first, agent := m.answering(s.chooser, key)
 	if agent == nil && outcome != New {
@@ -128,13 +128,13 @@
 // answering returns the first agent in a flow's order, and the first that isn't judged
 // unreachable. If all are judged unreachable, it returns the first agent twice, because
 // the judgement may be wrong.
-func (m *Map) answering(c *Chooser, key uint64) (first, agent *Agent) {
+func (ct *CompiledTable) answering(c *Chooser, key uint64) (first, agent *Agent) {
 	number, ok := c.Choose(key)
 	if !ok {
 		return nil, nil
 	}
-	first = m.agents[number]
-	for agent = first; agent.Reach.Down(); agent = m.agents[number] {
+	first = ct.agents[number]
+	for agent = first; agent.Reach.Down(); agent = ct.agents[number] {
 		if number, ok = c.After(key, number); !ok {
 			return first, first
 		}
