--- a/internal/flow/agents_test.go
+++ b/internal/flow/agents_test.go
@@ -17,11 +17,11 @@
 	"bergamotstall/internal/table"
 )
 
-// flowAt opens flows until one is at the agent, and returns its caller.
+// flowAt opens flows until one reaches the given agent, and returns its caller.
 func (r *rig) flowAt(number table.AgentNumber) *caller {
 	r.Helper()
 	for range 64 {
-		c := r.caller(desk)
+		c := r.caller(deskService)
 		_, agent, err := c.get("/")
 		r.is.NoErr(err)
 		if agent == strconv.Itoa(int(number)) {
@@ -32,41 +32,40 @@
 	return nil
 }
 
-// The caller's feed and download go on to their end when their target is drained
-// by the table; nothing new reaches that target, not even by balancers that
-// still have the table from before the drain.
+// A target drained by the table must keep its open feed and download, and get no new
+// flows, not even from balancers that still have the table from before the drain.
 func TestDrainedTargetKeepsFeedAndDownload(t *testing.T) {
-	r := standard(t, 2, target)
+	r := standardRig(t, 2, targetHandler)
 	feed := r.openFeed(r.flowAt(1))
 	running := r.startDownload(r.flowAt(1))
 	r.target(1).State = table.Draining
-	r.applyAgents(r.revise())
+	r.applyAgents(r.nextRevision())
 	for range 20 {
-		_, agent, err := r.caller(desk).get("/")
+		_, agent, err := r.caller(deskService).get("/")
 		r.is.NoErr(err)
 		r.is.Equal(agent, "2")
 	}
 	r.is.True(r.agents[1].metrics.Value("flow_hand_over_draining") > 0)
-	r.goesOn(feed)
-	r.whole(running)
+	r.requireFeedContinues(feed)
+	r.requireIntact(running)
 }
 
-// The caller's download is whole although its agent stops meanwhile: the agent
-// sends GOAWAY, hands new flows on, and ends once the last request has. A feed
-// that nobody closes would hold it; this one's caller leaves.
-func TestStopCutsNoRequest(t *testing.T) {
-	r := standard(t, 2, target)
+// Shutdown must not cut an open request: the agent sends GOAWAY, forwards new flows to
+// the other agent, and closes after the last request. An open feed would delay the
+// shutdown until its timeout, so the test closes it.
+func TestShutdownCutsNoRequest(t *testing.T) {
+	r := standardRig(t, 2, targetHandler)
 	feed := r.openFeed(r.flowAt(1))
 	idle := r.flowAt(1)
 	running := r.startDownload(r.flowAt(1))
 	stopped := make(chan error, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
 		stopped <- r.agents[1].Shutdown(ctx)
 	}()
-	r.whole(running)
-	r.goesOn(feed)
+	r.requireIntact(running)
+	r.requireFeedContinues(feed)
 	_, agent, err := idle.get("/")
 	r.is.NoErr(err)
 	r.is.Equal(agent, "2")
@@ -75,56 +74,56 @@
 	r.is.Equal(r.agents[1].Flows(), 0)
 }
 
-// A caller whose agent's process died and came back at the same address is told
-// at its next packet, by a stateless reset: the new incarnation doesn't have the
-// flow, and the cluster's key lets it say so. The table still names the old one.
+// After an agent's process restarts at the same address, its old flows must end at the
+// caller's next packet. The new incarnation lacks the flow, and answers with a stateless
+// reset by the cluster's key, even while the table still lists the old one.
 func TestRestartedAgentResetsOldFlows(t *testing.T) {
-	r := standard(t, 2, target)
+	r := standardRig(t, 2, targetHandler)
 	c := r.flowAt(1)
 	tunnel := r.agents[1].Tunnel().String()
 	r.agents[1].stop()
 	delete(r.agents, 1)
-	r.addAgent(7, desk, tunnel, target(7))
-	r.applyAgents(r.revise())
-	r.isReset(c)
+	r.addAgent(7, deskService, tunnel, targetHandler(7))
+	r.applyAgents(r.nextRevision())
+	r.requireReset(c)
 	r.eventually("a new flow works", func() bool {
-		_, _, err := r.caller(desk).get("/")
+		_, _, err := r.caller(deskService).get("/")
 		return err == nil
 	})
 }
 
-// A caller whose agent died for good is told at its next packet once control has
-// retired the agent: any other agent of the service answers for it.
+// Once control has retired a dead agent, any other agent of the service answers the
+// next packet of its flows with a stateless reset.
 func TestRetiredAgentsFlowsAreReset(t *testing.T) {
-	r := standard(t, 2, target)
+	r := standardRig(t, 2, targetHandler)
 	c := r.flowAt(1)
 	r.agents[1].stop()
 	delete(r.agents, 1)
 	r.target(1).State = table.Retired
 	r.apply()
-	r.isReset(c)
+	r.requireReset(c)
 	r.is.True(r.agents[2].metrics.Value("flow_reset_gone_agent") > 0)
 }
 
-// The caller of an open feed only listens: all it sends are small packets. Its
-// agent dies for good, and the caller is told by a stateless reset all the same,
-// not by its idle timeout of 20 seconds.
+// The caller of an open feed sends only small packets, to which quic-go sends no
+// stateless reset. When its agent dies, the caller must still be reset, instead of
+// waiting for its idle timeout of 20 seconds.
 func TestCallerThatOnlyListensIsReset(t *testing.T) {
-	r := standard(t, 2, target)
+	r := standardRig(t, 2, targetHandler)
 	r.keepAlive = 100 * time.Millisecond
 	feed := r.openFeed(r.flowAt(1))
 	r.agents[1].stop()
 	delete(r.agents, 1)
 	r.target(1).State = table.Retired
 	r.apply()
-	r.eventually("the caller is told", func() bool { return feed.err.Load() != nil })
+	r.eventually("the caller is reset", func() bool { return feed.err.Load() != nil })
 	var reset *quic.StatelessResetError
 	r.is.True(errors.As(*feed.err.Load(), &reset))
 }
 
-// isReset makes a request on an open flow, and fails unless the flow ends by a
-// stateless reset, which no time-out can be taken for.
-func (r *rig) isReset(c *caller) {
+// requireReset makes a request on an open flow, and fails unless the flow ends by a
+// stateless reset; a timeout doesn't count.
+func (r *rig) requireReset(c *caller) {
 	r.Helper()
 	_, _, err := c.get("/")
 	var reset *quic.StatelessResetError
@@ -133,20 +132,19 @@
 	}
 }
 
-// No request of the commission desk ever reaches the archive. The desk's agent
-// dies, an agent of the archive gets its address, and the balancers' tables
-// don't know: they send the desk's packets to the archive's agent, which refuses
-// and counts them.
+// A request must never reach a target of another service. The desk's agent dies, an
+// agent of the archive gets its address, and the balancers, whose tables are outdated,
+// send the desk's packets to the archive's agent, which refuses and counts them.
 func TestReusedAddressRefusesOtherService(t *testing.T) {
-	r := standard(t, 2, target)
-	r.addService(archiveID, archive)
+	r := standardRig(t, 2, targetHandler)
+	r.addService(archiveID, archiveService)
 	c := r.flowAt(1)
 	tunnel := r.agents[1].Tunnel().String()
 	r.agents[1].stop()
 	delete(r.agents, 1)
 	var served atomic.Int64
-	other := r.addAgent(8, archive, tunnel, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { served.Add(1) }))
-	r.applyAgents(r.revise())
+	other := r.addAgent(8, archiveService, tunnel, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { served.Add(1) }))
+	r.applyAgents(r.nextRevision())
 
 	go func() { _, _, _ = c.get("/") }()
 	r.eventually("packets are refused", func() bool {
@@ -156,88 +154,86 @@
 	r.is.Equal(other.Flows(), 0)
 }
 
-// Every caller gets its answer while one target is at its flow limit: the agent
-// hands new flows to the next in their order. Where all are full, callers are
-// refused at once rather than left to time out.
-func TestFullTargetHandsNewFlowsOn(t *testing.T) {
-	r := standard(t, 2, target)
+// An agent at its flow limit forwards new flows to the next agent in their order. If all
+// agents are full, callers are refused at once instead of timing out.
+func TestFullTargetForwardsNewFlows(t *testing.T) {
+	r := standardRig(t, 2, targetHandler)
 	r.table.Services[0].FlowLimit = 3
 	r.apply()
 	for range 6 {
-		_, _, err := r.caller(desk).get("/")
+		_, _, err := r.caller(deskService).get("/")
 		r.is.NoErr(err)
 	}
 	r.is.Equal(r.agents[1].Flows(), 3)
 	r.is.Equal(r.agents[2].Flows(), 3)
 	start := time.Now()
-	_, _, err := r.caller(desk).get("/")
+	_, _, err := r.caller(deskService).get("/")
 	var refused *quic.TransportError
 	r.is.True(errors.As(err, &refused))
 	r.is.Equal(refused.ErrorCode, quic.ConnectionRefused)
-	r.is.True(time.Since(start) < patience)
+	r.is.True(time.Since(start) < waitTimeout)
 }
 
-// A caller whose agent's process died is told within a second or two of its next
-// packet, though no table says so yet: the balancers' probes go unanswered, they
-// hand the flow's packets to another agent, whose own probes are refused by the
-// dead one's VM, and that one answers with a stateless reset. New flows avoid
-// the dead agent.
+// Flows of a dead agent must be reset within a second or two of the caller's next packet,
+// before any table says that the agent is dead. The balancers' probes go unanswered, so
+// they send the flow's packets to another agent; its own probes are refused by the dead
+// agent's VM, and it answers with a stateless reset. New flows avoid the dead agent.
 func TestDeadAgentsFlowsAreResetBeforeControlKnows(t *testing.T) {
-	r := standard(t, 2, target)
+	r := standardRig(t, 2, targetHandler)
 	c := r.flowAt(1)
 	r.agents[1].stop()
 	start := time.Now()
-	r.isReset(c)
-	r.Logf("told %v after the next packet", time.Since(start))
+	r.requireReset(c)
+	r.Logf("reset %v after the next packet", time.Since(start))
 	r.is.True(r.agents[2].metrics.Value("flow_reset_unreachable") > 0)
 	for range 10 {
-		_, agent, err := r.caller(desk).get("/")
+		_, agent, err := r.caller(deskService).get("/")
 		r.is.NoErr(err)
 		r.is.Equal(agent, "2")
 	}
 }
 
-// answer is what a caller got: which agent answered, or why none did.
-type answer struct {
+// callResult is the result of a call: the agent that answered, or the error.
+type callResult struct {
 	agent string
 	err   error
 }
 
-// Callers whose agent gets no processor time for seconds keep their flows and get
-// their answers: balancers and the other agent get no answer to their probes, but
-// nobody refuses them either, and an open flow isn't given up on that.
+// An agent without CPU time for seconds must keep its flows. Probes of the balancers and
+// of the other agent go unanswered, but none is refused, and that alone must not reset an
+// open flow.
 func TestPausedAgentKeepsItsFlows(t *testing.T) {
 	r := newRig(t)
-	r.idle = 0 // the whole idle timeout, as the caller's retransmissions take seconds
+	r.idleTimeout = 0 // the default idle timeout, as the callers' retransmissions take seconds
 	for i := range 3 {
 		r.addBalancer(fmt.Sprintf("balancer-%d", i))
 	}
 	var pause, resume func()
-	r.startAgent(1, desk, "", target(1), func(e *flow.Endpoint) { pause, resume = e.Pause() })
+	r.startAgent(1, deskService, "", targetHandler(1), func(e *flow.Endpoint) { pause, resume = e.Pause() })
 	resume = sync.OnceFunc(resume)
-	r.addAgent(2, desk, "", target(2))
+	r.addAgent(2, deskService, "", targetHandler(2))
 	r.apply()
-	// Several callers, as only the packets that meet a balancer which has judged
-	// the agent already lead to an inquiry. A single caller's retransmissions, each
-	// at another balancer, may take longer for that than the idle timeout.
+	// Only packets that reach a balancer which already found the agent unreachable start
+	// an inquiry. The retransmissions of a single caller, each through another balancer,
+	// may need longer than the idle timeout for that, so there are several callers.
 	var callers [6]*caller
 	for i := range callers {
 		callers[i] = r.flowAt(1)
 	}
 	pause()
 	paused := time.Now()
-	r.Cleanup(resume) // a paused agent can't end
-	answers := make(chan answer, len(callers))
+	r.Cleanup(resume) // a paused agent can't stop
+	answers := make(chan callResult, len(callers))
 	for _, c := range callers {
 		go func() {
 			_, agent, err := c.get("/")
-			answers <- answer{agent, err}
+			answers <- callResult{agent, err}
 		}()
 	}
 	other := r.agents[2].metrics
-	r.eventually("the other agent looks into it", func() bool { return other.Value("flow_probes") >= 3 })
+	r.eventually("the other agent probes the paused one", func() bool { return other.Value("flow_probes") >= 3 })
 	resume()
-	// A longer pause ends flows by right, and says nothing of the inquiry.
+	// After a longer pause flows time out, whatever the inquiry does.
 	r.is.True(time.Since(paused) < flow.IdleTimeout)
 	for range callers {
 		a := <-answers
@@ -247,21 +243,21 @@
 	r.is.Equal(other.Value("flow_reset_unreachable"), int64(0))
 }
 
-// A caller's download is whole where its agent answers straight from the
-// service's address. The caller here sends to a balancer itself, as the fabric
-// stand-in would hold the address that the agent needs.
-func TestDirectAnswersLeaveBalancersOut(t *testing.T) {
+// With direct return, a download arrives intact and no return packet crosses a balancer.
+// The caller sends to a balancer directly, as the simulated fabric would occupy the
+// service address that the agent needs.
+func TestDirectReturnBypassesBalancers(t *testing.T) {
 	r := newRig(t)
 	r.direct = true
 	r.fabric.Close()
 	b := r.addBalancer("balancer-0")
-	r.addAgent(1, desk, "", target(1))
+	r.addAgent(1, deskService, "", targetHandler(1))
 	r.apply()
 	front, ok := b.Front(deskID)
 	r.is.True(ok)
-	c := r.caller(desk)
+	c := r.caller(deskService)
 	c.url = "https://" + front.String()
-	r.whole(r.startDownload(c))
+	r.requireIntact(r.startDownload(c))
 	r.is.True(r.agents[1].metrics.Value("flow_answers_direct") > 1000)
 	r.is.Equal(b.metrics.Value("balancer_return_packets"), int64(0))
 }
--- a/internal/flow/measure_test.go
+++ b/internal/flow/bench_test.go
@@ -13,8 +13,8 @@
 	"bergamotstall/internal/table"
 )
 
-// changeTables makes a new table each 30 ms: weights shift, and one target at a
-// time drains. Agents have it at once, each balancer up to 200 ms later.
+// changeTables makes a new table every 30 ms, with other weights and one target draining
+// at a time. Agents get it at once, each balancer up to 200 ms later.
 func changeTables(r *rig, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(11, 12))
 	var late sync.WaitGroup
@@ -32,7 +32,7 @@
 		if i%2 == 0 {
 			r.table.Targets[i/2%len(r.table.Targets)].State = table.Draining
 		}
-		t := r.revise()
+		t := r.nextRevision()
 		r.applyAgents(t)
 		for _, b := range r.balancers {
 			wait := time.Duration(random.Int64N(int64(200 * time.Millisecond)))
@@ -45,9 +45,9 @@
 }
 
 // BenchmarkHandshakesWhileTablesChange opens flows while tables change and reach
-// balancers unevenly, with deflection and without. A broken handshake failed; a
-// slow one took over 150 ms, which is a retransmission; a split one opened flows
-// at two agents.
+// balancers at different times, with and without deflection, the forwarding of first
+// packets to another agent. A broken handshake failed; a slow one took over 150 ms,
+// which means a retransmission; a split one opened flows at two agents.
 func BenchmarkHandshakesWhileTablesChange(b *testing.B) {
 	for name, deflect := range map[string]bool{"with-deflection": true, "without": false} {
 		b.Run(name, func(b *testing.B) { handshakes(b, deflect) })
@@ -60,9 +60,9 @@
 		r.addBalancer(fmt.Sprintf("balancer-%d", i))
 	}
 	for n := table.AgentNumber(1); n <= 4; n++ {
-		r.startAgent(n, desk, "", target(n), func(e *flow.Endpoint) {
+		r.startAgent(n, deskService, "", targetHandler(n), func(e *flow.Endpoint) {
 			if !deflect {
-				e.KeepFirstPackets()
+				e.AcceptFirstPackets()
 			}
 		})
 	}
@@ -82,7 +82,7 @@
 	for range 6 {
 		callers.Go(func() {
 			for left.Add(-1) >= 0 {
-				c := r.caller(desk)
+				c := r.caller(deskService)
 				start := time.Now()
 				_, _, err := c.get("/")
 				took := time.Since(start)
@@ -111,20 +111,20 @@
 	b.ReportMetric(float64(times[len(times)-1].Milliseconds()), "max-ms")
 }
 
-// BenchmarkDownloadsThroughBalancerDeath runs downloads over three balancers, of
-// which one dies after a third of the run; the fabric notices 300 ms later. The
-// longest download shows how long the death holds a flow up.
+// BenchmarkDownloadsThroughBalancerDeath runs downloads through three balancers, one of
+// which dies after a third of the run; the fabric stops routing to it 300 ms later. The
+// longest download shows how long the death delays a flow.
 func BenchmarkDownloadsThroughBalancerDeath(b *testing.B) {
 	const callers, period, notice = 8, time.Second, 300 * time.Millisecond
 	var all []time.Duration
 	var broken atomic.Int64
 	for b.Loop() {
-		r := standard(b, 2, target)
+		r := standardRig(b, 2, targetHandler)
 		var mu sync.Mutex
 		var running sync.WaitGroup
 		end := time.Now().Add(3 * period)
 		for range callers {
-			c := r.caller(desk)
+			c := r.caller(deskService)
 			running.Go(func() {
 				for time.Now().Before(end) {
 					start := time.Now()
@@ -152,16 +152,16 @@
 	b.ReportMetric(float64(all[len(all)-1].Milliseconds()), "max-ms")
 }
 
-// BenchmarkDownload moves 32 MB over one flow, and over four at a time, from one
-// agent through three balancers; callers and fabric are in the same process.
+// BenchmarkDownload transfers 32 MB over one flow, and over each of four concurrent flows,
+// from one agent through three balancers. Callers and fabric run in the same process.
 func BenchmarkDownload(b *testing.B) {
 	const size = 32 << 20
 	for _, flows := range []int{1, 4} {
 		b.Run(fmt.Sprint(flows), func(b *testing.B) {
-			r := standard(b, 1, target)
+			r := standardRig(b, 1, targetHandler)
 			var callers []*caller
 			for range flows {
-				callers = append(callers, r.caller(desk))
+				callers = append(callers, r.caller(deskService))
 			}
 			b.SetBytes(int64(flows * size))
 			for b.Loop() {
--- a/internal/flow/callers_test.go
+++ b/internal/flow/callers_test.go
@@ -16,11 +16,11 @@
 	"bergamotstall/internal/table"
 )
 
-var drawings sync.Map
+var testBodies sync.Map
 
-// drawing returns content that no shift or mix-up leaves intact.
-func drawing(size int) []byte {
-	if known, ok := drawings.Load(size); ok {
+// testBody returns random content, so that any shifted or mixed-up data shows.
+func testBody(size int) []byte {
+	if known, ok := testBodies.Load(size); ok {
 		return known.([]byte)
 	}
 	out := make([]byte, size)
@@ -28,41 +28,41 @@
 	for i := range out {
 		out[i] = byte(r.Uint32())
 	}
-	drawings.Store(size, out)
+	testBodies.Store(size, out)
 	return out
 }
 
-const feedPause = 5 * time.Millisecond
+const feedInterval = 5 * time.Millisecond
 
-// target serves drawings of ?size= bytes in pieces ?pause= apart, a feed of
-// numbered lines until the caller goes, and its agent's number elsewhere.
-func target(number table.AgentNumber) http.Handler {
+// targetHandler serves, at /drawing, ?size= bytes in pieces sent ?pause= apart; at /feed,
+// numbered lines until the caller disconnects; and elsewhere its agent's number.
+func targetHandler(number table.AgentNumber) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Agent", strconv.Itoa(int(number)))
 		switch r.URL.Path {
 		case "/feed":
-			feedLines(w, r)
+			writeFeed(w, r)
 		case "/drawing":
 			size, _ := strconv.Atoi(r.URL.Query().Get("size"))
 			pause, _ := time.ParseDuration(r.URL.Query().Get("pause"))
-			pieces(w, drawing(size), pause)
+			writeInPieces(w, testBody(size), pause)
 		default:
 			_, _ = fmt.Fprintf(w, "agent %d", number)
 		}
 	})
 }
 
-func feedLines(w http.ResponseWriter, r *http.Request) {
+func writeFeed(w http.ResponseWriter, r *http.Request) {
 	for i := 0; r.Context().Err() == nil; i++ {
 		if _, err := fmt.Fprintln(w, i); err != nil {
 			return
 		}
 		w.(http.Flusher).Flush()
-		time.Sleep(feedPause)
+		time.Sleep(feedInterval)
 	}
 }
 
-func pieces(w http.ResponseWriter, body []byte, pause time.Duration) {
+func writeInPieces(w http.ResponseWriter, body []byte, pause time.Duration) {
 	const piece = 32 << 10
 	for len(body) > 0 {
 		n := min(piece, len(body))
@@ -74,7 +74,7 @@
 	}
 }
 
-// feed is an open case feed, as its caller sees it.
+// feed is an open feed at its caller.
 type feed struct {
 	agent  string
 	lines  atomic.Int64
@@ -83,7 +83,7 @@
 	done   chan struct{}
 }
 
-// openFeed opens a feed and checks that its lines come in order, none missing.
+// openFeed opens a feed and checks that its lines arrive in order without gaps.
 func (r *rig) openFeed(c *caller) *feed {
 	ctx, cancel := context.WithCancel(context.Background())
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url+"/feed", nil)
@@ -115,12 +115,12 @@
 	<-f.done
 }
 
-// goesOn waits for more lines, and fails where the feed broke.
-func (r *rig) goesOn(f *feed) {
+// requireFeedContinues waits for more lines, and fails if the feed broke.
+func (r *rig) requireFeedContinues(f *feed) {
 	r.Helper()
 	const more = 20
 	start := f.lines.Load()
-	r.eventually("feed goes on", func() bool {
+	r.eventually("feed continues", func() bool {
 		if err := f.err.Load(); err != nil {
 			r.Fatalf("feed broke after %d lines: %v", f.lines.Load(), *err)
 		}
@@ -134,23 +134,23 @@
 	done chan error
 }
 
-// startDownload fetches a drawing that takes about a second to come.
+// startDownload starts a download that takes about a second.
 func (r *rig) startDownload(c *caller) *download {
 	const size, pause = 2 << 20, 15 * time.Millisecond
 	d := &download{size: size, done: make(chan error, 1)}
-	want := sha256.Sum256(drawing(size))
+	want := sha256.Sum256(testBody(size))
 	go func() {
 		body, _, err := c.get(fmt.Sprintf("/drawing?size=%d&pause=%v", size, pause))
 		if err == nil && sha256.Sum256(body) != want {
-			err = fmt.Errorf("got %d bytes, not those sent", len(body))
+			err = fmt.Errorf("received %d bytes that differ from those sent", len(body))
 		}
 		d.done <- err
 	}()
 	return d
 }
 
-// whole waits for a download and fails where it broke.
-func (r *rig) whole(d *download) {
+// requireIntact waits for a download, and fails if it broke or its content differs.
+func (r *rig) requireIntact(d *download) {
 	r.Helper()
 	if err := <-d.done; err != nil {
 		r.Fatalf("download: %v", err)
--- a/internal/flow/cost_test.go
+++ b/internal/flow/cost_test.go
@@ -27,12 +27,12 @@
 	farSideTable = "FLOW_FAR_SIDE_TABLE"
 	farSideCert  = "FLOW_FAR_SIDE_CERT"
 	farSideFlows = "FLOW_FAR_SIDE_FLOWS"
-	openLine     = "all flows open"
+	allOpenLine  = "all flows open"
 )
 
-// BenchmarkOpenFlows measures what open feeds cost their agent: bytes of heap and
-// stacks and goroutines for each, and processor time for opening one. Fabric,
-// balancers and callers run in a second process, so that nothing of theirs counts.
+// BenchmarkOpenFlows measures what open feeds cost their agent: heap and stack bytes and
+// goroutines per flow, and CPU time per new flow. Fabric, balancers and callers run in a
+// second process, the far side, so that their cost isn't counted.
 func BenchmarkOpenFlows(b *testing.B) {
 	for _, flows := range []int{100, 300, 1000} {
 		b.Run(strconv.Itoa(flows), func(b *testing.B) {
@@ -45,22 +45,22 @@
 
 func openFlows(b *testing.B, flows int) {
 	r := newRig(b)
-	r.fabric.Close() // the other process has the fabric
+	r.fabric.Close() // the fabric runs in the other process
 	for i := range 3 {
 		r.table.Balancers = append(r.table.Balancers, table.Balancer{
 			Name: fmt.Sprint(i), Tunnel: netip.AddrPortFrom(r.ip(), 19000).String(),
 		})
 	}
-	agent := r.addAgent(1, desk, "", http.HandlerFunc(quietFeed))
-	t := r.revise()
+	agent := r.addAgent(1, deskService, "", http.HandlerFunc(quietFeed))
+	t := r.nextRevision()
 	r.applyAgents(t)
 	memory, goroutines, processor := usage()
 	far, stop := r.startFarSide(t, flows)
 	defer stop()
-	for far.Scan() && far.Text() != openLine {
+	for far.Scan() && far.Text() != allOpenLine {
 	}
 	r.is.Equal(agent.Flows(), flows)
-	time.Sleep(500 * time.Millisecond) // handshake state goes
+	time.Sleep(500 * time.Millisecond) // until the handshakes' state is released
 	memory2, goroutines2, processor2 := usage()
 	n := float64(flows)
 	b.ReportMetric(float64(memory2-memory)/n, "bytes/flow")
@@ -68,27 +68,27 @@
 	b.ReportMetric(float64((processor2-processor).Microseconds())/n, "cpu-us/new-flow")
 }
 
-// quietFeed sends one line and waits for the caller to go.
+// quietFeed sends one line and waits for the caller to disconnect.
 func quietFeed(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.WriteString(w, "open\n")
 	w.(http.Flusher).Flush()
 	<-r.Context().Done()
 }
 
-// usage returns this process's heap and stacks in use, goroutines, and processor
-// time so far.
+// usage returns this process's heap and stack bytes in use, its number of goroutines, and
+// its CPU time so far.
 func usage() (bytes int64, goroutines int, processor time.Duration) {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	var u syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
-	processor = time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	var rusage syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &rusage)
+	processor = time.Duration(rusage.Utime.Nano() + rusage.Stime.Nano())
 	return int64(m.HeapInuse + m.StackInuse), runtime.NumGoroutine(), processor
 }
 
-// startFarSide runs this test binary again as TestFarSide.
+// startFarSide starts this test binary again to run TestFarSide.
 func (r *rig) startFarSide(t *table.Table, flows int) (out *bufio.Scanner, stop func()) {
 	data, err := t.MarshalMsg(nil)
 	r.is.NoErr(err)
@@ -109,8 +109,9 @@
 	}
 }
 
-// TestFarSide is the other process of BenchmarkOpenFlows: fabric, balancers and
-// callers, until its input ends. Run by itself it does nothing.
+// TestFarSide is the second process of BenchmarkOpenFlows. It runs fabric, balancers and
+// callers until its standard input closes. Without its environment variables it does
+// nothing.
 func TestFarSide(t *testing.T) {
 	if os.Getenv(farSideTable) == "" {
 		return
@@ -128,19 +129,19 @@
 	is.NoErr(r.fabric.Open(netip.MustParseAddrPort(r.table.Services[0].Address)))
 	for _, x := range r.table.Balancers {
 		tunnel := netip.MustParseAddrPort(x.Tunnel)
-		f, err := balancer.NewForwarder(balancer.ForwarderConfig{Bind: tunnel.Addr(), Tunnel: tunnel, Log: quiet()})
+		f, err := balancer.NewForwarder(balancer.ForwarderConfig{Bind: tunnel.Addr(), Tunnel: tunnel, Log: discardLog()})
 		is.NoErr(err)
 		defer f.Close()
 		is.NoErr(f.Apply(&r.table))
 		r.fabric.AddBalancer(tunnel.Addr())
 	}
 	for range flows {
-		c := r.caller(desk)
+		c := r.caller(deskService)
 		resp, err := c.Get(c.url + "/feed")
 		is.NoErr(err)
 		defer resp.Body.Close()
 	}
-	fmt.Println(openLine)
+	fmt.Println(allOpenLine)
 	_, _ = io.Copy(io.Discard, os.Stdin)
 }
 
--- a/internal/flow/direct.go
+++ b/internal/flow/direct.go
@@ -11,25 +11,25 @@
 	"bergamotstall/internal/steering"
 )
 
-// direct is the way back that leaves the balancers out.
-type direct struct {
+// directReturn is the socket for direct server return, which bypasses the balancers.
+type directReturn struct {
 	address netip.AddrPort
 	socket  atomic.Pointer[net.UDPConn]
 }
 
-// openDirect opens the service's address for answers, where the config asks for
-// it. Where the VM doesn't hold the address, answers go on by the balancers, and
-// the next table tries again.
-func (e *Endpoint) openDirect(s *steering.Service) {
+// openDirectReturn opens a socket on the service's address if the config enables
+// direct return. If the VM doesn't hold the address, packets still return through
+// the balancers, and the next table tries again.
+func (e *Endpoint) openDirectReturn(s *steering.Service) {
 	if !e.config.Direct || s == nil || e.direct.address == s.Address {
 		return
 	}
-	e.closeDirect()
-	// Not shared with a balancer on the same VM: the kernel would deal this
-	// socket a part of the callers' packets, and nobody reads them here.
+	e.closeDirectReturn()
+	// The port isn't shared with a balancer on the same VM: the kernel would give this
+	// socket a part of the callers' packets, which are never read here.
 	c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(s.Address))
 	if err != nil {
-		e.counts.directFailed.Add(1)
+		e.counters.directFailed.Add(1)
 		events.Log(e.config.Log, events.FlowDirectFailed, logrus.Fields{"address": s.Address, "error": err})
 		return
 	}
@@ -37,24 +37,24 @@
 	e.direct.socket.Store(c)
 }
 
-func (e *Endpoint) closeDirect() {
+func (e *Endpoint) closeDirectReturn() {
 	if old := e.direct.socket.Swap(nil); old != nil {
 		_ = old.Close()
 	}
 	e.direct.address = netip.AddrPort{}
 }
 
-// answerDirect sends a packet straight to its caller, and returns false where
-// answers go by the balancers.
-func (e *Endpoint) answerDirect(packet []byte, caller netip.AddrPort) bool {
+// sendDirect sends a packet directly to its caller. It returns false if the packet
+// must return through a balancer.
+func (e *Endpoint) sendDirect(packet []byte, caller netip.AddrPort) bool {
 	socket := e.direct.socket.Load()
 	if socket == nil {
 		return false
 	}
 	if _, err := socket.WriteToUDPAddrPort(packet, caller); err != nil {
-		e.counts.sendFailed.Add(1)
+		e.counters.sendFailed.Add(1)
 		return false
 	}
-	e.counts.direct.Add(1)
+	e.counters.direct.Add(1)
 	return true
 }
--- a/internal/flow/download_test.go
+++ b/internal/flow/download_test.go
@@ -9,15 +9,15 @@
 	"bergamotstall/internal/standin/fabric"
 )
 
-// A caller's download is whole although each of its packets crosses a balancer
-// picked at random, and every flow stays with the one agent it opened at.
+// A download must arrive intact although each of its packets crosses a randomly chosen
+// balancer, and every flow must stay with the agent at which it was opened.
 func TestDownloadsAreWholeWhenPacketsAreSprayed(t *testing.T) {
-	r := standard(t, 2, target)
+	r := standardRig(t, 2, targetHandler)
 	for range 4 {
-		c := r.caller(desk)
+		c := r.caller(deskService)
 		_, first, err := c.get("/")
 		r.is.NoErr(err)
-		r.whole(r.startDownload(c))
+		r.requireIntact(r.startDownload(c))
 		_, again, err := c.get("/")
 		r.is.NoErr(err)
 		r.is.Equal(first, again)
@@ -28,14 +28,14 @@
 	}
 }
 
-// The caller's downloads go on to their whole end. A balancer dies while they
-// run: packets on their way to it are lost, and agents that answered by it
-// switch to another; then one joins that has seen none of the flows.
+// Downloads must survive the death of a balancer, which loses the packets sent to it and
+// makes agents return packets through another one, and the joining of a balancer that has
+// seen none of the flows.
 func TestDownloadSurvivesBalancerDeathAndJoin(t *testing.T) {
-	r := standard(t, 2, target)
+	r := standardRig(t, 2, targetHandler)
 	var running []*download
 	for range 3 {
-		running = append(running, r.startDownload(r.caller(desk)))
+		running = append(running, r.startDownload(r.caller(deskService)))
 	}
 	time.Sleep(200 * time.Millisecond)
 	dead := r.killBalancer("balancer-0")
@@ -44,71 +44,70 @@
 	r.addBalancer("balancer-new")
 	r.apply()
 	for _, d := range running {
-		r.whole(d)
+		r.requireIntact(d)
 	}
 	r.is.True(r.balancers["balancer-new"].metrics.Value("balancer_forward_named") > 0)
 }
 
-// The caller's feed shows every line, and its download is whole, while each
-// balancer in turn is replaced by a new one at another address. No balancer that
-// knew the flow's beginning is left at the end.
+// A feed and a download must continue while each balancer in turn is replaced by a new one
+// at another address. At the end none is left that was there when the flows were opened.
 func TestFeedSurvivesReplacementOfEveryBalancer(t *testing.T) {
-	r := standard(t, 2, target)
-	feed := r.openFeed(r.caller(desk))
-	running := r.startDownload(r.caller(desk))
+	r := standardRig(t, 2, targetHandler)
+	feed := r.openFeed(r.caller(deskService))
+	running := r.startDownload(r.caller(deskService))
 	for i := range 3 {
 		r.addBalancer(fmt.Sprintf("new-%d", i))
 		old := r.balancers[fmt.Sprintf("balancer-%d", i)]
 		r.fabric.RemoveBalancer(old.ip)
 		r.apply()
-		r.goesOn(feed)
+		r.requireFeedContinues(feed)
 		r.killBalancer(fmt.Sprintf("balancer-%d", i))
 		r.apply()
-		r.goesOn(feed)
+		r.requireFeedContinues(feed)
 	}
-	r.whole(running)
+	r.requireIntact(running)
 }
 
-// The caller's feed and download go on where packets come late, twice and out
-// of order, and some not at all.
+// A feed and a download must continue while packets are delayed, duplicated, reordered and
+// lost.
 func TestLateReorderedDuplicatedPackets(t *testing.T) {
-	r := standard(t, 2, target)
+	r := standardRig(t, 2, targetHandler)
 	r.fabric.SetFaults(fabric.Faults{
 		Loss: 0.02, Duplicate: 0.1, Reorder: 0.1,
 		Hold: 15 * time.Millisecond, Delay: time.Millisecond,
 	})
-	feed := r.openFeed(r.caller(desk))
-	r.whole(r.startDownload(r.caller(desk)))
-	r.goesOn(feed)
+	feed := r.openFeed(r.caller(deskService))
+	r.requireIntact(r.startDownload(r.caller(deskService)))
+	r.requireFeedContinues(feed)
 	r.is.True(r.fabric.Stats().Lost > 0)
 }
 
-// The caller's feed goes on while one of three balancers is cut off from the
-// fabric: a third of its packets vanish, both ways, until the partition heals.
+// A feed must continue while one of three balancers is partitioned from the fabric, which
+// loses a third of its packets in both directions until the partition heals.
 func TestFeedSurvivesPartitionedBalancer(t *testing.T) {
-	r := standard(t, 2, target)
-	feed := r.openFeed(r.caller(desk))
+	r := standardRig(t, 2, targetHandler)
+	feed := r.openFeed(r.caller(deskService))
 	cut := r.balancers["balancer-1"].ip
 	r.fabric.Partition(cut)
-	r.goesOn(feed)
+	r.requireFeedContinues(feed)
 	r.fabric.Heal(cut)
-	r.goesOn(feed)
+	r.requireFeedContinues(feed)
 }
 
-// A caller whose flow goes silent for good in the middle, both ways, learns of
-// it within the idle timeout, as does the agent, which frees the flow's place;
-// meanwhile a new flow works.
+// If all packets of a flow are lost in both directions, the caller and the agent must both
+// end it within the idle timeout, and the agent must no longer count it against the limit.
+// New flows work meanwhile.
 func TestSilentFlowIsNoticedAtBothEnds(t *testing.T) {
-	r := standard(t, 1, target)
-	feed := r.openFeed(r.caller(desk))
-	r.goesOn(feed)
+	r := standardRig(t, 1, targetHandler)
+	feed := r.openFeed(r.caller(deskService))
+	r.requireFeedContinues(feed)
 	var from netip.AddrPort
 	for _, from = range r.fabric.Callers() {
 		r.fabric.Silence(from)
 	}
 	r.is.Equal(r.agents[1].Flows(), 1)
-	_, _, err := r.caller(desk).get("/")
+	_, _, err := r.caller(deskService).get("/")
 	r.is.NoErr(err)
-	r.eventually("caller is told", func() bool { return feed.err.Load() != nil })
-	r.eventually("agent frees the flow", func() bool { return r.agents[1].Flows() == 1 })
+	r.eventually("the caller's flow times out", func() bool { return feed.err.Load() != nil })
+	r.eventually("the agent's flow times out", func() bool { return r.agents[1].Flows() == 1 })
 }
--- a/internal/flow/drain.go
+++ b/internal/flow/drain.go
@@ -10,27 +10,27 @@
 	"bergamotstall/internal/events"
 )
 
-// ErrFlowsLeft is returned where a stop ran out of time with flows open.
-var ErrFlowsLeft = errors.New("flow: flows left open at the end of the stop")
+// ErrFlowsLeft is returned by Shutdown if its context ends while flows are open.
+var ErrFlowsLeft = errors.New("flow: shutdown timed out; open flows were closed")
 
 func (e *Endpoint) draining() bool { return e.stopping.Load() || e.tableDraining.Load() }
 
-// Drain begins a stop: new flows go to other agents at once, open ones get a
-// GOAWAY and end when their last request has. It returns at once.
+// Drain starts draining and returns at once. New flows go to other agents; open
+// flows get a GOAWAY and end after their last request.
 func (e *Endpoint) Drain() {
 	if e.stopping.Swap(true) {
 		return
 	}
 	events.Log(e.config.Log, events.FlowDraining, logrus.Fields{"flows": e.Flows()})
-	time.AfterFunc(goAwayDelay, e.serving.goAway)
+	time.AfterFunc(goAwayDelay, e.servers.goAway)
 }
 
-// Shutdown drains, waits until no flow is left or ctx is done, and closes the
-// endpoint. It returns ErrFlowsLeft where flows were cut.
+// Shutdown drains the endpoint, waits until no flow is open or ctx is done, and
+// closes it. It returns ErrFlowsLeft if open flows were closed.
 func (e *Endpoint) Shutdown(ctx context.Context) error {
 	e.Drain()
 	defer e.close()
-	tick := time.NewTicker(drainPoll)
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
 	for e.Flows() > 0 {
 		select {
--- a/internal/flow/edge_test.go
+++ b/internal/flow/edge_test.go
@@ -12,13 +12,13 @@
 	"github.com/quic-go/quic-go/http3"
 )
 
-// deaf is a caller's socket that hears nothing, like one whose packets carry
-// another's address.
-type deaf struct {
+// deafConn is a caller's socket that receives nothing, as if its packets had a spoofed
+// source address.
+type deafConn struct {
 	net.PacketConn
 }
 
-func (d deaf) ReadFrom(b []byte) (int, net.Addr, error) {
+func (d deafConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	for {
 		if _, from, err := d.PacketConn.ReadFrom(b); err != nil {
 			return 0, from, err
@@ -26,15 +26,15 @@
 	}
 }
 
-// SetReadBuffer and SetWriteBuffer exist because quic-go warns without them.
-func (deaf) SetReadBuffer(int) error  { return nil }
-func (deaf) SetWriteBuffer(int) error { return nil }
+// SetReadBuffer and SetWriteBuffer exist because quic-go logs a warning without them.
+func (deafConn) SetReadBuffer(int) error  { return nil }
+func (deafConn) SetWriteBuffer(int) error { return nil }
 
 func (r *rig) dial(t *quic.Transport, service string) (*quic.Conn, error) {
 	s, _ := r.table.ServiceNamed(service)
 	to, err := net.ResolveUDPAddr("udp", s.Address)
 	r.is.NoErr(err)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	r.Cleanup(cancel)
 	return t.Dial(ctx, to, &tls.Config{RootCAs: r.pool, ServerName: service, NextProtos: []string{http3.NextProtoH3}}, nil)
 }
@@ -46,40 +46,39 @@
 	return c
 }
 
-// A caller gets its flow while handshakes that nobody will finish pile up at the
-// agent: from a hundred on, callers have to prove their address first, which
-// those with a made-up one can't, so that they cost no more handshakes.
+// A flood of handshakes from spoofed addresses must not keep other callers out. From 100
+// pending handshakes on, callers must validate their address first, which spoofed ones
+// can't, so that they cost no further handshakes.
 func TestFloodOfHandshakesMustProveAddresses(t *testing.T) {
-	r := standard(t, 1, target)
+	r := standardRig(t, 1, targetHandler)
 	const flood = 150
 	for range flood {
-		x := &quic.Transport{Conn: deaf{r.socket()}}
-		go func() { _, _ = r.dial(x, desk) }()
+		x := &quic.Transport{Conn: deafConn{r.socket()}}
+		go func() { _, _ = r.dial(x, deskService) }()
 	}
 	agent := r.agents[1]
-	r.eventually("proof is asked for", func() bool { return agent.metrics.Value("flow_address_proof_asked") > 0 })
+	r.eventually("address validation is required", func() bool { return agent.metrics.Value("flow_address_proof_asked") > 0 })
 	r.is.True(agent.Flows() <= 100)
-	_, _, err := r.caller(desk).get("/")
+	_, _, err := r.caller(deskService).get("/")
 	r.is.NoErr(err)
 }
 
-// A caller's feed goes on when the caller's address changes in the middle, as
-// when a surveyor's phone moves to another network: the packets name the agent,
-// whichever address they come from.
+// A feed must continue when the caller's address changes, as when a phone moves to another
+// network: the connection ID names the agent, whatever the source address.
 func TestFeedSurvivesCallersNewAddress(t *testing.T) {
-	r := standard(t, 3, target)
+	r := standardRig(t, 3, targetHandler)
 	first := &quic.Transport{Conn: r.socket()}
-	conn, err := r.dial(first, desk)
+	conn, err := r.dial(first, deskService)
 	r.is.NoErr(err)
 	x := &http3.Transport{}
 	feed := r.openFeed(&caller{
 		Client: &http.Client{Transport: x.NewClientConn(conn)},
 		url:    "https://" + r.table.Services[0].Address,
 	})
-	r.goesOn(feed)
+	r.requireFeedContinues(feed)
 	path, err := conn.AddPath(&quic.Transport{Conn: r.socket()})
 	r.is.NoErr(err)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	r.is.NoErr(path.Probe(ctx))
 	r.is.NoErr(path.Switch())
@@ -89,5 +88,5 @@
 			r.fabric.Silence(from)
 		}
 	}
-	r.goesOn(feed)
+	r.requireFeedContinues(feed)
 }
--- a/internal/flow/endpoint.go
+++ b/internal/flow/endpoint.go
@@ -1,12 +1,11 @@
-// Package flow is the agent's end of callers' flows: it takes packets from
-// balancers, decides for each whether it is this agent's, and ends QUIC and
-// HTTP/3 for those that are. Answers go back by the balancer that the flow's
-// last packet came by.
+// Package flow terminates callers' flows at the agent. It receives packets from
+// balancers, decides for each whether it belongs to this agent, and terminates
+// QUIC and HTTP/3 for those that do. Packets to the caller return through the
+// balancer that delivered the flow's last packet.
 //
-// Pattern of load it answers: flows open for hours while balancers and targets
-// change, and tables that reach each process at another time. The agent decides
-// by what it knows of itself, so that it drains at once whatever table the
-// balancers have.
+// Flows stay open for hours while balancers and targets change, and a new table
+// reaches each process at a different time. The agent therefore decides by its
+// own state, so that it drains at once whatever table the balancers have.
 package flow
 
 import (
@@ -32,69 +31,71 @@
 )
 
 const (
-	// idleTimeout ends a flow that nothing was heard of. It bounds how long a
-	// flow that went silent can look alive at either end.
+	// idleTimeout ends a flow on which no packet arrives. It bounds how long a
+	// silent flow can look alive at either end.
 	idleTimeout = 15 * time.Second
-	// keepAlives within an idle timeout: two lost in a row don't end an open
-	// feed. At 2,000 flows it costs an agent 400 packets a second.
-	keepAlives = 3
-	// handshakeIdle bounds a handshake of which nothing is heard.
-	handshakeIdle = 5 * time.Second
-	// provenAbove is how many handshakes may be under way before callers have to
-	// prove their address by QUIC Retry, which costs them a round trip. A handshake
-	// costs the agent about 2 ms of processor time, and anyone can start one under
-	// a made-up address. A host gets some 10 new flows a second, each under way for
-	// a few round trips, so that a hundred are a flood or a great reconnecting.
-	provenAbove = 100
-	// packetSize is the smallest that QUIC allows. The envelope is added to it
-	// on the way through the data centre, and any path carries it.
-	packetSize = 1200
-	// defaultConnections is the flow limit where neither service nor host says.
-	defaultConnections = 2000
-	// socketBuffer holds what arrives while the reader is not running: 4 MB is
+	// keepAlivesPerIdleTimeout lets an open feed survive two lost keep-alives in a
+	// row. With 2,000 flows an agent sends 400 keep-alives per second.
+	keepAlivesPerIdleTimeout = 3
+	// handshakeIdleTimeout ends a handshake on which no packet arrives.
+	handshakeIdleTimeout = 5 * time.Second
+	// addressValidationThreshold is the number of pending handshakes from which
+	// callers must validate their address by QUIC Retry (RFC 9000, section 8.1.2),
+	// which costs them a round trip. A handshake costs the agent about 2 ms of CPU
+	// time, and anyone can start one from a spoofed address. A host gets about 10
+	// new flows per second, each pending for a few round trips, so 100 pending
+	// handshakes mean a flood or a mass reconnect.
+	addressValidationThreshold = 100
+	// initialPacketSize is the smallest that QUIC allows, in bytes. The envelope is
+	// added to it inside the data centre, and any path still carries the result.
+	initialPacketSize = 1200
+	// defaultFlowLimit applies where neither the service nor the host sets a limit.
+	defaultFlowLimit = 2000
+	// socketBufferBytes holds what arrives while the reader isn't scheduled: 4 MB is
 	// about 15 ms of a 2 Gbit/s link.
-	socketBuffer = 4 << 20
+	socketBufferBytes = 4 << 20
 )
 
-// Config sets an endpoint up.
+// Config configures an Endpoint.
 type Config struct {
 	// Service is the name of the service that the agent's target serves.
 	Service string
-	// Tunnel is the UDP address for envelopes, "ip:port".
+	// Tunnel is the UDP listen address for envelopes, "ip:port".
 	Tunnel string
-	// Handler answers the requests.
+	// Handler serves the requests.
 	Handler http.Handler
-	// TLS has the service's certificate. HTTP/3's protocol name is added.
+	// TLS holds the service's certificate. The ALPN name of HTTP/3 is added.
 	TLS *tls.Config
-	// Connections bounds the open flows; 0 means 2,000.
+	// Connections limits the open flows; 0 means 2,000.
 	Connections int
-	// Direct sends answers straight to callers, from the service's address. The
-	// VM must hold that address, without the fabric handing it packets for it.
+	// Direct enables direct server return: packets to callers bypass the balancers
+	// and are sent from the service's address. The VM must hold that address, and
+	// the fabric must not route packets for it to the VM.
 	Direct bool
-	// IdleTimeout ends a flow of which nothing is heard; 0 means 15 s, which is
-	// the most: the way back to a silent caller is forgotten after twice that.
+	// IdleTimeout ends a flow on which no packet arrives; 0 means 15 s. That is also
+	// the maximum, as the return path to a silent caller expires after 30 s.
 	IdleTimeout time.Duration
 	Log         logrus.FieldLogger
 	Metrics     *metrics.Set
 }
 
 var (
-	// ErrConfig is returned for a config that lacks something.
-	ErrConfig = errors.New("flow: incomplete config")
-	// ErrTunnel is returned where the tunnel address can't be opened.
-	ErrTunnel = errors.New("flow: can't open the tunnel")
-	// ErrTable is returned for a table that can't be used; the one before stays
+	// ErrConfig is returned for a config with a missing or invalid value.
+	ErrConfig = errors.New("flow: incomplete or invalid config")
+	// ErrTunnel is returned if the tunnel address can't be opened.
+	ErrTunnel = errors.New("flow: can't open the tunnel socket")
+	// ErrTable is returned for a table that can't be used; the previous table stays
 	// in force.
 	ErrTable = errors.New("flow: table refused")
 )
 
-// Endpoint is one agent's end of its flows.
+// Endpoint terminates the flows of one agent.
 type Endpoint struct {
-	config Config
-	socket *net.UDPConn
-	tunnel netip.AddrPort
-	counts *counts
-	paths  *paths
+	config   Config
+	socket   *net.UDPConn
+	tunnel   netip.AddrPort
+	counters *counters
+	paths    *pathTable
 
 	self          atomic.Uint32
 	view          atomic.Pointer[view]
@@ -103,63 +104,64 @@
 	stopping      atomic.Bool
 	tableDraining atomic.Bool
 
-	// mu guards the changes of view and ends.
-	mu   sync.Mutex
-	ends [generations]atomic.Pointer[end]
-	// signing is the key generation of new flows.
-	signing atomic.Uint32
-	serving *serving
-	direct  direct
+	// mu serializes changes of view and transports.
+	mu         sync.Mutex
+	transports [generationSlots]atomic.Pointer[transport]
+	// signingGeneration is the key generation for the connection IDs of new flows.
+	signingGeneration atomic.Uint32
+	servers           *serverSet
+	direct            directReturn
 
 	inquiries inquiries
 
-	// decide judges each packet; it is a Deflector's but in measurements of what
-	// deflection brings.
-	decide func(*Standing, *Arrival) Verdict
-	// send takes the flows' packets to callers; it is answer but in tests of an
-	// agent that gets no processor time.
-	send   func(packet []byte, caller netip.AddrPort)
-	router reader
-	memory memoryKey
-	closed chan struct{}
+	// decide returns what to do with a packet. It is Router.Decide, except in
+	// benchmarks without forwarding of first packets and in tests of a paused agent.
+	decide func(*AgentState, *Packet) Decision
+	// send sends a flow's packet to its caller. It is sendReturn, except in tests of
+	// a paused agent.
+	send      func(packet []byte, caller netip.AddrPort)
+	reader    readState
+	choiceKey hashKey
+	closed    chan struct{}
 }
 
-// view is what a table says to this agent.
+// view is the part of a table that this agent uses.
 type view struct {
 	steering *steering.Map
 	service  *steering.Service
 	limit    int
 }
 
-// memoryKey is this process's own hash key for remembered choices, so that a
-// rotation of the cluster's keys doesn't forget them.
-type memoryKey struct {
+// hashKey is this process's own hash key for remembered choices, so that they
+// survive a rotation of the cluster's keys.
+type hashKey struct {
 	k0, k1 uint64
 }
 
-// reader is the working memory of the goroutine that reads the tunnel.
-type reader struct {
-	scratch  connid.Scratch
-	shape    steering.Shape
-	header   envelope.Header
-	arrival  Arrival
-	standing Standing
-	out      []byte
+// readState holds the buffers that the tunnel's reading goroutine reuses.
+type readState struct {
+	scratch connid.Scratch
+	shape   steering.Shape
+	header  envelope.Header
+	packet  Packet
+	state   AgentState
+	out     []byte
 }
 
-// New opens the tunnel. The endpoint accepts nothing before Apply and SetAgent.
+// New opens the tunnel socket. The endpoint accepts no packets before Apply and
+// SetAgent. New returns ErrConfig or ErrTunnel.
 func New(c Config) (*Endpoint, error) {
 	if c.Service == "" || c.Handler == nil || c.TLS == nil || c.Log == nil {
-		return nil, errors.Wrap(ErrConfig, "service, handler, TLS and log are needed")
+		return nil, errors.Wrap(ErrConfig, "service, handler, TLS and log are required")
 	}
 	if c.IdleTimeout < 0 || c.IdleTimeout > idleTimeout {
-		return nil, errors.Wrapf(ErrConfig, "idle timeout %v", c.IdleTimeout)
+		return nil, errors.Wrapf(ErrConfig, "idle timeout %v is negative or above the maximum", c.IdleTimeout)
 	}
 	if c.Metrics == nil {
 		c.Metrics = metrics.New()
 	}
 	if c.Connections == 0 {
-		c.Connections = defaultConnections
+		c.Connections = defaultFlowLimit
 	}
 	if c.IdleTimeout == 0 {
 		c.IdleTimeout = idleTimeout
@@ -172,24 +174,24 @@
 	if err != nil {
 		return nil, errors.Wrapf(ErrTunnel, "%q: %v", c.Tunnel, err)
 	}
-	_ = socket.SetReadBuffer(socketBuffer)
-	_ = socket.SetWriteBuffer(socketBuffer)
+	_ = socket.SetReadBuffer(socketBufferBytes)
+	_ = socket.SetWriteBuffer(socketBufferBytes)
 	e := &Endpoint{
-		config: c,
-		socket: socket,
-		tunnel: unmap(socket.LocalAddr().(*net.UDPAddr).AddrPort()),
-		counts: newCounts(c.Metrics),
-		paths:  newPaths(),
-		decide: NewDeflector().Decide,
-		memory: memoryKey{k0: rand.Uint64(), k1: rand.Uint64()},
-		closed: make(chan struct{}),
+		config:    c,
+		socket:    socket,
+		tunnel:    unmap(socket.LocalAddr().(*net.UDPAddr).AddrPort()),
+		counters:  newCounters(c.Metrics),
+		paths:     newPathTable(),
+		decide:    NewRouter().Decide,
+		choiceKey: hashKey{k0: rand.Uint64(), k1: rand.Uint64()},
+		closed:    make(chan struct{}),
 	}
-	e.send = e.answer
+	e.send = e.sendReturn
 	e.inquiries.running = make(map[table.AgentNumber]*inquiry)
-	e.serving = newServing(e)
+	e.servers = newServerSet(e)
 	c.Metrics.Gauge("flow_open", func() int64 { return e.flows.Load() })
 	c.Metrics.Gauge("flow_handshakes", func() int64 { return e.handshakes.Load() })
-	c.Metrics.Gauge("flow_open_old_keys", e.flowsUnderOldKeys)
+	c.Metrics.Gauge("flow_open_old_keys", e.flowsWithOldKeys)
 	c.Metrics.Gauge("flow_paths", func() int64 { return int64(e.paths.count()) })
 	return e, nil
 }
@@ -197,11 +199,11 @@
 // Tunnel returns the UDP address that the endpoint listens on.
 func (e *Endpoint) Tunnel() netip.AddrPort { return e.tunnel }
 
-// Flows returns the number of open flows, with those in their handshake.
+// Flows returns the number of open flows, including those in their handshake.
 func (e *Endpoint) Flows() int { return int(e.flows.Load()) }
 
-// SetAgent gives the endpoint the number that control assigned. Before it,
-// nothing is accepted.
+// SetAgent sets the agent number that control assigned. Until then no packet is
+// accepted.
 func (e *Endpoint) SetAgent(number table.AgentNumber) {
 	e.self.Store(uint32(number))
 	if v := e.view.Load(); v != nil {
@@ -210,8 +212,8 @@
 	events.Log(e.config.Log, events.FlowAgentNumber, logrus.Fields{"agent": number})
 }
 
-// Apply puts a table in force. A table older than the one in force is ignored.
-// It returns ErrTable for one that can't be used.
+// Apply puts a table in force. A table that isn't newer than the one in force is
+// ignored. Apply returns ErrTable for a table that can't be used.
 func (e *Endpoint) Apply(t *table.Table) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -224,11 +226,11 @@
 	}
 	m, err := steering.Compile(t, time.Now(), before)
 	if err != nil {
-		e.counts.tableRefused.Add(1)
+		e.counters.tableRefused.Add(1)
 		events.Log(e.config.Log, events.FlowTableRefused, logrus.Fields{"revision": t.Revision, "error": err})
 		return errors.Wrapf(ErrTable, "revision %d: %v", t.Revision, err)
 	}
-	if err := e.openEnds(t.Keys); err != nil {
+	if err := e.openTransports(t.Keys); err != nil {
 		return err
 	}
 	v := &view{steering: m, limit: e.config.Connections}
@@ -236,15 +238,15 @@
 	if v.service != nil && v.service.Limit > 0 {
 		v.limit = min(v.limit, v.service.Limit)
 	}
-	e.openDirect(v.service)
-	e.paths.setLive(m.Balancers, m.Generation)
+	e.openDirectReturn(v.service)
+	e.paths.setTableBalancers(m.Balancers, m.Generation)
 	e.view.Store(v)
-	e.signing.Store(uint32(m.Generation))
+	e.signingGeneration.Store(uint32(m.Generation))
 	e.tableDraining.Store(e.drainedBy(m))
 	return nil
 }
 
-// drainedBy tells whether a table takes this agent out of new work.
+// drainedBy reports whether a table gives this agent no new flows.
 func (e *Endpoint) drainedBy(m *steering.Map) bool {
 	own, ok := m.Agent(table.AgentNumber(e.self.Load()))
 	return ok && own.State != table.Active
@@ -254,7 +256,7 @@
 func (e *Endpoint) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, e.close)
 	defer stop()
-	go e.watch()
+	go e.updateSharesLoop()
 	packet := make([]byte, bufferSize)
 	for {
 		n, from, err := e.socket.ReadFromUDPAddrPort(packet)
@@ -262,15 +264,15 @@
 			return nil
 		}
 		if err != nil {
-			// The kernel reports unreachable receivers of earlier packets here;
-			// they say nothing about this socket.
+			// The kernel reports earlier packets' unreachable receivers here; such an
+			// error says nothing about this socket.
 			continue
 		}
 		e.receive(time.Now(), unmap(from), packet[:n])
 	}
 }
 
-// close ends the endpoint at once, and with it all its flows.
+// close closes the endpoint and all its flows at once.
 func (e *Endpoint) close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -280,12 +282,12 @@
 	default:
 	}
 	close(e.closed)
-	e.closeEnds()
-	e.closeDirect()
+	e.closeTransports()
+	e.closeDirectReturn()
 	_ = e.socket.Close()
 }
 
-// unmap gives an IPv4 address in its own form, as tables have it.
+// unmap converts an IPv4-mapped IPv6 address to IPv4, the form used in tables.
 func unmap(a netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
--- a/internal/flow/export_test.go
+++ b/internal/flow/export_test.go
@@ -7,25 +7,24 @@
 	"bergamotstall/internal/connid"
 )
 
-// IdleTimeout is the longest silence that a flow survives.
+// IdleTimeout is the default idle timeout of a flow.
 const IdleTimeout = idleTimeout
 
-// KeepFirstPackets makes the endpoint take every first packet that a balancer
-// sends it, for the measurement of what deflection brings. Call it before Run.
-func (e *Endpoint) KeepFirstPackets() {
+// AcceptFirstPackets makes the endpoint accept every first packet instead of
+// forwarding some, for the benchmark that compares the two. Call it before Run.
+func (e *Endpoint) AcceptFirstPackets() {
 	decide := e.decide
-	e.decide = func(s *Standing, a *Arrival) Verdict {
+	e.decide = func(s *AgentState, a *Packet) Decision {
 		if a.Opening && a.Origin != connid.Ours && s.Self != 0 && s.Service != nil {
-			return Verdict{Action: Deliver, Reason: OpenedHere, Generation: s.Generation}
+			return Decision{Action: Deliver, Reason: OpenedHere, Generation: s.Generation}
 		}
 		return decide(s, a)
 	}
 }
 
-// Pause holds the endpoint's reader, and whoever sends for its flows, up at the
-// next packet until resume is called, as a process without processor time would
-// be. Were only the reader held up, the flows' own retransmissions would tell
-// balancers that the agent is well. Call it before Run.
+// Pause returns functions that block and unblock the endpoint's reader and senders,
+// as if the process got no CPU time. If only the reader blocked, the flows' own
+// retransmissions would tell balancers that the agent is alive. Call it before Run.
 func (e *Endpoint) Pause() (pause func(), resume func()) {
 	var gate sync.Mutex
 	send := e.send
@@ -35,7 +34,7 @@
 		send(packet, caller)
 	}
 	decide := e.decide
-	e.decide = func(s *Standing, a *Arrival) Verdict {
+	e.decide = func(s *AgentState, a *Packet) Decision {
 		gate.Lock()
 		defer gate.Unlock()
 		return decide(s, a)
--- a/internal/flow/inquire.go
+++ b/internal/flow/inquiry.go
@@ -18,56 +18,56 @@
 )
 
 const (
-	// heldLimit bounds the packets held for one inquiry. Those over it wait for
-	// their callers' next retransmission.
-	heldLimit = 64
-	// inquiryLimit bounds the inquiries at once; each has a goroutine and a
-	// socket for some seconds at most.
+	// heldPacketLimit bounds the packets held for one inquiry. Flows whose packets
+	// exceed it depend on the caller's next retransmission.
+	heldPacketLimit = 64
+	// inquiryLimit bounds the concurrent inquiries. Each uses a goroutine and a socket
+	// for a few seconds at most.
 	inquiryLimit = 64
 )
 
-// inquiries are the second opinions under way, on agents that balancers can't
-// reach.
+// inquiries are the running checks of agents that a balancer can't reach.
 type inquiries struct {
 	mu      sync.Mutex
 	running map[table.AgentNumber]*inquiry
 }
 
+// inquiry checks whether an agent is dead by this agent's own probes.
 type inquiry struct {
 	agent *steering.Agent
-	// held are envelopes to look at again once the agent is known to be dead.
-	// Without them callers would learn it only at a retransmission, and those
-	// are a second apart by then.
+	// held are envelopes to process again once the agent is known to be dead. Without
+	// them callers would be reset only at their next retransmission, and those are a
+	// second apart by then.
 	held [][]byte
 }
 
-// askAbout begins an inquiry about an agent, or adds a packet to the one that is
-// under way. The packet itself goes on to that agent meanwhile.
-func (e *Endpoint) askAbout(v *view, about table.AgentNumber, balancer netip.AddrPort, packet []byte) {
+// startInquiry starts an inquiry about an agent, or adds a packet to the running one.
+// The packet itself is still forwarded to that agent.
+func (e *Endpoint) startInquiry(v *view, about table.AgentNumber, balancer netip.AddrPort, packet []byte) {
 	agent, ok := v.steering.Agent(about)
 	if !ok {
 		return
 	}
-	q := e.inquiryAbout(v, agent)
+	q := e.inquiryFor(v, agent)
 	if q == nil {
 		return
 	}
-	h := e.router.header
+	h := e.reader.header
 	h.Balancer = balancer
-	again, err := v.steering.Envelopes.Append(nil, &h, packet)
+	held, err := v.steering.Envelopes.Append(nil, &h, packet)
 	if err != nil {
 		return
 	}
 	e.inquiries.mu.Lock()
 	defer e.inquiries.mu.Unlock()
-	if len(q.held) < heldLimit {
-		q.held = append(q.held, again)
+	if len(q.held) < heldPacketLimit {
+		q.held = append(q.held, held)
 	}
 }
 
-// inquiryAbout returns the inquiry about an agent, a new one where none is under
-// way, and nil where there are too many.
-func (e *Endpoint) inquiryAbout(v *view, agent *steering.Agent) *inquiry {
+// inquiryFor returns the running inquiry about an agent, or starts one. It returns
+// nil if too many are running.
+func (e *Endpoint) inquiryFor(v *view, agent *steering.Agent) *inquiry {
 	e.inquiries.mu.Lock()
 	defer e.inquiries.mu.Unlock()
 	if q := e.inquiries.running[agent.Number]; q != nil {
@@ -78,12 +78,12 @@
 	}
 	q := &inquiry{agent: agent}
 	e.inquiries.running[agent.Number] = q
-	go e.inquire(v, q)
+	go e.runInquiry(v, q)
 	return q
 }
 
-// inquire probes an agent until it answers or is found dead.
-func (e *Endpoint) inquire(v *view, q *inquiry) {
+// runInquiry probes an agent until it answers or is found dead.
+func (e *Endpoint) runInquiry(v *view, q *inquiry) {
 	began := time.Now()
 	inquiry := reachability.NewInquiry(began)
 	finding := reachability.Open
@@ -93,8 +93,8 @@
 			return
 		default:
 		}
-		sign := e.probe(v, q.agent)
-		finding = inquiry.Note(time.Now(), sign)
+		outcome := e.probe(v, q.agent)
+		finding = inquiry.Note(time.Now(), outcome)
 	}
 	if finding == reachability.Dead {
 		q.agent.Reach.GiveUp()
@@ -110,16 +110,16 @@
 	if finding != reachability.Dead {
 		return
 	}
-	for _, envelope := range held {
-		// Through the socket, as one goroutine decides on all packets.
-		_, _ = e.socket.WriteToUDPAddrPort(envelope, e.tunnel)
+	for _, datagram := range held {
+		// Sent to the endpoint's own socket, as only its reader decides on packets.
+		_, _ = e.socket.WriteToUDPAddrPort(datagram, e.tunnel)
 	}
 }
 
-// probe sends one probe and waits a tick for what becomes of it. The socket is
-// connected, as only such a one is told by the other VM that nobody listens.
+// probe sends one probe and waits up to reachability.Tick for its outcome. The socket
+// is connected, as only a connected one reports an ICMP port unreachable message.
 func (e *Endpoint) probe(v *view, agent *steering.Agent) reachability.Sign {
-	e.counts.probes.Add(1)
+	e.counters.probes.Add(1)
 	deadline := time.Now().Add(reachability.Tick)
 	socket, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(agent.Tunnel))
 	if err != nil {
@@ -134,12 +134,12 @@
 	}
 	_ = socket.SetDeadline(deadline)
 	if _, err := socket.Write(out); err != nil {
-		return signOf(err, deadline)
+		return outcomeOf(err, deadline)
 	}
 	buffer := make([]byte, bufferSize)
 	n, err := socket.Read(buffer)
 	if err != nil {
-		return signOf(err, deadline)
+		return outcomeOf(err, deadline)
 	}
 	var answer envelope.Header
 	if _, err := v.steering.Envelopes.Open(buffer[:n], &answer); err != nil || answer.Kind != envelope.Alive || answer.Agent != agent.Number {
@@ -149,7 +149,8 @@
 	return reachability.Alive
 }
 
-func signOf(err error, deadline time.Time) reachability.Sign {
+// outcomeOf waits until the deadline and returns the outcome of a probe that failed with err.
+func outcomeOf(err error, deadline time.Time) reachability.Sign {
 	time.Sleep(time.Until(deadline))
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return reachability.Refused
--- a/internal/flow/paths.go
+++ b/internal/flow/paths.go
@@ -9,185 +9,186 @@
 )
 
 const (
-	// balancerSilence is how long a flow's answers go by one balancer without a
-	// packet of the flow coming in. Callers acknowledge within 25 ms and a round
-	// trip, so that more silence means that the balancer is gone, or the caller
-	// far or quiet; all make another balancer as good. Until then each answer and
-	// each of its retransmissions is lost to a dead one.
-	balancerSilence = 100 * time.Millisecond
-	// peerFresh is how recently a balancer must have been heard of, by any flow,
-	// to be preferred for a flow whose own balancer fell silent.
-	peerFresh = 2 * time.Second
-	// pathIdle is how long a path without packets is kept: twice the time after
-	// which QUIC has given the flow up.
-	pathIdle = 2 * idleTimeout
-	// pathLimit bounds the paths, as first packets can be sent by anyone.
+	// balancerSilenceTimeout is how long a flow's packets return through the same
+	// balancer without a packet of the flow arriving. Callers acknowledge within 25 ms
+	// and a round trip, so a longer silence means that the balancer is gone or the
+	// caller is far away or idle; in all cases another balancer serves as well. Until
+	// then every return packet through a dead balancer is lost, retransmissions too.
+	balancerSilenceTimeout = 100 * time.Millisecond
+	// balancerHeardRecently is the maximum time since a balancer's last packet, of any
+	// flow, for it to be preferred when a flow's own balancer is silent.
+	balancerHeardRecently = 2 * time.Second
+	// pathIdleTimeout is how long a path without packets is kept: twice the time after
+	// which QUIC ends the flow.
+	pathIdleTimeout = 2 * idleTimeout
+	// pathLimit bounds the paths, as anyone can send first packets.
 	pathLimit = 1 << 16
 )
 
-// peer is a balancer, as this agent hears it.
-type peer struct {
+// balancerPeer is a balancer and what its last packet told this agent.
+type balancerPeer struct {
 	address netip.AddrPort
-	// heard is when its last packet came, in Unix nanoseconds.
-	heard atomic.Int64
-	// generation is the key generation of its last envelope. Answers are signed
-	// under it, as a balancer behind in a key rotation knows no newer one.
+	// lastHeard is the time of its last packet, in Unix nanoseconds.
+	lastHeard atomic.Int64
+	// generation is the key generation of its last envelope. Return packets are signed
+	// with it, as a balancer that lags in a key rotation has no newer key.
 	generation atomic.Uint32
 }
 
-// path is the way back to one caller.
-type path struct {
+// returnPath is the path back to one caller.
+type returnPath struct {
 	caller *net.UDPAddr
-	// balancer brought the flow's last packet.
-	balancer atomic.Pointer[peer]
-	// heard is when that was, in Unix nanoseconds.
-	heard atomic.Int64
-	// refused is set while a new flow from this caller is to be refused.
-	refused atomic.Bool
+	// balancer delivered the flow's last packet.
+	balancer atomic.Pointer[balancerPeer]
+	// lastHeard is the time of that packet, in Unix nanoseconds.
+	lastHeard atomic.Int64
+	// refuseNewFlow is set while a new flow from this caller must be refused.
+	refuseNewFlow atomic.Bool
 }
 
-// paths holds the ways back by caller.
-type paths struct {
-	mu    sync.RWMutex
-	paths map[netip.AddrPort]*path
-	peers map[netip.AddrPort]*peer
-	// live are the balancers of the table.
-	live []*peer
-	next atomic.Uint32
-	// swept is when idle paths were last looked for, in Unix nanoseconds.
-	swept int64
+// pathTable holds the return paths by caller.
+type pathTable struct {
+	mu       sync.RWMutex
+	byCaller map[netip.AddrPort]*returnPath
+	peers    map[netip.AddrPort]*balancerPeer
+	// tableBalancers are the balancers listed in the routing table.
+	tableBalancers []*balancerPeer
+	nextBalancer   atomic.Uint32
+	// lastSweep is the time of the last sweep, in Unix nanoseconds.
+	lastSweep int64
 }
 
-func newPaths() *paths {
-	return &paths{paths: make(map[netip.AddrPort]*path), peers: make(map[netip.AddrPort]*peer)}
+func newPathTable() *pathTable {
+	return &pathTable{byCaller: make(map[netip.AddrPort]*returnPath), peers: make(map[netip.AddrPort]*balancerPeer)}
 }
 
-// setLive takes over the balancers of a new table.
-func (p *paths) setLive(balancers []netip.AddrPort, generation uint8) {
+// setTableBalancers sets the balancers listed in a new routing table.
+func (p *pathTable) setTableBalancers(balancers []netip.AddrPort, generation uint8) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.live = p.live[:0:0]
+	p.tableBalancers = p.tableBalancers[:0:0]
 	for _, b := range balancers {
-		p.live = append(p.live, p.peerLocked(b, generation))
+		p.tableBalancers = append(p.tableBalancers, p.peerLocked(b, generation))
 	}
 }
 
-func (p *paths) peerLocked(address netip.AddrPort, generation uint8) *peer {
-	if x, ok := p.peers[address]; ok {
-		return x
+// peerLocked returns the peer with an address, and adds it if it is unknown.
+func (p *pathTable) peerLocked(address netip.AddrPort, generation uint8) *balancerPeer {
+	if peer, ok := p.peers[address]; ok {
+		return peer
 	}
-	x := &peer{address: address}
-	x.generation.Store(uint32(generation))
-	p.peers[address] = x
-	return x
+	peer := &balancerPeer{address: address}
+	peer.generation.Store(uint32(generation))
+	p.peers[address] = peer
+	return peer
 }
 
-// arrived notes that a packet of the caller came by a balancer, and returns the
-// caller's path, nil where there are too many.
-func (p *paths) arrived(now time.Time, caller, balancer netip.AddrPort, generation uint8) *path {
+// recordPacket records that a caller's packet came through a balancer. It returns the
+// caller's path, or nil if there are too many paths.
+func (p *pathTable) recordPacket(now time.Time, caller, balancer netip.AddrPort, generation uint8) *returnPath {
 	p.mu.RLock()
-	way, by := p.paths[caller], p.peers[balancer]
+	path, peer := p.byCaller[caller], p.peers[balancer]
 	p.mu.RUnlock()
-	if way == nil || by == nil {
-		way, by = p.add(now, caller, balancer, generation)
+	if path == nil || peer == nil {
+		path, peer = p.addPath(now, caller, balancer, generation)
 	}
-	if way == nil {
+	if path == nil {
 		return nil
 	}
 	nanos := now.UnixNano()
-	by.generation.Store(uint32(generation))
-	by.heard.Store(nanos)
-	way.heard.Store(nanos)
-	way.balancer.Store(by)
-	return way
+	peer.generation.Store(uint32(generation))
+	peer.lastHeard.Store(nanos)
+	path.lastHeard.Store(nanos)
+	path.balancer.Store(peer)
+	return path
 }
 
-func (p *paths) add(now time.Time, caller, balancer netip.AddrPort, generation uint8) (*path, *peer) {
+func (p *pathTable) addPath(now time.Time, caller, balancer netip.AddrPort, generation uint8) (*returnPath, *balancerPeer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	by := p.peerLocked(balancer, generation)
-	way, ok := p.paths[caller]
+	peer := p.peerLocked(balancer, generation)
+	path, ok := p.byCaller[caller]
 	if ok {
-		return way, by
+		return path, peer
 	}
-	if len(p.paths) >= pathLimit {
-		return nil, by
+	if len(p.byCaller) >= pathLimit {
+		return nil, peer
 	}
-	way = &path{caller: net.UDPAddrFromAddrPort(caller)}
-	way.heard.Store(now.UnixNano())
-	p.paths[caller] = way
-	return way, by
+	path = &returnPath{caller: net.UDPAddrFromAddrPort(caller)}
+	path.lastHeard.Store(now.UnixNano())
+	p.byCaller[caller] = path
+	return path, peer
 }
 
-// find returns a caller's path, nil where there is none.
-func (p *paths) find(caller netip.AddrPort) *path {
+// find returns a caller's path, or nil if there is none.
+func (p *pathTable) find(caller netip.AddrPort) *returnPath {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
-	return p.paths[caller]
+	return p.byCaller[caller]
 }
 
-// back returns the balancer that a caller's answer goes by, and whether it
-// isn't the one that the flow's last packet came by.
-func (p *paths) back(now time.Time, way *path) (by *peer, replaced bool) {
-	by = way.balancer.Load()
-	if now.UnixNano()-way.heard.Load() < int64(balancerSilence) {
-		return by, false
+// returnBalancer returns the balancer for a packet to a caller, and whether it differs
+// from the one that delivered the flow's last packet.
+func (p *pathTable) returnBalancer(now time.Time, path *returnPath) (peer *balancerPeer, replaced bool) {
+	peer = path.balancer.Load()
+	if now.UnixNano()-path.lastHeard.Load() < int64(balancerSilenceTimeout) {
+		return peer, false
 	}
 	p.mu.RLock()
 	defer p.mu.RUnlock()
-	if other := p.pickLocked(now); other != nil {
-		return other, other != by
+	if other := p.pickBalancerLocked(now); other != nil {
+		return other, other != peer
 	}
-	return by, false
+	return peer, false
 }
 
-// pickLocked takes turns through the table's balancers, those heard of lately
-// first, so that a dead one costs one packet in a turn and not the flow.
-func (p *paths) pickLocked(now time.Time) *peer {
-	count := uint32(len(p.live))
+// pickBalancerLocked picks the table's balancers in round-robin order, preferring
+// those heard from recently, so that a dead one costs single packets, not the flow.
+func (p *pathTable) pickBalancerLocked(now time.Time) *balancerPeer {
+	count := uint32(len(p.tableBalancers))
 	if count == 0 {
 		return nil
 	}
-	start := p.next.Add(1)
-	oldest := now.Add(-peerFresh).UnixNano()
+	start := p.nextBalancer.Add(1)
+	oldest := now.Add(-balancerHeardRecently).UnixNano()
 	for i := range count {
-		if x := p.live[(start+i)%count]; x.heard.Load() > oldest {
-			return x
+		if peer := p.tableBalancers[(start+i)%count]; peer.lastHeard.Load() > oldest {
+			return peer
 		}
 	}
-	return p.live[start%count]
+	return p.tableBalancers[start%count]
 }
 
-// sweep drops the paths and balancers that were idle too long. It looks at most
-// once in a pathIdle.
-func (p *paths) sweep(now time.Time) {
+// sweep removes the paths and balancers that were idle too long. It runs at most once
+// per pathIdleTimeout.
+func (p *pathTable) sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	nanos := now.UnixNano()
-	if nanos-p.swept < int64(pathIdle) {
+	if nanos-p.lastSweep < int64(pathIdleTimeout) {
 		return
 	}
-	p.swept = nanos
-	oldest := now.Add(-pathIdle).UnixNano()
-	for caller, way := range p.paths {
-		if way.heard.Load() < oldest {
-			delete(p.paths, caller)
+	p.lastSweep = nanos
+	oldest := now.Add(-pathIdleTimeout).UnixNano()
+	for caller, path := range p.byCaller {
+		if path.lastHeard.Load() < oldest {
+			delete(p.byCaller, caller)
 		}
 	}
-	for address, by := range p.peers {
-		if by.heard.Load() < oldest {
+	for address, peer := range p.peers {
+		if peer.lastHeard.Load() < oldest {
 			delete(p.peers, address)
 		}
 	}
-	// Those of the table stay known, silent or not.
-	for _, by := range p.live {
-		p.peers[by.address] = by
+	// The table's balancers stay known even if they are silent.
+	for _, peer := range p.tableBalancers {
+		p.peers[peer.address] = peer
 	}
 }
 
-// counts returns the number of paths.
-func (p *paths) count() int {
+// count returns the number of paths.
+func (p *pathTable) count() int {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
-	return len(p.paths)
+	return len(p.byCaller)
 }
--- a/internal/flow/receive.go
+++ b/internal/flow/receive.go
@@ -11,160 +11,160 @@
 	"bergamotstall/internal/table"
 )
 
-// receive handles one datagram from the tunnel. Only the goroutine of Run calls
-// it.
+// receive handles one datagram from the tunnel. Only Run's goroutine calls it.
 func (e *Endpoint) receive(now time.Time, from netip.AddrPort, datagram []byte) {
 	v := e.view.Load()
 	if v == nil {
-		e.counts.refusal(envelope.ErrGeneration)
+		e.counters.countEnvelopeError(envelope.ErrGeneration)
 		return
 	}
-	r := &e.router
+	r := &e.reader
 	packet, err := v.steering.Envelopes.Open(datagram, &r.header)
 	if err != nil {
-		e.counts.refusal(err)
+		e.counters.countEnvelopeError(err)
 		return
 	}
-	if e.sign(v, from) {
+	if e.handleProbe(v, from) {
 		return
 	}
 	balancer := from
 	if r.header.Balancer.IsValid() {
 		balancer = r.header.Balancer
 	}
-	if !e.meantHere(v, &r.header) || !e.readArrival(now, v, packet) {
+	if !e.addressedHere(v, &r.header) || !e.readPacket(now, v, packet) {
 		return
 	}
-	verdict := e.decide(&r.standing, &r.arrival)
-	e.counts.verdict(verdict)
-	if r.arrival.Orphan && verdict.Action == HandOver {
-		e.askAbout(v, verdict.Agent, balancer, packet)
+	decision := e.decide(&r.state, &r.packet)
+	e.counters.countDecision(decision)
+	if r.packet.Reroute && decision.Action == HandOver {
+		e.startInquiry(v, decision.Agent, balancer, packet)
 	}
-	e.carryOut(now, v, verdict, balancer, packet)
+	e.perform(now, v, decision, balancer, packet)
 	e.paths.sweep(now)
 }
 
-// meantHere refuses what was sent to another service's agent that had this
-// address before. Without it, a table that lags would carry one service's
-// callers to another's target.
-func (e *Endpoint) meantHere(v *view, h *envelope.Header) bool {
+// addressedHere refuses envelopes for an agent of another service that had this
+// address before. Without the check, an outdated table would send one service's
+// callers to another service's target.
+func (e *Endpoint) addressedHere(v *view, h *envelope.Header) bool {
 	switch {
 	case h.Kind != envelope.Forward && h.Kind != envelope.Orphan:
-		e.counts.wrongKind.Add(1)
+		e.counters.wrongKind.Add(1)
 		return false
 	case v.service == nil || h.Service != v.service.ID:
-		e.counts.wrongService.Add(1)
+		e.counters.wrongService.Add(1)
 		return false
 	}
 	if uint32(h.Agent) != e.self.Load() {
-		// Same service, another agent: this process replaced it at this address.
-		// What the packet itself names decides.
-		e.counts.wrongAgent.Add(1)
+		// Another agent of the same service: this process replaced it at this
+		// address. The agent named in the packet's connection ID decides.
+		e.counters.wrongAgent.Add(1)
 	}
 	return true
 }
 
-// readArrival fills in the router's arrival and standing for a packet.
-func (e *Endpoint) readArrival(now time.Time, v *view, packet []byte) bool {
-	r := &e.router
+// readPacket sets the reader's packet and state, the input of a decision.
+func (e *Endpoint) readPacket(now time.Time, v *view, packet []byte) bool {
+	r := &e.reader
 	if !steering.ReadShape(packet, &r.shape) {
-		e.counts.malformed.Add(1)
+		e.counters.malformed.Add(1)
 		return false
 	}
 	named, origin := v.steering.ConnIDs.Decode(r.shape.Destination, &r.scratch)
-	r.arrival = Arrival{
-		Now:      now,
-		Opening:  r.shape.Opening,
-		Long:     r.shape.Long,
-		Origin:   origin,
-		Named:    named,
-		Revision: r.header.Revision,
-		Hops:     r.header.Hops,
-		HandedBy: r.header.HandedBy,
-		Orphan:   r.header.Kind == envelope.Orphan,
+	r.packet = Packet{
+		Now:         now,
+		Opening:     r.shape.Opening,
+		Long:        r.shape.Long,
+		Origin:      origin,
+		NamedAgent:  named,
+		Revision:    r.header.Revision,
+		Hops:        r.header.Hops,
+		ForwardedBy: r.header.HandedBy,
+		Reroute:     r.header.Kind == envelope.Orphan,
 	}
 	if origin != connid.Ours && r.shape.Opening {
-		r.arrival.Key = v.steering.FlowKey(r.shape.Destination, r.header.Caller)
-		r.arrival.Memory = steering.HashFlow(e.memory.k0, e.memory.k1, r.shape.Destination, r.header.Caller)
+		r.packet.PlacementKey = v.steering.FlowKey(r.shape.Destination, r.header.Caller)
+		r.packet.ChoiceKey = steering.HashFlow(e.choiceKey.k0, e.choiceKey.k1, r.shape.Destination, r.header.Caller)
 	}
-	r.standing = Standing{
+	r.state = AgentState{
 		Self:       table.AgentNumber(e.self.Load()),
 		Tunnel:     e.tunnel,
-		Map:        v.steering,
+		Table:      v.steering,
 		Service:    v.service,
 		Draining:   e.draining(),
 		Flows:      int(e.flows.Load()),
-		Limit:      v.limit,
-		Generation: uint8(e.signing.Load()),
+		FlowLimit:  v.limit,
+		Generation: uint8(e.signingGeneration.Load()),
 	}
 	return true
 }
 
-func (e *Endpoint) carryOut(now time.Time, v *view, verdict Verdict, balancer netip.AddrPort, packet []byte) {
-	switch verdict.Action {
+// perform carries out a decision on a packet.
+func (e *Endpoint) perform(now time.Time, v *view, decision Decision, balancer netip.AddrPort, packet []byte) {
+	switch decision.Action {
 	case Drop:
 	case HandOver:
-		e.handOver(v, verdict.Agent, balancer, packet)
+		e.handOver(v, decision.Agent, balancer, packet)
 	default:
-		e.deliver(now, verdict, balancer, packet)
+		e.deliver(now, decision, balancer, packet)
 	}
 }
 
-// deliver hands a packet to the QUIC transport of its key generation. The
-// transport answers one whose flow it doesn't know with a stateless reset.
-func (e *Endpoint) deliver(now time.Time, verdict Verdict, balancer netip.AddrPort, packet []byte) {
-	r := &e.router
-	generation := verdict.Generation
-	if r.arrival.Origin == connid.Ours {
+// deliver passes a packet to the QUIC transport of its key generation. The transport
+// answers a packet of an unknown flow with a stateless reset.
+func (e *Endpoint) deliver(now time.Time, decision Decision, balancer netip.AddrPort, packet []byte) {
+	r := &e.reader
+	generation := decision.Generation
+	if r.packet.Origin == connid.Ours {
 		generation = connid.Generation(r.shape.Destination)
 	}
-	to := e.ends[generation%generations].Load()
+	to := e.transports[generation%generationSlots].Load()
 	if to == nil {
-		e.counts.noEnd.Add(1)
+		e.counters.noTransport.Add(1)
 		return
 	}
-	way := e.paths.arrived(now, r.header.Caller, balancer, r.header.Generation)
-	if way == nil {
-		e.counts.tooManyPaths.Add(1)
+	path := e.paths.recordPacket(now, r.header.Caller, balancer, r.header.Generation)
+	if path == nil {
+		e.counters.tooManyPaths.Add(1)
 		return
 	}
-	if r.arrival.Opening {
-		way.refused.Store(verdict.Action == Refuse)
+	if r.packet.Opening {
+		path.refuseNewFlow.Store(decision.Action == Refuse)
 	}
-	if !to.port.put(packet, way.caller) {
-		e.counts.queueFull.Add(1)
+	if !to.conn.enqueue(packet, path.caller) {
+		e.counters.queueFull.Add(1)
 	}
-	if verdict.Action == Reset && len(packet) < resettable {
-		to.port.put(lengthened(packet), way.caller)
+	if decision.Action == Reset && len(packet) < minResetTrigger {
+		to.conn.enqueue(padForReset(packet), path.caller)
 	}
 }
 
-// resettable is the size from which the QUIC library answers a packet of a flow
-// that it doesn't know.
-const resettable = 1 + 20 + 4 + 1 + 16 + 1
+// minResetTrigger is the smallest packet of an unknown flow, in bytes, that quic-go
+// answers with a stateless reset.
+const minResetTrigger = 1 + 20 + 4 + 1 + 16 + 1
 
-// lengthened returns a copy of a packet that is large enough for a stateless
-// reset. A caller that only listens sends nothing but acknowledgements and
-// keep-alives, which are smaller with our connection IDs: without a reset it
-// would take a dead agent's feed for a quiet one until its idle timeout. The
-// copy follows the packet itself, so that a flow which does exist loses
-// nothing: there the copy fails decryption. Two ends can't answer each other's
-// resets for ever, since a reset's connection ID is random and not ours.
-func lengthened(packet []byte) []byte {
-	out := make([]byte, resettable)
+// padForReset returns a copy of a packet that is large enough to trigger a stateless
+// reset. A caller that only receives sends just acknowledgements and keep-alives,
+// which are too small with the cluster's connection IDs; without a reset it would
+// take a dead agent's feed for an idle one until its idle timeout. The copy is
+// delivered after the packet itself, so an existing flow loses nothing: the copy
+// fails decryption there. Two endpoints can't answer each other's resets endlessly,
+// since a reset's connection ID is random and not the cluster's.
+func padForReset(packet []byte) []byte {
+	out := make([]byte, minResetTrigger)
 	copy(out, packet)
 	return out
 }
 
-// handOver sends a packet on to another agent of the service, which answers by
-// the same balancer.
+// handOver forwards a packet to another agent of the service, whose packets to the
+// caller return through the same balancer.
 func (e *Endpoint) handOver(v *view, to table.AgentNumber, balancer netip.AddrPort, packet []byte) {
 	agent, ok := v.steering.Agent(to)
 	if !ok || !agent.Tunnel.IsValid() {
-		e.counts.handOverLost.Add(1)
+		e.counters.handOverLost.Add(1)
 		return
 	}
-	r := &e.router
+	r := &e.reader
 	h := r.header
 	h.Kind = envelope.Forward
 	h.Agent = to
@@ -174,61 +174,62 @@
 	h.Revision = max(h.Revision, v.steering.Revision)
 	out, err := v.steering.Envelopes.Append(r.out[:0], &h, packet)
 	if err != nil {
-		e.counts.handOverLost.Add(1)
+		e.counters.handOverLost.Add(1)
 		return
 	}
 	r.out = out
 	if _, err := e.socket.WriteToUDPAddrPort(out, agent.Tunnel); err != nil {
-		e.counts.sendFailed.Add(1)
+		e.counters.sendFailed.Add(1)
 	}
 }
 
-// answers are the working buffers of goroutines that send.
-var answers = sync.Pool{New: func() any { return new([]byte) }}
+// returnBuffers holds reusable buffers for return packets.
+var returnBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// answer sends a packet of one of the flows to its caller.
-func (e *Endpoint) answer(packet []byte, caller netip.AddrPort) {
+// sendReturn sends a flow's packet to its caller, directly or through a balancer.
+func (e *Endpoint) sendReturn(packet []byte, caller netip.AddrPort) {
 	v := e.view.Load()
-	way := e.paths.find(caller)
-	if way == nil || v == nil || v.service == nil {
-		e.counts.noPath.Add(1)
+	path := e.paths.find(caller)
+	if path == nil || v == nil || v.service == nil {
+		e.counters.noPath.Add(1)
 		return
 	}
-	if e.answerDirect(packet, caller) {
+	if e.sendDirect(packet, caller) {
 		return
 	}
 	if len(packet) > envelope.MaxPayload {
-		e.counts.oversize.Add(1)
+		e.counters.oversize.Add(1)
 		return
 	}
-	by, replaced := e.paths.back(time.Now(), way)
+	peer, replaced := e.paths.returnBalancer(time.Now(), path)
 	if replaced {
-		e.counts.pathReplaced.Add(1)
+		e.counters.pathReplaced.Add(1)
 	}
 	h := envelope.Header{
 		Kind:       envelope.Return,
-		Generation: e.generationFor(v, by),
+		Generation: e.returnGeneration(v, peer),
 		Service:    v.service.ID,
 		Agent:      table.AgentNumber(e.self.Load()),
 		Caller:     caller,
 		Revision:   v.steering.Revision,
 	}
-	buffer := answers.Get().(*[]byte)
-	defer answers.Put(buffer)
+	buffer := returnBuffers.Get().(*[]byte)
+	defer returnBuffers.Put(buffer)
 	out, err := v.steering.Envelopes.Append((*buffer)[:0], &h, packet)
 	*buffer = out
 	if err != nil {
-		e.counts.noPath.Add(1)
+		e.counters.noPath.Add(1)
 		return
 	}
-	if _, err := e.socket.WriteToUDPAddrPort(out, by.address); err != nil {
-		e.counts.sendFailed.Add(1)
+	if _, err := e.socket.WriteToUDPAddrPort(out, peer.address); err != nil {
+		e.counters.sendFailed.Add(1)
 	}
 }
 
-// generationFor signs as the balancer signed last, as long as that key is valid.
-func (e *Endpoint) generationFor(v *view, by *peer) uint8 {
-	if g := uint8(by.generation.Load()); v.steering.Envelopes.Has(g) {
+// returnGeneration returns the key generation of the balancer's last envelope if it is
+// still valid, and the table's current one otherwise.
+func (e *Endpoint) returnGeneration(v *view, peer *balancerPeer) uint8 {
+	if g := uint8(peer.generation.Load()); v.steering.Envelopes.Has(g) {
 		return g
 	}
 	return v.steering.Generation
--- a/internal/flow/rig_test.go
+++ b/internal/flow/rig_test.go
@@ -29,38 +29,39 @@
 )
 
 const (
-	deskID    table.ServiceID = 1
-	archiveID table.ServiceID = 2
-	desk                      = "commission-desk"
-	archive                   = "cartoon-archive"
-	// patience is how long a test waits for what must happen. No verdict depends
-	// on its being short.
-	// idle is short, as a test waits for it; the balancers' silence is a second.
-	idle     = 3 * time.Second
-	patience = 30 * time.Second
+	deskID         table.ServiceID = 1
+	archiveID      table.ServiceID = 2
+	deskService                    = "commission-desk"
+	archiveService                 = "cartoon-archive"
+	// flowIdleTimeout is short, as a test waits for it; it exceeds the second of silence
+	// after which a balancer finds an agent unreachable.
+	flowIdleTimeout = 3 * time.Second
+	// waitTimeout bounds the wait for an expected event. No test's result depends on its
+	// being short.
+	waitTimeout = 30 * time.Second
 )
 
 var rigCount atomic.Int32
 
-// rig is a fabric, balancers and agents on loopback addresses of their own. The
-// test is its control: it changes the table and applies it to whom it likes.
+// rig is a test cluster: a fabric, balancers and agents on loopback addresses of their own.
+// The test acts as control: it changes the table and applies it to chosen processes.
 type rig struct {
 	testing.TB
-	is        *is.I
-	network   string
-	fabric    *fabric.Fabric
-	table     table.Table
-	balancers map[string]*rigBalancer
-	agents    map[table.AgentNumber]*rigAgent
-	cert      tls.Certificate
-	pool      *x509.CertPool
-	hosts     int
-	idle      time.Duration
-	callers   []*http3.Transport
-	// direct is set for agents that answer from the service's address.
+	is          *is.I
+	network     string
+	fabric      *fabric.Fabric
+	table       table.Table
+	balancers   map[string]*rigBalancer
+	agents      map[table.AgentNumber]*rigAgent
+	cert        tls.Certificate
+	pool        *x509.CertPool
+	hosts       int
+	idleTimeout time.Duration
+	callers     []*http3.Transport
+	// direct makes agents use direct server return.
 	direct bool
-	// keepAlive is the callers', where they have one; they then send no large
-	// packets to find the path's limit either.
+	// keepAlive is the callers' keep-alive period, 0 for none. Callers with one don't send
+	// large packets to probe the path MTU either.
 	keepAlive time.Duration
 }
 
@@ -81,25 +82,25 @@
 func newRig(t testing.TB) *rig {
 	pid, n := os.Getpid(), rigCount.Add(1)
 	r := &rig{
-		TB:        t,
-		is:        is.New(t),
-		network:   fmt.Sprintf("127.%d.%d.", 64+(pid+int(n)>>8)%128, (pid+int(n))%256),
-		fabric:    fabric.New(1),
-		idle:      idle,
-		balancers: make(map[string]*rigBalancer),
-		agents:    make(map[table.AgentNumber]*rigAgent),
+		TB:          t,
+		is:          is.New(t),
+		network:     fmt.Sprintf("127.%d.%d.", 64+(pid+int(n)>>8)%128, (pid+int(n))%256),
+		fabric:      fabric.New(1),
+		idleTimeout: flowIdleTimeout,
+		balancers:   make(map[string]*rigBalancer),
+		agents:      make(map[table.AgentNumber]*rigAgent),
 	}
 	var err error
-	r.cert, r.pool, err = keys.SelfSigned(desk, archive)
+	r.cert, r.pool, err = keys.SelfSigned(deskService, archiveService)
 	r.is.NoErr(err)
 	r.table.Preset = "ordinary"
 	r.addKeys(1)
-	r.addService(deskID, desk)
+	r.addService(deskID, deskService)
 	t.Cleanup(r.fabric.Close)
 	return r
 }
 
-// ip returns an address of the rig's own.
+// ip returns an unused address of the rig's network.
 func (r *rig) ip() netip.Addr {
 	r.hosts++
 	return netip.MustParseAddr(r.network + strconv.Itoa(r.hosts))
@@ -121,7 +122,7 @@
 	ip := r.ip()
 	set := metrics.New()
 	f, err := balancer.NewForwarder(balancer.ForwarderConfig{
-		Bind: ip, Tunnel: netip.AddrPortFrom(ip, 19000), Log: quiet(), Metrics: set,
+		Bind: ip, Tunnel: netip.AddrPortFrom(ip, 19000), Log: discardLog(), Metrics: set,
 	})
 	r.is.NoErr(err)
 	b := &rigBalancer{Forwarder: f, ip: ip, metrics: set}
@@ -132,21 +133,21 @@
 	return b
 }
 
-// addAgent starts an agent, with the number given, on a tunnel address, or on
-// one of its own where that is empty.
+// addAgent starts an agent with the given number on a tunnel address; an empty one means
+// an unused address.
 func (r *rig) addAgent(number table.AgentNumber, service string, tunnel string, handler http.Handler) *rigAgent {
 	return r.startAgent(number, service, tunnel, handler, func(*flow.Endpoint) {})
 }
 
-// startAgent lets prepare change the agent before it runs.
+// startAgent starts an agent as addAgent does, and calls prepare before it runs.
 func (r *rig) startAgent(number table.AgentNumber, service, tunnel string, handler http.Handler, prepare func(*flow.Endpoint)) *rigAgent {
 	if tunnel == "" {
 		tunnel = netip.AddrPortFrom(r.ip(), 19001).String()
 	}
 	set := metrics.New()
 	e, err := flow.New(flow.Config{
-		Service: service, Tunnel: tunnel, Handler: handler, Log: quiet(), Metrics: set,
-		IdleTimeout: r.idle, Direct: r.direct,
+		Service: service, Tunnel: tunnel, Handler: handler, Log: discardLog(), Metrics: set,
+		IdleTimeout: r.idleTimeout, Direct: r.direct,
 		TLS: &tls.Config{Certificates: []tls.Certificate{r.cert}},
 	})
 	r.is.NoErr(err)
@@ -166,7 +167,7 @@
 	return a
 }
 
-// stop ends an agent at once, as if its process had died.
+// stop stops an agent at once, as if its process had died.
 func (a *rigAgent) stop() {
 	a.cancel()
 	if a.done != nil {
@@ -185,8 +186,8 @@
 	return nil
 }
 
-// revise gives the table its next revision and returns a copy of it.
-func (r *rig) revise() *table.Table {
+// nextRevision increments the table's revision and returns a copy of the table.
+func (r *rig) nextRevision() *table.Table {
 	r.table.Revision++
 	data, err := r.table.MarshalMsg(nil)
 	r.is.NoErr(err)
@@ -196,9 +197,9 @@
 	return out
 }
 
-// apply gives the table to everyone.
+// apply applies the table's next revision to all agents and balancers.
 func (r *rig) apply() {
-	t := r.revise()
+	t := r.nextRevision()
 	r.applyAgents(t)
 	r.applyBalancers(t)
 }
@@ -215,8 +216,8 @@
 	}
 }
 
-// killBalancer ends a balancer as if its process had died. The fabric goes on
-// handing it packets until it is told.
+// killBalancer stops a balancer as if its process had died. The fabric sends packets to
+// it until RemoveBalancer is called.
 func (r *rig) killBalancer(name string) *rigBalancer {
 	b := r.balancers[name]
 	b.Close()
@@ -230,21 +231,22 @@
 	return b
 }
 
-// standard is a rig with three balancers and agents for the desk.
-func standard(t testing.TB, agents int, handler func(table.AgentNumber) http.Handler) *rig {
+// standardRig returns a rig with three balancers and the given number of agents, all of the
+// desk's service, with the table applied.
+func standardRig(t testing.TB, agents int, handler func(table.AgentNumber) http.Handler) *rig {
 	r := newRig(t)
 	for i := range 3 {
 		r.addBalancer(fmt.Sprintf("balancer-%d", i))
 	}
 	for i := range agents {
 		number := table.AgentNumber(i + 1)
-		r.addAgent(number, desk, "", handler(number))
+		r.addAgent(number, deskService, "", handler(number))
 	}
 	r.apply()
 	return r
 }
 
-// caller is one HTTP/3 client with a flow of its own.
+// caller is an HTTP/3 client with its own flow.
 type caller struct {
 	*http.Client
 	transport *http3.Transport
@@ -272,9 +274,9 @@
 	}
 }
 
-// get returns the answer's body and the agent that sent it.
+// get returns the response body and the agent that sent it.
 func (c *caller) get(path string) (body []byte, agent string, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url+path, nil)
 	if err != nil {
@@ -289,18 +291,18 @@
 	return body, resp.Header.Get("Agent"), err
 }
 
-// eventually waits for what must come true.
+// eventually waits until done returns true, and fails after waitTimeout.
 func (r *rig) eventually(what string, done func() bool) {
 	r.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	r.Fatalf("never came true: %s", what)
+	r.Fatalf("timed out waiting until %s", what)
 }
 
-func quiet() logrus.FieldLogger {
+func discardLog() logrus.FieldLogger {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return l
--- a/internal/flow/serving.go
+++ b/internal/flow/serving.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	// goAwayDelay leaves the handshakes that were accepted before a drain time
-	// to end, so that their callers get a flow and then a GOAWAY on it.
+	// goAwayDelay gives handshakes that were accepted before a drain time to
+	// complete, so that their callers get a GOAWAY on an open flow.
 	goAwayDelay = time.Second
-	// goAwayGrace is how long a flow without requests is kept after GOAWAY, for
-	// callers that don't close by themselves. A request that crosses the GOAWAY
-	// is rejected by name, and its caller knows that it didn't run; one that
-	// crosses the end of the flow would be left in doubt. The grace outlasts a
-	// GOAWAY that was lost twice or whose caller had no processor for seconds.
-	goAwayGrace = 5 * time.Second
-	// acceptSettle is how long after a server stopped accepting its last flow
-	// may still be on the way into its books; the library closes a server whose
-	// books are empty, and that flow with it.
-	acceptSettle = 100 * time.Millisecond
-	// drainPoll is how often flows that go away are looked at.
-	drainPoll = 100 * time.Millisecond
-	// unusedTimeout ends flows on which no request was open for so long. The
-	// keep-alive would hold them, and their place in the limit, for good.
-	unusedTimeout = 5 * time.Minute
+	// goAwayGracePeriod is how long a flow without requests stays open after GOAWAY,
+	// for callers that don't close it themselves. A request that crosses the GOAWAY is
+	// rejected explicitly, so its caller knows that it didn't run; for one that crosses
+	// the close of the flow the caller couldn't know. The period covers a GOAWAY that
+	// is lost twice, or a caller without CPU time for seconds.
+	goAwayGracePeriod = 5 * time.Second
+	// acceptSettleTime is how long a flow may take to be registered after its server
+	// stopped accepting. http3.Server.Shutdown closes a server without registered
+	// flows, and would close such a flow with it.
+	acceptSettleTime = 100 * time.Millisecond
+	// drainPollInterval is how often draining flows are checked.
+	drainPollInterval = 100 * time.Millisecond
+	// noRequestTimeout closes a flow without an open request. Keep-alives would
+	// otherwise keep the flow open, and counted against the limit, forever.
+	noRequestTimeout = 5 * time.Minute
 )
 
-// serving runs HTTP/3 on accepted flows. A drain sends GOAWAY on all flows of
-// one HTTP/3 server and puts the next in its place, as the library's servers
-// can't be used again.
-type serving struct {
+// serverSet runs HTTP/3 on accepted flows. A drain sends GOAWAY on all flows of the
+// current HTTP/3 server and replaces the server, as an http3.Server can't be reused
+// after Shutdown.
+type serverSet struct {
 	endpoint *Endpoint
 
 	mu        sync.Mutex
@@ -46,64 +46,65 @@
 	listeners []*quic.Listener
 }
 
-// server is an HTTP/3 server with its flows.
+// server is an HTTP/3 server and its flows.
 type server struct {
 	http *http3.Server
-	// accepting ends when the server takes no more flows.
-	accepting context.Context
-	settle    context.CancelFunc
+	// accepting is canceled when the server stops accepting flows.
+	accepting     context.Context
+	stopAccepting context.CancelFunc
 
 	mu    sync.Mutex
-	conns map[*served]struct{}
+	flows map[*servedFlow]struct{}
 }
 
-// served is one flow with its requests.
-type served struct {
+// servedFlow counts the open requests of one flow.
+type servedFlow struct {
 	conn   *quic.Conn
 	active atomic.Int64
-	// idleSince is when the last request ended, in Unix nanoseconds.
+	// idleSince is the time when the last request ended, in Unix nanoseconds.
 	idleSince atomic.Int64
 }
 
-type servedKey struct{}
+type servedFlowKey struct{}
 
-func newServing(e *Endpoint) *serving {
-	s := &serving{endpoint: e}
+func newServerSet(e *Endpoint) *serverSet {
+	s := &serverSet{endpoint: e}
 	s.current = s.newServer()
 	return s
 }
 
-func (s *serving) newServer() *server {
-	x := &server{conns: make(map[*served]struct{})}
-	x.accepting, x.settle = context.WithCancel(context.Background())
+func (s *serverSet) newServer() *server {
+	x := &server{flows: make(map[*servedFlow]struct{})}
+	x.accepting, x.stopAccepting = context.WithCancel(context.Background())
 	x.http = &http3.Server{
 		Handler:     http.HandlerFunc(s.serve),
-		IdleTimeout: unusedTimeout,
+		IdleTimeout: noRequestTimeout,
 		ConnContext: x.register,
 	}
 	return x
 }
 
+// register adds an accepted flow to the server until the flow ends.
 func (x *server) register(ctx context.Context, conn *quic.Conn) context.Context {
-	if shake, ok := conn.Context().Value(handshakeKey{}).(*handshake); ok {
-		shake.over()
+	if h, ok := conn.Context().Value(handshakeKey{}).(*handshake); ok {
+		h.done()
 	}
-	flow := &served{conn: conn}
+	flow := &servedFlow{conn: conn}
 	flow.idleSince.Store(time.Now().UnixNano())
 	x.mu.Lock()
-	x.conns[flow] = struct{}{}
+	x.flows[flow] = struct{}{}
 	x.mu.Unlock()
 	context.AfterFunc(conn.Context(), func() {
 		x.mu.Lock()
-		delete(x.conns, flow)
+		delete(x.flows, flow)
 		x.mu.Unlock()
 	})
-	return context.WithValue(ctx, servedKey{}, flow)
+	return context.WithValue(ctx, servedFlowKey{}, flow)
 }
 
-// serve counts a flow's requests around the handler.
-func (s *serving) serve(w http.ResponseWriter, r *http.Request) {
-	if flow, ok := r.Context().Value(servedKey{}).(*served); ok {
+// serve calls the handler and counts the flow's open requests.
+func (s *serverSet) serve(w http.ResponseWriter, r *http.Request) {
+	if flow, ok := r.Context().Value(servedFlowKey{}).(*servedFlow); ok {
 		flow.active.Add(1)
 		defer func() {
 			flow.idleSince.Store(time.Now().UnixNano())
@@ -113,8 +114,8 @@
 	s.endpoint.config.Handler.ServeHTTP(w, r)
 }
 
-// accept serves the flows of one more listener.
-func (s *serving) accept(l *quic.Listener) {
+// accept starts serving the flows of another listener.
+func (s *serverSet) accept(l *quic.Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listeners = append(s.listeners, l)
@@ -122,20 +123,20 @@
 }
 
 func serveListener(x *server, l *quic.Listener) {
-	// It returns once the server goes away or the listener is closed; both are
-	// ordered.
-	_ = x.http.ServeListener(stoppable{l, x.accepting})
+	// ServeListener returns once the server goes away or the listener is closed; neither
+	// is an error.
+	_ = x.http.ServeListener(stoppableListener{l, x.accepting})
 }
 
-// stoppable is a listener that one server can stop accepting from while others
-// go on.
-type stoppable struct {
+// stoppableListener is a listener that one server can stop using while others go on
+// accepting from it.
+type stoppableListener struct {
 	*quic.Listener
 	accepting context.Context
 }
 
 // Accept implements http3.QUICListener.
-func (s stoppable) Accept(ctx context.Context) (*quic.Conn, error) {
+func (s stoppableListener) Accept(ctx context.Context) (*quic.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(s.accepting, cancel)()
@@ -146,8 +147,8 @@
 	return conn, err
 }
 
-// goAway sends GOAWAY on all flows and closes each when it has no request left.
-func (s *serving) goAway() {
+// goAway sends GOAWAY on all flows and closes each after its last request.
+func (s *serverSet) goAway() {
 	s.mu.Lock()
 	old := s.current
 	s.current = s.newServer()
@@ -155,9 +156,9 @@
 		go serveListener(s.current, l)
 	}
 	s.mu.Unlock()
-	old.settle()
+	old.stopAccepting()
 	events.Log(s.endpoint.config.Log, events.FlowGoAway, logrus.Fields{"flows": old.count()})
-	time.AfterFunc(acceptSettle, func() {
+	time.AfterFunc(acceptSettleTime, func() {
 		go old.closeUnused(s.endpoint.closed)
 		_ = old.http.Shutdown(context.Background())
 	})
@@ -166,13 +167,13 @@
 func (x *server) count() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return len(x.conns)
+	return len(x.flows)
 }
 
-// closeUnused closes the flows of a server that went away, each when it was
-// without requests for the grace time.
+// closeUnused closes the flows of a server that sent GOAWAY, each after it had no
+// requests for goAwayGracePeriod.
 func (x *server) closeUnused(stop <-chan struct{}) {
-	tick := time.NewTicker(drainPoll)
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
 	start := time.Now().UnixNano()
 	for x.count() > 0 {
@@ -187,10 +188,10 @@
 
 func (x *server) closeIdle(start, now int64) {
 	x.mu.Lock()
-	var idle []*served
-	for flow := range x.conns {
+	var idle []*servedFlow
+	for flow := range x.flows {
 		since := max(start, flow.idleSince.Load())
-		if flow.active.Load() == 0 && now-since > int64(goAwayGrace) {
+		if flow.active.Load() == 0 && now-since > int64(goAwayGracePeriod) {
 			idle = append(idle, flow)
 		}
 	}
--- a/internal/flow/tables_test.go
+++ b/internal/flow/tables_test.go
@@ -11,19 +11,19 @@
 	"bergamotstall/internal/table"
 )
 
-// Every caller's handshake succeeds, and opens one flow only, while the three
-// balancers have three different tables. Each first flight spans two datagrams,
-// which cross different balancers; agents hand them to the choice of the newest
-// table and remember it for the handshake.
-func TestSpanningFirstFlightsOverBalancersWithDifferentTables(t *testing.T) {
-	r := standard(t, 4, target)
+// Each handshake must succeed and open exactly one flow while the three balancers have
+// three different tables. A first flight spans two datagrams, which cross different
+// balancers; agents forward both to the choice of the newest table, and remember it until
+// the handshake is over.
+func TestTwoDatagramFirstFlightsOverBalancersWithDifferentTables(t *testing.T) {
+	r := standardRig(t, 4, targetHandler)
 	r.applyTo("balancer-1", r.changeWeights(100, 10, 400, 100))
 	last := r.changeWeights(0, 500, 100, 50)
 	r.applyTo("balancer-2", last)
 	r.applyAgents(last)
 	const callers = 60
 	for range callers {
-		_, agent, err := r.caller(desk).get("/")
+		_, agent, err := r.caller(deskService).get("/")
 		r.is.NoErr(err)
 		r.is.True(agent != "1") // it has no weight in the newest table
 	}
@@ -36,14 +36,14 @@
 	for i, w := range weights {
 		r.target(table.AgentNumber(i + 1)).Weight = w
 	}
-	return r.revise()
+	return r.nextRevision()
 }
 
 func (r *rig) applyTo(balancer string, t *table.Table) {
 	r.is.NoErr(r.balancers[balancer].Apply(t))
 }
 
-// sum adds one counter over all agents.
+// sum returns the sum of a counter over all agents.
 func (r *rig) sum(counter string) (total int64) {
 	for _, a := range r.agents {
 		total += a.metrics.Value(counter)
@@ -51,46 +51,46 @@
 	return total
 }
 
-// Callers' downloads are whole, and new flows open, while one balancer's table is
-// hundreds of revisions old: it knows neither the agents that have come since nor
-// that others drain. It hands what it doesn't know to an agent that does.
+// Downloads must arrive intact, and new flows must open, while one balancer's table is
+// hundreds of revisions old. It lacks the agents that joined since and doesn't know that
+// others drain; it sends packets of unknown agents to an agent with a newer table.
 func TestBalancersHundredsOfRevisionsApart(t *testing.T) {
-	r := standard(t, 2, target)
+	r := standardRig(t, 2, targetHandler)
 	feed := r.openFeed(r.flowAt(1))
-	r.addAgent(3, desk, "", target(3))
+	r.addAgent(3, deskService, "", targetHandler(3))
 	r.target(1).State = table.Draining
 	r.table.Revision += 150
-	middle := r.revise()
-	r.addAgent(4, desk, "", target(4))
+	middle := r.nextRevision()
+	r.addAgent(4, deskService, "", targetHandler(4))
 	r.target(2).State = table.Draining
 	r.table.Revision += 200
-	newest := r.revise()
+	newest := r.nextRevision()
 	r.applyTo("balancer-1", middle)
 	r.applyTo("balancer-2", newest)
 	r.applyAgents(newest)
 	for _, number := range []table.AgentNumber{3, 4} {
-		r.whole(r.startDownload(r.flowAt(number)))
+		r.requireIntact(r.startDownload(r.flowAt(number)))
 	}
-	r.goesOn(feed)
+	r.requireFeedContinues(feed)
 	r.is.True(r.balancers["balancer-0"].metrics.Value("balancer_forward_behind") > 0)
 	r.is.True(r.sum("flow_hand_over_named_other") > 0)
 }
 
-// Callers notice nothing of a rotation of the cluster's keys: feeds opened under
-// the old keys go on, and flows open at each step, though balancers learn of each
-// step later than agents do.
+// A rotation of the cluster's keys must not break a flow: feeds opened with the old keys
+// continue, and new flows open at each step, although balancers apply each step later than
+// agents.
 func TestKeyRotationBreaksNothing(t *testing.T) {
-	r := standard(t, 2, target)
-	feed := r.openFeed(r.caller(desk))
+	r := standardRig(t, 2, targetHandler)
+	feed := r.openFeed(r.caller(deskService))
 	step := func() {
-		next := r.revise()
+		next := r.nextRevision()
 		r.applyAgents(next)
-		_, _, err := r.caller(desk).get("/")
+		_, _, err := r.caller(deskService).get("/")
 		r.is.NoErr(err)
-		r.goesOn(feed)
+		r.requireFeedContinues(feed)
 		r.applyBalancers(next)
-		r.whole(r.startDownload(r.caller(desk)))
-		r.goesOn(feed)
+		r.requireIntact(r.startDownload(r.caller(deskService)))
+		r.requireFeedContinues(feed)
 	}
 	next, err := keys.NewKeySet(2, rand.Reader)
 	r.is.NoErr(err)
@@ -101,34 +101,33 @@
 	step()
 	r.is.Equal(r.sum("flow_envelope_unknown_key"), int64(0))
 	r.is.Equal(r.sum("flow_envelope_forged"), int64(0))
-	// The old keys may be retired once no agent counts a flow under them.
+	// The old keys may be retired once no agent has a flow with them.
 	r.is.True(r.sum("flow_open_old_keys") > 0)
 	feed.close()
 	r.closeCallers()
-	r.eventually("flows under the old keys end", func() bool { return r.sum("flow_open_old_keys") == 0 })
+	r.eventually("flows with the old keys end", func() bool { return r.sum("flow_open_old_keys") == 0 })
 }
 
-// A caller's key rotation without the pending step: balancers sign with a key
-// that agents don't have yet. Their callers' packets are lost until the agents
-// have the table, and then all goes on; nothing is cut.
-func TestFeedOutlivesKeysThatAgentsLearnLate(t *testing.T) {
-	r := standard(t, 2, target)
-	feed := r.openFeed(r.caller(desk))
+// In a key rotation without the pending step, balancers sign with a key that agents don't
+// have yet. Packets are lost until the agents apply the table; then the feed must continue.
+func TestFeedSurvivesKeysThatAgentsLearnLate(t *testing.T) {
+	r := standardRig(t, 2, targetHandler)
+	feed := r.openFeed(r.caller(deskService))
 	r.addKeys(2)
-	next := r.revise()
+	next := r.nextRevision()
 	r.applyBalancers(next)
-	r.eventually("packets under the new key are refused", func() bool {
+	r.eventually("packets signed with the new key are refused", func() bool {
 		return r.sum("flow_envelope_unknown_key") > 0
 	})
 	r.applyAgents(next)
-	r.goesOn(feed)
+	r.requireFeedContinues(feed)
 }
 
-// Nobody without the cluster's key reaches an agent, or a caller through a
-// balancer: forged envelopes are counted and go nowhere, whether they are signed
-// under another key or not envelopes at all.
+// Without the cluster's key nobody may reach an agent, or a caller through a balancer.
+// Envelopes signed with another key and datagrams that aren't envelopes are counted and
+// dropped.
 func TestForgedEnvelopesAreRefused(t *testing.T) {
-	r := standard(t, 1, target)
+	r := standardRig(t, 1, targetHandler)
 	set, err := keys.NewKeySet(1, rand.Reader)
 	r.is.NoErr(err)
 	ring, err := envelope.NewRing([]table.KeySet{set})
--- a/internal/flow/watch.go
+++ b/internal/flow/watch.go
@@ -9,8 +9,9 @@
 	"bergamotstall/internal/table"
 )
 
-// watch moves shares on, until the endpoint is closed.
-func (e *Endpoint) watch() {
+// updateSharesLoop updates the targets' shares of new flows, which change over time,
+// until the endpoint is closed.
+func (e *Endpoint) updateSharesLoop() {
 	tick := time.NewTicker(reachability.Tick)
 	defer tick.Stop()
 	for {
@@ -18,13 +19,13 @@
 		case <-e.closed:
 			return
 		case now := <-tick.C:
-			e.reshare(now)
+			e.updateShares(now)
 		}
 	}
 }
 
-// reshare puts the shares of now in force.
-func (e *Endpoint) reshare(now time.Time) {
+// updateShares puts the shares for the given time in force.
+func (e *Endpoint) updateShares(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	v := e.view.Load()
@@ -41,9 +42,10 @@
 	e.view.Store(&out)
 }
 
-// sign handles a datagram without a packet, and returns false for any other.
-func (e *Endpoint) sign(v *view, from netip.AddrPort) bool {
-	h := &e.router.header
+// handleProbe handles a probe, which carries no packet. It returns false for any other
+// datagram.
+func (e *Endpoint) handleProbe(v *view, from netip.AddrPort) bool {
+	h := &e.reader.header
 	self := table.AgentNumber(e.self.Load())
 	if h.Kind != envelope.Probe {
 		return false
@@ -51,18 +53,18 @@
 	if h.Agent != self || v.service == nil {
 		return true
 	}
-	// Signed as the probe was, which its sender can read.
+	// Signed with the probe's key generation, which its sender has.
 	answer := envelope.Header{Kind: envelope.Alive, Generation: h.Generation, Service: v.service.ID, Agent: self}
-	e.sendSign(v, answer, from)
+	e.sendProbeReply(v, answer, from)
 	return true
 }
 
-func (e *Endpoint) sendSign(v *view, h envelope.Header, to netip.AddrPort) {
+func (e *Endpoint) sendProbeReply(v *view, h envelope.Header, to netip.AddrPort) {
 	out, err := v.steering.Envelopes.Append(nil, &h, nil)
 	if err != nil {
 		return
 	}
 	if _, err := e.socket.WriteToUDPAddrPort(out, to); err != nil {
-		e.counts.sendFailed.Add(1)
+		e.counters.sendFailed.Add(1)
 	}
 }
