--- a/internal/distribution/announce.go
+++ b/internal/distribution/announce.go
@@ -13,111 +13,111 @@
 )
 
 const (
-	announceRetryBase = 100 * time.Millisecond
-	announceRetryCap  = 2 * time.Second
+	announceRetryBaseDelay = 100 * time.Millisecond
+	announceRetryMaxDelay  = 2 * time.Second
 )
 
-// announce takes an announcement towards the replicated state. One goroutine
-// does so at a time for a stream, so that they arrive in order, and it always
-// sends the latest.
+// announce commits an announcement to the replicated state. One goroutine per stream
+// does so at a time and always commits the latest one, so that they arrive in order.
 func (sub *subscriber) announce(a Announcement) {
 	a.Via = sub.server.cfg.Name
-	hold := sub.server.silence.attached(subject{role: sub.role, name: a.Name}, a)
+	dampingDelay := sub.server.silenceReporter.streamAttached(subscriberKey{role: sub.role, name: a.Name}, a)
 	sub.mu.Lock()
 	sub.announcement = a
 	running := sub.announcing
 	sub.announcing = true
 	sub.mu.Unlock()
 	if running {
-		sub.skipHoldFor(a)
+		sub.skipDampingIfDraining(a)
 		return
 	}
 	if a.Draining {
-		hold = 0
+		dampingDelay = 0
 	}
-	if hold > 0 {
-		sub.server.count.held.Add(1)
-		events.Log(sub.server.cfg.Log, events.AnnouncementHeld, logrus.Fields{"role": sub.role, "name": a.Name, "wait": hold})
+	if dampingDelay > 0 {
+		sub.server.counters.held.Add(1)
+		events.Log(sub.server.cfg.Log, events.AnnouncementHeld, logrus.Fields{"role": sub.role, "name": a.Name, "wait": dampingDelay})
 	}
-	sub.server.running.Add(1)
+	sub.server.goroutines.Add(1)
 	go func() {
-		defer sub.server.running.Done()
-		sub.announceLatest(hold)
+		defer sub.server.goroutines.Done()
+		sub.announceLatest(dampingDelay)
 	}()
 }
 
-// skipHoldFor ends a hold for an agent that is about to stop: a target that is
-// leaving must get no new work after a few seconds, however often it came and
-// went before.
-func (sub *subscriber) skipHoldFor(a Announcement) {
+// skipDampingIfDraining ends the damping delay of an agent that is about to stop. A
+// leaving target must get no new flows after a few seconds, however much it flapped.
+func (sub *subscriber) skipDampingIfDraining(a Announcement) {
 	if !a.Draining {
 		return
 	}
 	select {
-	case sub.skipHold <- struct{}{}:
+	case sub.skipDamping <- struct{}{}:
 	default:
 	}
 }
 
-func (sub *subscriber) announceLatest(hold time.Duration) {
-	if !sub.waitHold(hold) {
+// announceLatest waits for the damping delay and commits the latest announcement, with
+// retries, until none is newer or the stream ends.
+func (sub *subscriber) announceLatest(dampingDelay time.Duration) {
+	if !sub.waitDamping(dampingDelay) {
 		return
 	}
 	failures := 0
 	for {
-		a := sub.announced()
+		a := sub.currentAnnouncement()
 		n, err := sub.commit(a)
 		if sub.ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			sub.announceFailed(a, err, failures)
+			sub.recordAnnounceFailure(a, err, failures)
 			failures++
-			if !wait.For(sub.ctx, announceWait(failures)) {
+			if !wait.For(sub.ctx, announceRetryDelay(failures)) {
 				return
 			}
 			continue
 		}
 		failures = 0
-		if sub.announcedAs(a, n) {
+		if sub.recordAnnounced(a, n) {
 			return
 		}
 	}
 }
 
-// waitHold returns false where the stream ended first.
-func (sub *subscriber) waitHold(hold time.Duration) bool {
-	timer := time.NewTimer(hold)
+// waitDamping waits for the damping delay. It returns false if the stream ends first.
+func (sub *subscriber) waitDamping(dampingDelay time.Duration) bool {
+	timer := time.NewTimer(dampingDelay)
 	defer timer.Stop()
 	select {
 	case <-sub.ctx.Done():
 		return false
 	case <-timer.C:
-	case <-sub.skipHold:
+	case <-sub.skipDamping:
 	}
 	return true
 }
 
-// announceWait is the full-jitter wait after so many failures.
-func announceWait(failures int) time.Duration {
-	bound := min(announceRetryCap, announceRetryBase<<min(failures, 10))
+// announceRetryDelay returns the delay after the given number of failures, with full jitter.
+func announceRetryDelay(failures int) time.Duration {
+	bound := min(announceRetryMaxDelay, announceRetryBaseDelay<<min(failures, 10))
 	return time.Duration(rand.Float64() * float64(bound))
 }
 
-func (sub *subscriber) announceFailed(a Announcement, err error, failures int) {
-	sub.server.count.announceErrors.Add(1)
+func (sub *subscriber) recordAnnounceFailure(a Announcement, err error, failures int) {
+	sub.server.counters.announceErrors.Add(1)
 	if failures == 0 {
 		events.Log(sub.server.cfg.Log, events.AnnouncementFailed, logrus.Fields{"role": sub.role, "name": a.Name, "error": err})
 	}
 }
 
-// commit hands one announcement over; the number of commands under way is
-// bounded, because a mass reconnect would else put thousands to the leader.
+// commit commits one announcement. The number of concurrent commands is bounded, as a
+// mass reconnect would otherwise send thousands to the leader at once.
 func (sub *subscriber) commit(a Announcement) (table.AgentNumber, error) {
 	s := sub.server
 	select {
-	case s.commits <- struct{}{}:
-		defer func() { <-s.commits }()
+	case s.commitSlots <- struct{}{}:
+		defer func() { <-s.commitSlots }()
 	case <-sub.ctx.Done():
 		return 0, sub.ctx.Err()
 	}
@@ -129,12 +129,12 @@
 	return 0, s.cfg.Registrar.AnnounceBalancer(ctx, a)
 }
 
-// announcedAs notes the outcome; it returns false where a newer announcement has
-// come meanwhile.
-func (sub *subscriber) announcedAs(a Announcement, n table.AgentNumber) bool {
-	sub.server.count.announced.Add(1)
+// recordAnnounced records a committed announcement and its agent number. It returns false
+// if a newer announcement arrived meanwhile.
+func (sub *subscriber) recordAnnounced(a Announcement, n table.AgentNumber) bool {
+	sub.server.counters.announced.Add(1)
 	if sub.role == RoleAgent {
-		sub.server.silence.numbered(subject{role: sub.role, name: a.Name}, n)
+		sub.server.silenceReporter.setNumber(subscriberKey{role: sub.role, name: a.Name}, n)
 	}
 	sub.mu.Lock()
 	sub.number = n
--- a/internal/distribution/body.go
+++ b/internal/distribution/body.go
@@ -14,35 +14,35 @@
 
 //go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/distribution/body.go -o ../internal/distribution/body_gen.go -tests=false -unexported
 
-// errBody is returned for an update that can't be decoded.
-var errBody = errors.New("distribution: malformed update")
+// errMalformedUpdate is returned for an update that can't be decoded.
+var errMalformedUpdate = errors.New("distribution: malformed update")
 
 const (
-	// deflateOver is the size from which compression saves more than its header.
-	deflateOver = 128
-	// bodyLimit bounds a decompressed update: a table of 12,000 hosts takes under
-	// 1 MB, and a peer must not be able to claim the whole memory budget.
-	bodyLimit = 16 << 20
+	// compressMinBytes is the size from which compression saves more than its header.
+	compressMinBytes = 128
+	// updateLimitBytes bounds a decompressed update, so that a peer can't use up the
+	// memory budget. A table of 12,000 hosts takes less than 1 MB.
+	updateLimitBytes = 16 << 20
 )
 
-// body is an update as it travels. Targets are columns, because one column's
-// values resemble each other and compress to about half of what rows do.
-type body struct {
-	Digest        uint64              `msg:"d"`
-	Preset        string              `msg:"p"`
-	Services      []table.Service     `msg:"s,omitempty"`
-	Targets       *targetColumns      `msg:"t,omitempty"`
-	Shifts        *shareColumns       `msg:"w,omitempty"`
-	Balancers     []table.Balancer    `msg:"b,omitempty"`
-	Keys          []table.KeySet      `msg:"k,omitempty"`
-	Rekeyed       bool                `msg:"y,omitempty"`
-	GoneServices  []table.ServiceID   `msg:"gs,omitempty"`
-	GoneTargets   []table.AgentNumber `msg:"gt,omitempty"`
-	GoneBalancers []string            `msg:"gb,omitempty"`
+// columnarUpdate is the wire format of an update. Targets are encoded as columns, as the
+// values of one column resemble each other and compress to about half the size of rows.
+type columnarUpdate struct {
+	Digest           uint64              `msg:"d"`
+	Preset           string              `msg:"p"`
+	Services         []table.Service     `msg:"s,omitempty"`
+	Targets          *targetColumns      `msg:"t,omitempty"`
+	ShareChanges     *shareColumns       `msg:"w,omitempty"`
+	Balancers        []table.Balancer    `msg:"b,omitempty"`
+	Keys             []table.KeySet      `msg:"k,omitempty"`
+	KeysReplaced     bool                `msg:"y,omitempty"`
+	RemovedServices  []table.ServiceID   `msg:"gs,omitempty"`
+	RemovedTargets   []table.AgentNumber `msg:"gt,omitempty"`
+	RemovedBalancers []string            `msg:"gb,omitempty"`
 }
 
-// shareColumns are what a shift carries. Numbers are varints; agents are gaps
-// between ascending numbers, times are differences from the row before.
+// shareColumns hold the fields of a share change. Numbers are varints; agents are encoded
+// as gaps between ascending numbers, times as differences from the previous row.
 type shareColumns struct {
 	Count    int    `msg:"n"`
 	Agents   []byte `msg:"g"`
@@ -52,7 +52,7 @@
 	States   []byte `msg:"x"`
 }
 
-// targetColumns are whole targets.
+// targetColumns hold complete targets.
 type targetColumns struct {
 	Shares      shareColumns `msg:"w"`
 	Services    []byte       `msg:"s"`
@@ -65,10 +65,10 @@
 	Peers       string       `msg:"p"`
 }
 
-// separator ends a text in a column; no name or address holds it.
+// separator ends a text in a column. No name or address contains it.
 const separator = "\n"
 
-func sharesOf(targets []table.Target) shareColumns {
+func shareColumnsOf(targets []table.Target) shareColumns {
 	c := shareColumns{Count: len(targets)}
 	var agent table.AgentNumber
 	var changed int64
@@ -83,8 +83,8 @@
 	return c
 }
 
-func columnsOf(targets []table.Target) targetColumns {
-	c := targetColumns{Shares: sharesOf(targets)}
+func targetColumnsOf(targets []table.Target) targetColumns {
+	c := targetColumns{Shares: shareColumnsOf(targets)}
 	var hosts, centres, tunnels, peers strings.Builder
 	var joined int64
 	for _, t := range targets {
@@ -93,38 +93,41 @@
 		c.Connections = binary.AppendVarint(c.Connections, int64(t.Connections))
 		c.Joined = binary.AppendVarint(c.Joined, t.JoinedAtMS-joined)
 		joined = t.JoinedAtMS
-		writeText(&hosts, t.Host)
-		writeText(&centres, t.DataCentre)
-		writeText(&tunnels, t.Tunnel)
-		writeText(&peers, suffixAfter(t.Tunnel, t.Peer))
+		appendText(&hosts, t.Host)
+		appendText(&centres, t.DataCentre)
+		appendText(&tunnels, t.Tunnel)
+		appendText(&peers, peerSuffix(t.Tunnel, t.Peer))
 	}
 	c.Hosts, c.DataCentres = hosts.String(), centres.String()
 	c.Tunnels, c.Peers = tunnels.String(), peers.String()
 	return c
 }
 
-func writeText(b *strings.Builder, s string) {
+func appendText(b *strings.Builder, s string) {
 	b.WriteString(s)
 	b.WriteString(separator)
 }
 
-// sameIP stands for the tunnel's IP number in a peer's address: both are the
-// same VM's, so the number would travel twice.
-const sameIP = "="
+// sameIPMark replaces the IP address in a peer address if it equals that of the tunnel.
+// Both usually belong to the same VM.
+const sameIPMark = "="
 
-func suffixAfter(tunnel, peer string) string {
+// peerSuffix returns the peer address, with its IP address replaced by sameIPMark if it is
+// that of the tunnel.
+func peerSuffix(tunnel, peer string) string {
 	ip, _, ok := cutPort(tunnel)
 	if !ok {
 		return peer
 	}
 	if rest, same := strings.CutPrefix(peer, ip+":"); same {
-		return sameIP + rest
+		return sameIPMark + rest
 	}
 	return peer
 }
 
-func joinAfter(tunnel, suffix string) string {
-	port, same := strings.CutPrefix(suffix, sameIP)
+// joinPeer is the reverse of peerSuffix.
+func joinPeer(tunnel, suffix string) string {
+	port, same := strings.CutPrefix(suffix, sameIPMark)
 	if !same {
 		return suffix
 	}
@@ -140,13 +143,13 @@
 	return address[:i], address[i+1:], true
 }
 
-// column reads numbers back; its first error sticks.
-type column struct {
+// columnReader reads the values of a column. A failed read sets failed, which stays set.
+type columnReader struct {
 	rest   []byte
 	failed *bool
 }
 
-func (c *column) unsigned() uint64 {
+func (c *columnReader) unsigned() uint64 {
 	v, n := binary.Uvarint(c.rest)
 	if n <= 0 {
 		*c.failed = true
@@ -156,7 +159,7 @@
 	return v
 }
 
-func (c *column) signed() int64 {
+func (c *columnReader) signed() int64 {
 	v, n := binary.Varint(c.rest)
 	if n <= 0 {
 		*c.failed = true
@@ -166,7 +169,7 @@
 	return v
 }
 
-func (c *column) octet() byte {
+func (c *columnReader) octet() byte {
 	if len(c.rest) == 0 {
 		*c.failed = true
 		return 0
@@ -177,14 +180,14 @@
 }
 
 func (c *shareColumns) targets() ([]table.Target, error) {
-	// Each row takes a byte at least, so a forged count can't claim memory.
+	// States has one byte per row, so a forged count can't allocate memory.
 	if c.Count < 0 || c.Count > len(c.States) {
-		return nil, errBody
+		return nil, errMalformedUpdate
 	}
 	var failed bool
-	agents, weights := column{c.Agents, &failed}, column{c.Weights, &failed}
-	previous, changed := column{c.Previous, &failed}, column{c.Changed, &failed}
-	states := column{c.States, &failed}
+	agents, weights := columnReader{c.Agents, &failed}, columnReader{c.Weights, &failed}
+	previous, changed := columnReader{c.Previous, &failed}, columnReader{c.Changed, &failed}
+	states := columnReader{c.States, &failed}
 	out := make([]table.Target, c.Count)
 	var agent table.AgentNumber
 	var at int64
@@ -200,7 +203,7 @@
 		}
 	}
 	if failed {
-		return nil, errBody
+		return nil, errMalformedUpdate
 	}
 	return out, nil
 }
@@ -213,11 +216,11 @@
 	hosts, centres := strings.Split(c.Hosts, separator), strings.Split(c.DataCentres, separator)
 	tunnels, peers := strings.Split(c.Tunnels, separator), strings.Split(c.Peers, separator)
 	if min(len(hosts), len(centres), len(tunnels), len(peers)) < len(out) {
-		return nil, errBody
+		return nil, errMalformedUpdate
 	}
 	var failed bool
-	services, slots := column{c.Services, &failed}, column{c.Slots, &failed}
-	connections, joined := column{c.Connections, &failed}, column{c.Joined, &failed}
+	services, slots := columnReader{c.Services, &failed}, columnReader{c.Slots, &failed}
+	connections, joined := columnReader{c.Connections, &failed}, columnReader{c.Joined, &failed}
 	names := map[string]string{}
 	var at int64
 	for i := range out {
@@ -230,15 +233,15 @@
 		t.Host = strings.Clone(hosts[i])
 		t.DataCentre = intern(names, centres[i])
 		t.Tunnel = strings.Clone(tunnels[i])
-		t.Peer = joinAfter(tunnels[i], peers[i])
+		t.Peer = joinPeer(tunnels[i], peers[i])
 	}
 	if failed {
-		return nil, errBody
+		return nil, errMalformedUpdate
 	}
 	return out, nil
 }
 
-// intern keeps one copy of a text that thousands of targets share.
+// intern returns one shared copy of a text that thousands of targets may have.
 func intern(seen map[string]string, s string) string {
 	if kept, ok := seen[s]; ok {
 		return kept
@@ -248,31 +251,31 @@
 	return s
 }
 
-// bodyOf returns the update as it travels.
-func bodyOf(u *update) *body {
-	b := &body{
+// columnarUpdateOf converts an update to its wire format.
+func columnarUpdateOf(u *update) *columnarUpdate {
+	b := &columnarUpdate{
 		Digest: u.Digest, Preset: u.Preset, Services: u.Services, Balancers: u.Balancers,
-		Keys: u.Keys, Rekeyed: u.Rekeyed,
-		GoneServices: u.GoneServices, GoneTargets: u.GoneTargets, GoneBalancers: u.GoneBalancers,
+		Keys: u.Keys, KeysReplaced: u.KeysReplaced,
+		RemovedServices: u.RemovedServices, RemovedTargets: u.RemovedTargets, RemovedBalancers: u.RemovedBalancers,
 	}
 	if len(u.Targets) > 0 {
-		c := columnsOf(u.Targets)
+		c := targetColumnsOf(u.Targets)
 		b.Targets = &c
 	}
-	if len(u.Shifts) > 0 {
-		c := sharesOf(u.Shifts)
-		b.Shifts = &c
+	if len(u.ShareChanges) > 0 {
+		c := shareColumnsOf(u.ShareChanges)
+		b.ShareChanges = &c
 	}
 	return b
 }
 
-// encodeUpdate returns the update's bytes, compressed where that is shorter.
+// encodeUpdate encodes an update, compressed if that is shorter.
 func encodeUpdate(u *update) (data []byte, deflated bool, err error) {
-	raw, err := bodyOf(u).MarshalMsg(nil)
+	raw, err := columnarUpdateOf(u).MarshalMsg(nil)
 	if err != nil {
 		return nil, false, errors.Wrap(err, "distribution: encode update")
 	}
-	if len(raw) < deflateOver {
+	if len(raw) < compressMinBytes {
 		return raw, false, nil
 	}
 	packed, err := deflate(raw)
@@ -300,19 +303,19 @@
 	return out.Bytes(), nil
 }
 
-// inflate bounds what a compressed update may grow to.
+// inflate decompresses an update of at most updateLimitBytes.
 func inflate(data []byte) ([]byte, error) {
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), bodyLimit+1))
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), updateLimitBytes+1))
 	if err != nil {
-		return nil, errors.Wrap(errBody, err.Error())
+		return nil, errors.Wrap(errMalformedUpdate, err.Error())
 	}
-	if len(raw) > bodyLimit {
-		return nil, errors.Wrap(errBody, "too large when decompressed")
+	if len(raw) > updateLimitBytes {
+		return nil, errors.Wrap(errMalformedUpdate, "decompressed update is too large")
 	}
 	return raw, nil
 }
 
-// decodeUpdate is the reverse of encodeUpdate; revisions travel beside it.
+// decodeUpdate decodes the result of encodeUpdate. The revisions are sent separately.
 func decodeUpdate(from, to table.Revision, data []byte, deflated bool) (*update, error) {
 	raw := data
 	if deflated {
@@ -321,14 +324,14 @@
 			return nil, err
 		}
 	}
-	var b body
+	var b columnarUpdate
 	if _, err := b.UnmarshalMsg(raw); err != nil {
-		return nil, errors.Wrap(errBody, err.Error())
+		return nil, errors.Wrap(errMalformedUpdate, err.Error())
 	}
 	u := &update{
 		From: from, To: to, Digest: b.Digest, Preset: b.Preset, Services: b.Services, Balancers: b.Balancers,
-		Keys: b.Keys, Rekeyed: b.Rekeyed,
-		GoneServices: b.GoneServices, GoneTargets: b.GoneTargets, GoneBalancers: b.GoneBalancers,
+		Keys: b.Keys, KeysReplaced: b.KeysReplaced,
+		RemovedServices: b.RemovedServices, RemovedTargets: b.RemovedTargets, RemovedBalancers: b.RemovedBalancers,
 	}
 	var err error
 	if b.Targets != nil {
@@ -336,8 +339,8 @@
 			return nil, err
 		}
 	}
-	if b.Shifts != nil {
-		if u.Shifts, err = b.Shifts.targets(); err != nil {
+	if b.ShareChanges != nil {
+		if u.ShareChanges, err = b.ShareChanges.targets(); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/distribution/body_gen.go
+++ b/internal/distribution/body_gen.go
@@ -9,7 +9,174 @@
 )
 
 // DecodeMsg implements msgp.Decodable
-func (z *body) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *columnReader) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "rest":
+			z.rest, err = dc.ReadBytes(z.rest)
+			if err != nil {
+				err = msgp.WrapError(err, "rest")
+				return
+			}
+		case "failed":
+			if dc.IsNil() {
+				err = dc.ReadNil()
+				if err != nil {
+					err = msgp.WrapError(err, "failed")
+					return
+				}
+				z.failed = nil
+			} else {
+				if z.failed == nil {
+					z.failed = new(bool)
+				}
+				*z.failed, err = dc.ReadBool()
+				if err != nil {
+					err = msgp.WrapError(err, "failed")
+					return
+				}
+			}
+		default:
+			err = dc.Skip()
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *columnReader) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 2
+	// write "rest"
+	err = en.Append(0x82, 0xa4, 0x72, 0x65, 0x73, 0x74)
+	if err != nil {
+		return
+	}
+	err = en.WriteBytes(z.rest)
+	if err != nil {
+		err = msgp.WrapError(err, "rest")
+		return
+	}
+	// write "failed"
+	err = en.Append(0xa6, 0x66, 0x61, 0x69, 0x6c, 0x65, 0x64)
+	if err != nil {
+		return
+	}
+	if z.failed == nil {
+		err = en.WriteNil()
+		if err != nil {
+			return
+		}
+	} else {
+		err = en.WriteBool(*z.failed)
+		if err != nil {
+			err = msgp.WrapError(err, "failed")
+			return
+		}
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *columnReader) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "rest"
+	o = append(o, 0x82, 0xa4, 0x72, 0x65, 0x73, 0x74)
+	o = msgp.AppendBytes(o, z.rest)
+	// string "failed"
+	o = append(o, 0xa6, 0x66, 0x61, 0x69, 0x6c, 0x65, 0x64)
+	if z.failed == nil {
+		o = msgp.AppendNil(o)
+	} else {
+		o = msgp.AppendBool(o, *z.failed)
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *columnReader) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "rest":
+			z.rest, bts, err = msgp.ReadBytesBytes(bts, z.rest)
+			if err != nil {
+				err = msgp.WrapError(err, "rest")
+				return
+			}
+		case "failed":
+			if msgp.IsNil(bts) {
+				bts, err = msgp.ReadNilBytes(bts)
+				if err != nil {
+					return
+				}
+				z.failed = nil
+			} else {
+				if z.failed == nil {
+					z.failed = new(bool)
+				}
+				*z.failed, bts, err = msgp.ReadBoolBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "failed")
+					return
+				}
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *columnReader) Msgsize() (s int) {
+	s = 1 + 5 + msgp.BytesPrefixSize + len(z.rest) + 7
+	if z.failed == nil {
+		s += msgp.NilSize
+	} else {
+		s += msgp.BoolSize
+	}
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *columnarUpdate) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -79,17 +246,17 @@
 			if dc.IsNil() {
 				err = dc.ReadNil()
 				if err != nil {
-					err = msgp.WrapError(err, "Shifts")
+					err = msgp.WrapError(err, "ShareChanges")
 					return
 				}
-				z.Shifts = nil
+				z.ShareChanges = nil
 			} else {
-				if z.Shifts == nil {
-					z.Shifts = new(shareColumns)
+				if z.ShareChanges == nil {
+					z.ShareChanges = new(shareColumns)
 				}
-				err = z.Shifts.DecodeMsg(dc)
+				err = z.ShareChanges.DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "Shifts")
+					err = msgp.WrapError(err, "ShareChanges")
 					return
 				}
 			}
@@ -132,27 +299,27 @@
 				}
 			}
 		case "y":
-			z.Rekeyed, err = dc.ReadBool()
+			z.KeysReplaced, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Rekeyed")
+				err = msgp.WrapError(err, "KeysReplaced")
 				return
 			}
 		case "gs":
 			var zb0005 uint32
 			zb0005, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "GoneServices")
+				err = msgp.WrapError(err, "RemovedServices")
 				return
 			}
-			if cap(z.GoneServices) >= int(zb0005) {
-				z.GoneServices = (z.GoneServices)[:zb0005]
+			if cap(z.RemovedServices) >= int(zb0005) {
+				z.RemovedServices = (z.RemovedServices)[:zb0005]
 			} else {
-				z.GoneServices = make([]table.ServiceID, zb0005)
+				z.RemovedServices = make([]table.ServiceID, zb0005)
 			}
-			for za0004 := range z.GoneServices {
-				err = z.GoneServices[za0004].DecodeMsg(dc)
+			for za0004 := range z.RemovedServices {
+				err = z.RemovedServices[za0004].DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "GoneServices", za0004)
+					err = msgp.WrapError(err, "RemovedServices", za0004)
 					return
 				}
 			}
@@ -160,18 +327,18 @@
 			var zb0006 uint32
 			zb0006, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "GoneTargets")
+				err = msgp.WrapError(err, "RemovedTargets")
 				return
 			}
-			if cap(z.GoneTargets) >= int(zb0006) {
-				z.GoneTargets = (z.GoneTargets)[:zb0006]
+			if cap(z.RemovedTargets) >= int(zb0006) {
+				z.RemovedTargets = (z.RemovedTargets)[:zb0006]
 			} else {
-				z.GoneTargets = make([]table.AgentNumber, zb0006)
+				z.RemovedTargets = make([]table.AgentNumber, zb0006)
 			}
-			for za0005 := range z.GoneTargets {
-				err = z.GoneTargets[za0005].DecodeMsg(dc)
+			for za0005 := range z.RemovedTargets {
+				err = z.RemovedTargets[za0005].DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "GoneTargets", za0005)
+					err = msgp.WrapError(err, "RemovedTargets", za0005)
 					return
 				}
 			}
@@ -179,18 +346,18 @@
 			var zb0007 uint32
 			zb0007, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "GoneBalancers")
+				err = msgp.WrapError(err, "RemovedBalancers")
 				return
 			}
-			if cap(z.GoneBalancers) >= int(zb0007) {
-				z.GoneBalancers = (z.GoneBalancers)[:zb0007]
+			if cap(z.RemovedBalancers) >= int(zb0007) {
+				z.RemovedBalancers = (z.RemovedBalancers)[:zb0007]
 			} else {
-				z.GoneBalancers = make([]string, zb0007)
+				z.RemovedBalancers = make([]string, zb0007)
 			}
-			for za0006 := range z.GoneBalancers {
-				z.GoneBalancers[za0006], err = dc.ReadString()
+			for za0006 := range z.RemovedBalancers {
+				z.RemovedBalancers[za0006], err = dc.ReadString()
 				if err != nil {
-					err = msgp.WrapError(err, "GoneBalancers", za0006)
+					err = msgp.WrapError(err, "RemovedBalancers", za0006)
 					return
 				}
 			}
@@ -206,7 +373,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *body) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *columnarUpdate) EncodeMsg(en *msgp.Writer) (err error) {
 	// check for omitted fields
 	zb0001Len := uint32(11)
 	var zb0001Mask uint16 /* 11 bits */
@@ -219,7 +386,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x8
 	}
-	if z.Shifts == nil {
+	if z.ShareChanges == nil {
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
@@ -231,19 +398,19 @@
 		zb0001Len--
 		zb0001Mask |= 0x40
 	}
-	if z.Rekeyed == false {
+	if z.KeysReplaced == false {
 		zb0001Len--
 		zb0001Mask |= 0x80
 	}
-	if z.GoneServices == nil {
+	if z.RemovedServices == nil {
 		zb0001Len--
 		zb0001Mask |= 0x100
 	}
-	if z.GoneTargets == nil {
+	if z.RemovedTargets == nil {
 		zb0001Len--
 		zb0001Mask |= 0x200
 	}
-	if z.GoneBalancers == nil {
+	if z.RemovedBalancers == nil {
 		zb0001Len--
 		zb0001Mask |= 0x400
 	}
@@ -319,15 +486,15 @@
 			if err != nil {
 				return
 			}
-			if z.Shifts == nil {
+			if z.ShareChanges == nil {
 				err = en.WriteNil()
 				if err != nil {
 					return
 				}
 			} else {
-				err = z.Shifts.EncodeMsg(en)
+				err = z.ShareChanges.EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "Shifts")
+					err = msgp.WrapError(err, "ShareChanges")
 					return
 				}
 			}
@@ -376,9 +543,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteBool(z.Rekeyed)
+			err = en.WriteBool(z.KeysReplaced)
 			if err != nil {
-				err = msgp.WrapError(err, "Rekeyed")
+				err = msgp.WrapError(err, "KeysReplaced")
 				return
 			}
 		}
@@ -388,15 +555,15 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteArrayHeader(uint32(len(z.GoneServices)))
+			err = en.WriteArrayHeader(uint32(len(z.RemovedServices)))
 			if err != nil {
-				err = msgp.WrapError(err, "GoneServices")
+				err = msgp.WrapError(err, "RemovedServices")
 				return
 			}
-			for za0004 := range z.GoneServices {
-				err = z.GoneServices[za0004].EncodeMsg(en)
+			for za0004 := range z.RemovedServices {
+				err = z.RemovedServices[za0004].EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "GoneServices", za0004)
+					err = msgp.WrapError(err, "RemovedServices", za0004)
 					return
 				}
 			}
@@ -407,15 +574,15 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteArrayHeader(uint32(len(z.GoneTargets)))
+			err = en.WriteArrayHeader(uint32(len(z.RemovedTargets)))
 			if err != nil {
-				err = msgp.WrapError(err, "GoneTargets")
+				err = msgp.WrapError(err, "RemovedTargets")
 				return
 			}
-			for za0005 := range z.GoneTargets {
-				err = z.GoneTargets[za0005].EncodeMsg(en)
+			for za0005 := range z.RemovedTargets {
+				err = z.RemovedTargets[za0005].EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "GoneTargets", za0005)
+					err = msgp.WrapError(err, "RemovedTargets", za0005)
 					return
 				}
 			}
@@ -426,15 +593,15 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteArrayHeader(uint32(len(z.GoneBalancers)))
+			err = en.WriteArrayHeader(uint32(len(z.RemovedBalancers)))
 			if err != nil {
-				err = msgp.WrapError(err, "GoneBalancers")
+				err = msgp.WrapError(err, "RemovedBalancers")
 				return
 			}
-			for za0006 := range z.GoneBalancers {
-				err = en.WriteString(z.GoneBalancers[za0006])
+			for za0006 := range z.RemovedBalancers {
+				err = en.WriteString(z.RemovedBalancers[za0006])
 				if err != nil {
-					err = msgp.WrapError(err, "GoneBalancers", za0006)
+					err = msgp.WrapError(err, "RemovedBalancers", za0006)
 					return
 				}
 			}
@@ -444,7 +611,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *body) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *columnarUpdate) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// check for omitted fields
 	zb0001Len := uint32(11)
@@ -458,7 +625,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x8
 	}
-	if z.Shifts == nil {
+	if z.ShareChanges == nil {
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
@@ -470,19 +637,19 @@
 		zb0001Len--
 		zb0001Mask |= 0x40
 	}
-	if z.Rekeyed == false {
+	if z.KeysReplaced == false {
 		zb0001Len--
 		zb0001Mask |= 0x80
 	}
-	if z.GoneServices == nil {
+	if z.RemovedServices == nil {
 		zb0001Len--
 		zb0001Mask |= 0x100
 	}
-	if z.GoneTargets == nil {
+	if z.RemovedTargets == nil {
 		zb0001Len--
 		zb0001Mask |= 0x200
 	}
-	if z.GoneBalancers == nil {
+	if z.RemovedBalancers == nil {
 		zb0001Len--
 		zb0001Mask |= 0x400
 	}
@@ -525,12 +692,12 @@
 		if (zb0001Mask & 0x10) == 0 { // if not omitted
 			// string "w"
 			o = append(o, 0xa1, 0x77)
-			if z.Shifts == nil {
+			if z.ShareChanges == nil {
 				o = msgp.AppendNil(o)
 			} else {
-				o, err = z.Shifts.MarshalMsg(o)
+				o, err = z.ShareChanges.MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "Shifts")
+					err = msgp.WrapError(err, "ShareChanges")
 					return
 				}
 			}
@@ -562,16 +729,16 @@
 		if (zb0001Mask & 0x80) == 0 { // if not omitted
 			// string "y"
 			o = append(o, 0xa1, 0x79)
-			o = msgp.AppendBool(o, z.Rekeyed)
+			o = msgp.AppendBool(o, z.KeysReplaced)
 		}
 		if (zb0001Mask & 0x100) == 0 { // if not omitted
 			// string "gs"
 			o = append(o, 0xa2, 0x67, 0x73)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.GoneServices)))
-			for za0004 := range z.GoneServices {
-				o, err = z.GoneServices[za0004].MarshalMsg(o)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.RemovedServices)))
+			for za0004 := range z.RemovedServices {
+				o, err = z.RemovedServices[za0004].MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "GoneServices", za0004)
+					err = msgp.WrapError(err, "RemovedServices", za0004)
 					return
 				}
 			}
@@ -579,11 +746,11 @@
 		if (zb0001Mask & 0x200) == 0 { // if not omitted
 			// string "gt"
 			o = append(o, 0xa2, 0x67, 0x74)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.GoneTargets)))
-			for za0005 := range z.GoneTargets {
-				o, err = z.GoneTargets[za0005].MarshalMsg(o)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.RemovedTargets)))
+			for za0005 := range z.RemovedTargets {
+				o, err = z.RemovedTargets[za0005].MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "GoneTargets", za0005)
+					err = msgp.WrapError(err, "RemovedTargets", za0005)
 					return
 				}
 			}
@@ -591,9 +758,9 @@
 		if (zb0001Mask & 0x400) == 0 { // if not omitted
 			// string "gb"
 			o = append(o, 0xa2, 0x67, 0x62)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.GoneBalancers)))
-			for za0006 := range z.GoneBalancers {
-				o = msgp.AppendString(o, z.GoneBalancers[za0006])
+			o = msgp.AppendArrayHeader(o, uint32(len(z.RemovedBalancers)))
+			for za0006 := range z.RemovedBalancers {
+				o = msgp.AppendString(o, z.RemovedBalancers[za0006])
 			}
 		}
 	}
@@ -601,7 +768,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *body) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *columnarUpdate) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -672,14 +839,14 @@
 				if err != nil {
 					return
 				}
-				z.Shifts = nil
+				z.ShareChanges = nil
 			} else {
-				if z.Shifts == nil {
-					z.Shifts = new(shareColumns)
+				if z.ShareChanges == nil {
+					z.ShareChanges = new(shareColumns)
 				}
-				bts, err = z.Shifts.UnmarshalMsg(bts)
+				bts, err = z.ShareChanges.UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Shifts")
+					err = msgp.WrapError(err, "ShareChanges")
 					return
 				}
 			}
@@ -722,27 +889,27 @@
 				}
 			}
 		case "y":
-			z.Rekeyed, bts, err = msgp.ReadBoolBytes(bts)
+			z.KeysReplaced, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Rekeyed")
+				err = msgp.WrapError(err, "KeysReplaced")
 				return
 			}
 		case "gs":
 			var zb0005 uint32
 			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "GoneServices")
+				err = msgp.WrapError(err, "RemovedServices")
 				return
 			}
-			if cap(z.GoneServices) >= int(zb0005) {
-				z.GoneServices = (z.GoneServices)[:zb0005]
+			if cap(z.RemovedServices) >= int(zb0005) {
+				z.RemovedServices = (z.RemovedServices)[:zb0005]
 			} else {
-				z.GoneServices = make([]table.ServiceID, zb0005)
+				z.RemovedServices = make([]table.ServiceID, zb0005)
 			}
-			for za0004 := range z.GoneServices {
-				bts, err = z.GoneServices[za0004].UnmarshalMsg(bts)
+			for za0004 := range z.RemovedServices {
+				bts, err = z.RemovedServices[za0004].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "GoneServices", za0004)
+					err = msgp.WrapError(err, "RemovedServices", za0004)
 					return
 				}
 			}
@@ -750,18 +917,18 @@
 			var zb0006 uint32
 			zb0006, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "GoneTargets")
+				err = msgp.WrapError(err, "RemovedTargets")
 				return
 			}
-			if cap(z.GoneTargets) >= int(zb0006) {
-				z.GoneTargets = (z.GoneTargets)[:zb0006]
+			if cap(z.RemovedTargets) >= int(zb0006) {
+				z.RemovedTargets = (z.RemovedTargets)[:zb0006]
 			} else {
-				z.GoneTargets = make([]table.AgentNumber, zb0006)
+				z.RemovedTargets = make([]table.AgentNumber, zb0006)
 			}
-			for za0005 := range z.GoneTargets {
-				bts, err = z.GoneTargets[za0005].UnmarshalMsg(bts)
+			for za0005 := range z.RemovedTargets {
+				bts, err = z.RemovedTargets[za0005].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "GoneTargets", za0005)
+					err = msgp.WrapError(err, "RemovedTargets", za0005)
 					return
 				}
 			}
@@ -769,18 +936,18 @@
 			var zb0007 uint32
 			zb0007, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "GoneBalancers")
+				err = msgp.WrapError(err, "RemovedBalancers")
 				return
 			}
-			if cap(z.GoneBalancers) >= int(zb0007) {
-				z.GoneBalancers = (z.GoneBalancers)[:zb0007]
+			if cap(z.RemovedBalancers) >= int(zb0007) {
+				z.RemovedBalancers = (z.RemovedBalancers)[:zb0007]
 			} else {
-				z.GoneBalancers = make([]string, zb0007)
+				z.RemovedBalancers = make([]string, zb0007)
 			}
-			for za0006 := range z.GoneBalancers {
-				z.GoneBalancers[za0006], bts, err = msgp.ReadStringBytes(bts)
+			for za0006 := range z.RemovedBalancers {
+				z.RemovedBalancers[za0006], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "GoneBalancers", za0006)
+					err = msgp.WrapError(err, "RemovedBalancers", za0006)
 					return
 				}
 			}
@@ -797,7 +964,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *body) Msgsize() (s int) {
+func (z *columnarUpdate) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Preset) + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Services {
 		s += z.Services[za0001].Msgsize()
@@ -809,10 +976,10 @@
 		s += z.Targets.Msgsize()
 	}
 	s += 2
-	if z.Shifts == nil {
+	if z.ShareChanges == nil {
 		s += msgp.NilSize
 	} else {
-		s += z.Shifts.Msgsize()
+		s += z.ShareChanges.Msgsize()
 	}
 	s += 2 + msgp.ArrayHeaderSize
 	for za0002 := range z.Balancers {
@@ -823,183 +990,16 @@
 		s += z.Keys[za0003].Msgsize()
 	}
 	s += 2 + msgp.BoolSize + 3 + msgp.ArrayHeaderSize
-	for za0004 := range z.GoneServices {
-		s += z.GoneServices[za0004].Msgsize()
+	for za0004 := range z.RemovedServices {
+		s += z.RemovedServices[za0004].Msgsize()
 	}
 	s += 3 + msgp.ArrayHeaderSize
-	for za0005 := range z.GoneTargets {
-		s += z.GoneTargets[za0005].Msgsize()
+	for za0005 := range z.RemovedTargets {
+		s += z.RemovedTargets[za0005].Msgsize()
 	}
 	s += 3 + msgp.ArrayHeaderSize
-	for za0006 := range z.GoneBalancers {
-		s += msgp.StringPrefixSize + len(z.GoneBalancers[za0006])
-	}
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *column) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "rest":
-			z.rest, err = dc.ReadBytes(z.rest)
-			if err != nil {
-				err = msgp.WrapError(err, "rest")
-				return
-			}
-		case "failed":
-			if dc.IsNil() {
-				err = dc.ReadNil()
-				if err != nil {
-					err = msgp.WrapError(err, "failed")
-					return
-				}
-				z.failed = nil
-			} else {
-				if z.failed == nil {
-					z.failed = new(bool)
-				}
-				*z.failed, err = dc.ReadBool()
-				if err != nil {
-					err = msgp.WrapError(err, "failed")
-					return
-				}
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *column) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 2
-	// write "rest"
-	err = en.Append(0x82, 0xa4, 0x72, 0x65, 0x73, 0x74)
-	if err != nil {
-		return
-	}
-	err = en.WriteBytes(z.rest)
-	if err != nil {
-		err = msgp.WrapError(err, "rest")
-		return
-	}
-	// write "failed"
-	err = en.Append(0xa6, 0x66, 0x61, 0x69, 0x6c, 0x65, 0x64)
-	if err != nil {
-		return
-	}
-	if z.failed == nil {
-		err = en.WriteNil()
-		if err != nil {
-			return
-		}
-	} else {
-		err = en.WriteBool(*z.failed)
-		if err != nil {
-			err = msgp.WrapError(err, "failed")
-			return
-		}
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *column) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "rest"
-	o = append(o, 0x82, 0xa4, 0x72, 0x65, 0x73, 0x74)
-	o = msgp.AppendBytes(o, z.rest)
-	// string "failed"
-	o = append(o, 0xa6, 0x66, 0x61, 0x69, 0x6c, 0x65, 0x64)
-	if z.failed == nil {
-		o = msgp.AppendNil(o)
-	} else {
-		o = msgp.AppendBool(o, *z.failed)
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *column) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "rest":
-			z.rest, bts, err = msgp.ReadBytesBytes(bts, z.rest)
-			if err != nil {
-				err = msgp.WrapError(err, "rest")
-				return
-			}
-		case "failed":
-			if msgp.IsNil(bts) {
-				bts, err = msgp.ReadNilBytes(bts)
-				if err != nil {
-					return
-				}
-				z.failed = nil
-			} else {
-				if z.failed == nil {
-					z.failed = new(bool)
-				}
-				*z.failed, bts, err = msgp.ReadBoolBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "failed")
-					return
-				}
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *column) Msgsize() (s int) {
-	s = 1 + 5 + msgp.BytesPrefixSize + len(z.rest) + 7
-	if z.failed == nil {
-		s += msgp.NilSize
-	} else {
-		s += msgp.BoolSize
+	for za0006 := range z.RemovedBalancers {
+		s += msgp.StringPrefixSize + len(z.RemovedBalancers[za0006])
 	}
 	return
 }
--- a/internal/distribution/client.go
+++ b/internal/distribution/client.go
@@ -18,84 +18,85 @@
 )
 
 const (
-	// DefaultBeat is the pause between heartbeats, both ways. Three missed ones
-	// end a stream, which leaves six of the nine seconds in which a change must be
-	// in force for moving to another VM and catching up.
-	DefaultBeat = time.Second
-	missedBeats = 3
-	// DefaultStaleBound is the quorum contact age over which a subscriber leaves a
-	// VM. A VM in touch has well under half a second and a change of leader takes
-	// about one and a half, which isn't worth a move; a VM that is cut off must
-	// be left early enough for a change to arrive elsewhere within nine seconds.
-	DefaultStaleBound = 2 * time.Second
-	// behindBound is how long a VM may be behind its subscriber's revision.
-	behindBound = 3 * time.Second
+	// DefaultHeartbeatInterval is the interval between heartbeats in both directions.
+	// Three missed ones end a stream. Of the nine seconds in which a change must be in
+	// force, this leaves six to move to another VM and catch up.
+	DefaultHeartbeatInterval = time.Second
+	missedHeartbeats         = 3
+	// DefaultMaxContactAge is the quorum contact age above which a subscriber leaves a
+	// VM. The age of a connected VM is well below 0.5 s, and a change of leader, which
+	// isn't worth a move, takes about 1.5 s. A VM that is cut off must be left early
+	// enough for a change to arrive through another VM within nine seconds.
+	DefaultMaxContactAge = 2 * time.Second
+	// maxBehindTime is how long a VM may be behind its subscriber's revision.
+	maxBehindTime = 3 * time.Second
 	// dialTimeout bounds connecting and the TLS handshake.
 	dialTimeout = 3 * time.Second
-	// writeTimeout bounds one write to a peer that reads nothing.
+	// writeTimeout bounds one write, as a peer may have stopped reading.
 	writeTimeout = 10 * time.Second
-	// frameLimit bounds a frame: the largest holds a part of an update.
-	frameLimit = 64 << 10
+	// frameLimitBytes bounds a frame. The largest frames hold a part of an update.
+	frameLimitBytes = 64 << 10
 )
 
 // Errors that end a subscriber's stream.
 var (
-	// ErrNoControls is returned for a client without control VMs.
-	ErrNoControls = errors.New("distribution: no control VMs given")
+	// ErrNoControls is returned by Client.Run if no control VMs are configured.
+	ErrNoControls = errors.New("distribution: no control VMs configured")
 
-	errTLS      = errors.New("distribution: TLS with a control VM failed")
-	errStale    = errors.New("distribution: control VM is out of touch with a quorum")
-	errBehind   = errors.New("distribution: control VM is behind the revision held")
-	errRefused  = errors.New("distribution: control VM refused the stream")
-	errProtocol = errors.New("distribution: unexpected frame")
-	errMismatch = errors.New("distribution: table differs from control's again and again")
+	errTLS              = errors.New("distribution: TLS with a control VM failed")
+	errStale            = errors.New("distribution: control VM has lost contact with a quorum")
+	errBehind           = errors.New("distribution: control VM is behind the subscriber's revision")
+	errRefused          = errors.New("distribution: control VM refused the stream")
+	errProtocol         = errors.New("distribution: unexpected frame")
+	errRepeatedMismatch = errors.New("distribution: table still differs from control's after repeated resyncs")
 )
 
-// ClientConfig is what a subscriber needs.
+// ClientConfig configures a Client.
 type ClientConfig struct {
 	// Controls are the addresses of the control VMs, "ip:port".
 	Controls []string
-	// TLS is nil only in tests and the demo.
+	// TLS may be nil only in tests and the demo; the stream is then not encrypted.
 	TLS          *tls.Config
 	Role         Role
 	Announcement Announcement
-	// StaleBound is the quorum contact age over which a VM is left; 0 means
-	// DefaultStaleBound.
-	StaleBound time.Duration
-	// Beat is the pause between heartbeats; 0 means DefaultBeat.
-	Beat time.Duration
-	// Numbered is called with each number that control assigns to this agent;
-	// nil for nobody. AgentNumber tells the last one.
+	// MaxContactAge is the quorum contact age above which a VM is left; 0 means
+	// DefaultMaxContactAge.
+	MaxContactAge time.Duration
+	// HeartbeatInterval is the interval between heartbeats; 0 means
+	// DefaultHeartbeatInterval.
+	HeartbeatInterval time.Duration
+	// Numbered, if not nil, is called with each number that control assigns to this
+	// agent. Client.AgentNumber returns the last one.
 	Numbered func(table.AgentNumber)
-	// StateFile keeps the last table across restarts; empty keeps none.
+	// StateFile is the file that keeps the last table across restarts; empty for none.
 	StateFile string
-	// Seed makes the order of waits repeatable; 0 takes a random one.
+	// Seed seeds the random delays; 0 means a random seed.
 	Seed    uint64
 	Log     logrus.FieldLogger
 	Metrics *metrics.Set
 }
 
-// Status is where a subscriber stands.
+// Status is the state of a subscriber.
 type Status struct {
-	// Control is the address of the VM attached to, empty where there is none.
+	// Control is the address of the VM that the subscriber is attached to, or empty.
 	Control string
-	// Revision is that of the table in force, 0 before the first.
+	// Revision is that of the table in force, 0 before the first one.
 	Revision table.Revision
-	// WordAge is how long ago a quorum was last known to stand behind the table.
+	// WordAge is how long ago a quorum was last known to have confirmed the table.
 	WordAge time.Duration
-	// WithoutControlSince is when control's word ceased to be fresh; zero while
-	// it is.
+	// WithoutControlSince is the time of that confirmation if it is too old, zero while it
+	// is recent.
 	WithoutControlSince time.Time
 }
 
-// Client keeps a subscriber attached to a control VM.
+// Client is a subscriber that keeps itself attached to a control VM.
 type Client struct {
-	cfg    ClientConfig
-	apply  func(*table.Table) error
-	random *rand.Rand
-	choose *chooser
-	view   view
-	count  clientCounters
+	cfg      ClientConfig
+	apply    func(*table.Table) error
+	random   *rand.Rand
+	selector *controlSelector
+	view     view
+	counters clientCounters
 
 	// reannounce wakes the stream's sender.
 	reannounce chan struct{}
@@ -106,21 +107,21 @@
 	announcement Announcement
 	number       table.AgentNumber
 	control      string
-	// offered is set while the table offers this process new work.
-	offered      bool
-	wordAt       time.Time
-	withoutSince time.Time
+	// active is set while the table gives this process new flows.
+	active              bool
+	confirmedAt         time.Time
+	withoutControlSince time.Time
 }
 
-// NewClient returns a subscriber that calls apply with each newer table, never
-// with a lower revision, and never twice at once. A table for which apply
-// returns an error isn't in force, and control is told so.
+// NewClient returns a subscriber that calls apply with each newer table, never with a
+// lower revision and never concurrently. A table for which apply returns an error isn't in
+// force, and is reported to control as such.
 func NewClient(cfg ClientConfig, apply func(*table.Table) error) *Client {
-	if cfg.StaleBound == 0 {
-		cfg.StaleBound = DefaultStaleBound
+	if cfg.MaxContactAge == 0 {
+		cfg.MaxContactAge = DefaultMaxContactAge
 	}
-	if cfg.Beat == 0 {
-		cfg.Beat = DefaultBeat
+	if cfg.HeartbeatInterval == 0 {
+		cfg.HeartbeatInterval = DefaultHeartbeatInterval
 	}
 	if cfg.Metrics == nil {
 		cfg.Metrics = metrics.New()
@@ -133,24 +134,24 @@
 	}
 	now := time.Now()
 	c := &Client{
-		cfg:          cfg,
-		apply:        apply,
-		random:       rand.New(rand.NewPCG(cfg.Seed, cfg.Announcement.Incarnation)),
-		view:         viewOf(cfg.Role, cfg.Announcement),
-		reannounce:   make(chan struct{}, 1),
-		announcement: cfg.Announcement,
-		held:         &table.Table{},
-		wordAt:       now,
-		withoutSince: now,
+		cfg:                 cfg,
+		apply:               apply,
+		random:              rand.New(rand.NewPCG(cfg.Seed, cfg.Announcement.Incarnation)),
+		view:                viewOf(cfg.Role, cfg.Announcement),
+		reannounce:          make(chan struct{}, 1),
+		announcement:        cfg.Announcement,
+		held:                &table.Table{},
+		confirmedAt:         now,
+		withoutControlSince: now,
 	}
-	c.choose = newChooser(cfg.Controls, cfg.Announcement.Name, c.random)
-	c.count = newClientCounters(cfg.Metrics)
-	c.publish()
+	c.selector = newControlSelector(cfg.Controls, cfg.Announcement.Name, c.random)
+	c.counters = newClientCounters(cfg.Metrics)
+	c.registerMetrics()
 	return c
 }
 
-// publish makes the status visible in the metrics.
-func (c *Client) publish() {
+// registerMetrics exports the status as metrics.
+func (c *Client) registerMetrics() {
 	m := c.cfg.Metrics
 	m.Gauge("control_revision", func() int64 { return int64(c.Status().Revision) })
 	m.Gauge("control_word_age_ms", func() int64 { return c.Status().WordAge.Milliseconds() })
@@ -164,27 +165,27 @@
 	m.Text("control_attached_to", func() string { return c.Status().Control })
 }
 
-// Run keeps attached until ctx is done. Control's absence is no error: the
-// table stays in use and Status says since when it is unconfirmed.
+// Run keeps the subscriber attached until ctx is done. An unreachable control is no error:
+// the table stays in use, and Status tells since when it is unconfirmed.
 func (c *Client) Run(ctx context.Context) error {
 	if len(c.cfg.Controls) == 0 {
 		return ErrNoControls
 	}
 	c.restore()
 	for ctx.Err() == nil {
-		address, pause := c.choose.next(time.Now())
+		address, pause := c.selector.next(time.Now())
 		if !wait.For(ctx, pause) {
 			return nil
 		}
-		c.count.attempts.Add(1)
+		c.counters.attempts.Add(1)
 		err := c.attach(ctx, address)
-		c.detached(ctx, address, err)
+		c.recordDetached(ctx, address, err)
 	}
 	return nil
 }
 
-// detached books the end of a stream.
-func (c *Client) detached(ctx context.Context, address string, err error) {
+// recordDetached records the end of a stream.
+func (c *Client) recordDetached(ctx context.Context, address string, err error) {
 	c.mu.Lock()
 	was := c.control != ""
 	c.control = ""
@@ -192,43 +193,42 @@
 	if ctx.Err() != nil {
 		return
 	}
-	c.count.ended(err)
-	c.checkWord(time.Now())
+	c.counters.countEnd(err)
+	c.checkContact(time.Now())
 	if was {
 		events.Log(c.cfg.Log, events.ControlLeft, logrus.Fields{"control": address, "error": err})
 	}
 }
 
-// Status tells where the subscriber stands.
+// Status returns the current state of the subscriber.
 func (c *Client) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return Status{
 		Control:             c.control,
 		Revision:            c.inForce,
-		WordAge:             time.Since(c.wordAt),
-		WithoutControlSince: c.withoutSince,
+		WordAge:             time.Since(c.confirmedAt),
+		WithoutControlSince: c.withoutControlSince,
 	}
 }
 
-// AgentNumber returns the number that control gave this incarnation, 0 until
-// then.
+// AgentNumber returns the number that control assigned to this incarnation, or 0 before
+// that.
 func (c *Client) AgentNumber() table.AgentNumber {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.number
 }
 
-// SetDraining tells control that this agent is about to stop, or that it isn't
-// any more.
+// SetDraining tells control whether this agent is about to stop.
 func (c *Client) SetDraining(draining bool) {
 	c.mu.Lock()
 	c.announcement.Draining = draining
 	c.mu.Unlock()
-	c.announceAgain()
+	c.wakeSender()
 }
 
-// nextAnnouncement returns what to announce, under a new attachment.
+// nextAnnouncement returns the announcement with a new attachment number.
 func (c *Client) nextAnnouncement() Announcement {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -242,21 +242,21 @@
 	return c.held.Revision
 }
 
-// take puts a newer table in use. The state file comes first: a restart right
-// after apply must not fall back to the revision before.
-func (c *Client) take(next *table.Table) {
+// useTable puts a newer table in use. It writes the state file first, as a restart right
+// after apply must not return to the previous revision.
+func (c *Client) useTable(next *table.Table) {
 	c.save(next)
 	c.mu.Lock()
 	c.held = next
 	c.mu.Unlock()
-	c.force(next)
-	c.noticeOwn(next)
+	c.applyTable(next)
+	c.checkActive(next)
 }
 
-// force hands a table to the data path.
-func (c *Client) force(t *table.Table) {
+// applyTable passes a table to the data path.
+func (c *Client) applyTable(t *table.Table) {
 	if err := c.apply(t); err != nil {
-		c.count.tableRefused.Add(1)
+		c.counters.tableRefused.Add(1)
 		return
 	}
 	c.mu.Lock()
@@ -264,30 +264,31 @@
 	c.mu.Unlock()
 }
 
-// standing is what a heartbeat tells control.
-func (c *Client) standing() beat {
+// currentHeartbeat returns the content of a heartbeat to control.
+func (c *Client) currentHeartbeat() heartbeat {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return beat{Revision: c.held.Revision, InForce: c.inForce}
+	return heartbeat{Revision: c.held.Revision, InForce: c.inForce}
 }
 
-// noticeOwn announces again when the table ceases to offer this process, which
-// is plainly alive: the control VM that it was attached to may have been cut off
-// together with it, and been taken for dead. An operator's drain looks the same
-// from here and isn't undone by an announcement.
-func (c *Client) noticeOwn(t *table.Table) {
+// checkActive announces this process again if the table stops giving it new flows although
+// it is alive. The control VM to which it was attached may have been cut off together with
+// it and taken for dead. An operator's drain looks the same to the process, but isn't
+// undone by an announcement.
+func (c *Client) checkActive(t *table.Table) {
 	c.mu.Lock()
-	was := c.offered
-	c.offered = c.offers(t)
-	lost := was && !c.offered && !c.announcement.Draining
+	was := c.active
+	c.active = c.isActive(t)
+	lost := was && !c.active && !c.announcement.Draining
 	c.mu.Unlock()
 	if lost {
-		c.count.takenOut.Add(1)
-		c.announceAgain()
+		c.counters.takenOut.Add(1)
+		c.wakeSender()
 	}
 }
 
-func (c *Client) offers(t *table.Table) bool {
+// isActive reports whether the table gives this process new flows.
+func (c *Client) isActive(t *table.Table) bool {
 	if c.cfg.Role == RoleAgent {
 		own, ok := t.Target(c.number)
 		return ok && own.State == table.Active
@@ -295,35 +296,37 @@
 	return slices.ContainsFunc(t.Balancers, func(b table.Balancer) bool { return b.Name == c.announcement.Name })
 }
 
-// announceAgain wakes the stream's sender; without a stream the next hello does.
-func (c *Client) announceAgain() {
+// wakeSender makes the stream's sender announce this process again. Without a stream, the
+// hello of the next one announces it.
+func (c *Client) wakeSender() {
 	select {
 	case c.reannounce <- struct{}{}:
 	default:
 	}
 }
 
-// heard notes how old control's word is.
-func (c *Client) heard(contactAge time.Duration, now time.Time) {
+// recordContact records when a quorum last confirmed the table.
+func (c *Client) recordContact(contactAge time.Duration, now time.Time) {
 	c.mu.Lock()
-	if at := now.Add(-contactAge); at.After(c.wordAt) {
-		c.wordAt = at
+	if at := now.Add(-contactAge); at.After(c.confirmedAt) {
+		c.confirmedAt = at
 	}
 	c.mu.Unlock()
-	c.checkWord(now)
+	c.checkContact(now)
 }
 
-// checkWord logs when control's word ceases to be fresh, and when it is again.
-func (c *Client) checkWord(now time.Time) {
+// checkContact logs when the last confirmation becomes too old, and when a recent one
+// arrives again.
+func (c *Client) checkContact(now time.Time) {
 	c.mu.Lock()
-	fresh := c.control != "" && now.Sub(c.wordAt) <= c.cfg.StaleBound
-	was := c.withoutSince.IsZero()
+	fresh := c.control != "" && now.Sub(c.confirmedAt) <= c.cfg.MaxContactAge
+	was := c.withoutControlSince.IsZero()
 	if fresh {
-		c.withoutSince = time.Time{}
+		c.withoutControlSince = time.Time{}
 	}
-	lost := !fresh && was && now.Sub(c.wordAt) > c.cfg.StaleBound
+	lost := !fresh && was && now.Sub(c.confirmedAt) > c.cfg.MaxContactAge
 	if lost {
-		c.withoutSince = c.wordAt
+		c.withoutControlSince = c.confirmedAt
 	}
 	c.mu.Unlock()
 	if fresh && !was {
--- a/internal/distribution/client_metrics.go
+++ b/internal/distribution/client_metrics.go
@@ -12,15 +12,15 @@
 	"bergamotstall/internal/metrics"
 )
 
-// clientCounters count what a subscriber's streams do.
+// clientCounters are a subscriber's counters.
 type clientCounters struct {
 	set *metrics.Set
 
-	attempts, attached              *expvar.Int
-	snapshots, deltas, lower        *expvar.Int
-	resyncs, takenOut, tableRefused *expvar.Int
-	bytesIn, bytesOut               *expvar.Int
-	stateFileErrors, refusedByState *expvar.Int
+	attempts, attached               *expvar.Int
+	snapshots, deltas, lowerRevision *expvar.Int
+	resyncs, takenOut, tableRefused  *expvar.Int
+	bytesIn, bytesOut                *expvar.Int
+	stateFileErrors, refusedByState  *expvar.Int
 }
 
 func newClientCounters(m *metrics.Set) clientCounters {
@@ -30,7 +30,7 @@
 		attached:        m.Counter("control_attached"),
 		snapshots:       m.Counter("control_snapshots"),
 		deltas:          m.Counter("control_deltas"),
-		lower:           m.Counter("control_lower_revision_ignored"),
+		lowerRevision:   m.Counter("control_lower_revision_ignored"),
 		resyncs:         m.Counter("control_resyncs"),
 		tableRefused:    m.Counter("control_table_refused"),
 		takenOut:        m.Counter("control_taken_out"),
@@ -41,16 +41,17 @@
 	}
 }
 
-// ended counts the reason for which a stream ended or wasn't made.
-func (c clientCounters) ended(err error) {
+// countEnd counts why a stream ended or couldn't be opened.
+func (c clientCounters) countEnd(err error) {
 	c.set.Counter("control_ended_" + endReason(err)).Add(1)
 }
 
+// endReason returns the reason in the names of the counters of ended streams.
 func endReason(err error) string {
 	var timeout net.Error
 	var op *net.OpError
 	switch {
-	// A peer that refuses our certificate says so after our handshake is done.
+	// A peer that rejects our certificate reports it after our side's handshake is done.
 	case errors.Is(err, errTLS), errors.As(err, &op) && op.Op == "remote error":
 		return "tls"
 	case errors.Is(err, errStale):
@@ -59,9 +60,9 @@
 		return "behind"
 	case errors.Is(err, errRefused):
 		return "refused"
-	case errors.Is(err, errMismatch):
+	case errors.Is(err, errRepeatedMismatch):
 		return "mismatch"
-	case errors.Is(err, errProtocol), errors.Is(err, errBody):
+	case errors.Is(err, errProtocol), errors.Is(err, errMalformedUpdate):
 		return "protocol"
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return "closed"
--- a/internal/distribution/client_stream.go
+++ b/internal/distribution/client_stream.go
@@ -15,28 +15,28 @@
 	"bergamotstall/internal/table"
 )
 
-// mismatchLimit is how many tables in a row may fail their digest before the
-// subscriber tries another VM.
+// mismatchLimit is the number of consecutive updates with a wrong digest or base revision
+// after which the subscriber tries another VM.
 const mismatchLimit = 3
 
-// clientStream is one attachment.
+// clientStream is one stream to a control VM.
 type clientStream struct {
 	client     *Client
 	conn       *framing.Conn
 	address    string
-	parts      assembly
+	assembler  partAssembler
 	mismatches int
-	// behindSince is when the VM was first seen behind; zero while it isn't.
+	// behindSince is when the VM was first found behind; zero while it isn't.
 	behindSince time.Time
 }
 
-// attach keeps one stream until it ends; the error says why.
+// attach opens a stream and serves it until it ends. The error says why it ended.
 func (c *Client) attach(ctx context.Context, address string) error {
 	raw, err := c.dial(ctx, address)
 	if err != nil {
 		return err
 	}
-	conn := framing.NewConn(raw, frameLimit, writeTimeout)
+	conn := framing.NewConn(raw, frameLimitBytes, writeTimeout)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
@@ -44,19 +44,19 @@
 	defer func() { _ = conn.Close() }()
 
 	s := &clientStream{client: c, conn: conn, address: address}
-	standing := c.standing()
+	current := c.currentHeartbeat()
 	opening := hello{
 		Role: c.cfg.Role, Announcement: c.nextAnnouncement(),
-		Have: standing.Revision, Digest: digest(c.held), InForce: standing.InForce,
+		Held: current.Revision, Digest: tableDigest(c.held), InForce: current.InForce,
 	}
 	if err := s.send(kindHello, &opening); err != nil {
 		return err
 	}
-	if err := s.welcome(); err != nil {
+	if err := s.awaitWelcome(); err != nil {
 		return err
 	}
-	go s.sendBeats(ctx)
-	return s.receive()
+	go s.sendLoop(ctx)
+	return s.receiveLoop()
 }
 
 func (c *Client) dial(ctx context.Context, address string) (net.Conn, error) {
@@ -73,7 +73,7 @@
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		_ = raw.Close()
-		return nil, errors.Wrap(err, "distribution: address")
+		return nil, errors.Wrap(err, "distribution: parse control address")
 	}
 	conn, err := keys.Client(ctx, raw, c.cfg.TLS, host)
 	if err != nil {
@@ -83,35 +83,35 @@
 	return conn, nil
 }
 
-func (s *clientStream) send(kind framing.Kind, m encodable) error {
+func (s *clientStream) send(kind framing.Kind, m message) error {
 	n, err := s.conn.Write(kind, m)
-	s.client.count.bytesOut.Add(int64(n))
+	s.client.counters.bytesOut.Add(int64(n))
 	return err
 }
 
-// read waits for a frame as long as missedBeats allow: a peer whose VM lost
-// power sends no FIN, and only its silence tells.
-func (s *clientStream) read() (framing.Frame, error) {
-	limit := missedBeats * s.client.cfg.Beat
+// readFrame waits for a frame for missedHeartbeats intervals. A peer whose VM lost power
+// sends no FIN and is only detected by its silence.
+func (s *clientStream) readFrame() (framing.Frame, error) {
+	limit := missedHeartbeats * s.client.cfg.HeartbeatInterval
 	if err := s.conn.Raw().SetReadDeadline(time.Now().Add(limit)); err != nil {
-		return framing.Frame{}, errors.Wrap(err, "distribution: read deadline")
+		return framing.Frame{}, errors.Wrap(err, "distribution: set read deadline")
 	}
 	f, err := s.conn.Read()
-	s.client.count.bytesIn.Add(int64(len(f.Body) + frameHeader))
+	s.client.counters.bytesIn.Add(int64(len(f.Body) + frameHeaderBytes))
 	return f, err
 }
 
-func (s *clientStream) welcome() error {
-	f, err := s.read()
+func (s *clientStream) awaitWelcome() error {
+	f, err := s.readFrame()
 	if err != nil {
 		return err
 	}
 	switch f.Kind {
 	case kindRefusal:
-		return s.refused(f)
+		return s.handleRefusal(f)
 	case kindWelcome:
 	default:
-		return errors.Wrapf(errProtocol, "kind %d before welcome", f.Kind)
+		return errors.Wrapf(errProtocol, "frame kind %d before welcome", f.Kind)
 	}
 	var w welcome
 	if err := f.Decode(&w); err != nil {
@@ -121,24 +121,24 @@
 	c.mu.Lock()
 	c.control = s.address
 	c.mu.Unlock()
-	c.count.attached.Add(1)
-	events.Log(c.cfg.Log, events.ControlAttached, logrus.Fields{"control": s.address, "name": w.Control, "revision": w.Beat.Revision})
-	return s.judge(w.Beat)
+	c.counters.attached.Add(1)
+	events.Log(c.cfg.Log, events.ControlAttached, logrus.Fields{"control": s.address, "name": w.Control, "revision": w.Heartbeat.Revision})
+	return s.checkControl(w.Heartbeat)
 }
 
-func (s *clientStream) refused(f framing.Frame) error {
+func (s *clientStream) handleRefusal(f framing.Frame) error {
 	var r refusal
 	if err := f.Decode(&r); err != nil {
 		return err
 	}
-	s.client.choose.refused(s.address, time.Duration(r.RetryAfterMS)*time.Millisecond, time.Now())
+	s.client.selector.recordRefusal(s.address, time.Duration(r.RetryAfterMS)*time.Millisecond, time.Now())
 	s.client.cfg.Metrics.Counter("control_refused_" + r.Reason.String()).Add(1)
 	return errors.Wrap(errRefused, r.Reason.String())
 }
 
-func (s *clientStream) receive() error {
+func (s *clientStream) receiveLoop() error {
 	for {
-		f, err := s.read()
+		f, err := s.readFrame()
 		if err != nil {
 			return err
 		}
@@ -150,18 +150,18 @@
 
 func (s *clientStream) handle(f framing.Frame) error {
 	switch f.Kind {
-	case kindBeat:
-		var b beat
+	case kindHeartbeat:
+		var b heartbeat
 		if err := f.Decode(&b); err != nil {
 			return err
 		}
-		return s.beat(b)
+		return s.handleHeartbeat(b)
 	case kindNumber:
-		var n number
+		var n numberAssignment
 		if err := f.Decode(&n); err != nil {
 			return err
 		}
-		s.client.numbered(n.Agent)
+		s.client.setNumber(n.Agent)
 		if s.client.cfg.Numbered != nil {
 			s.client.cfg.Numbered(n.Agent)
 		}
@@ -171,36 +171,36 @@
 		if err := f.Decode(&p); err != nil {
 			return err
 		}
-		return s.part(&p)
+		return s.handlePart(&p)
 	case kindRefusal:
-		return s.refused(f)
+		return s.handleRefusal(f)
 	}
-	return errors.Wrapf(errProtocol, "kind %d", f.Kind)
+	return errors.Wrapf(errProtocol, "frame kind %d", f.Kind)
 }
 
-// numbered notes the number. The table may have shown the target before.
-func (c *Client) numbered(n table.AgentNumber) {
+// setNumber sets the agent number. The table may already contain the agent's target.
+func (c *Client) setNumber(n table.AgentNumber) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.number = n
-	c.offered = c.offers(c.held)
+	c.active = c.isActive(c.held)
 }
 
-// beat takes the server's heartbeat.
-func (s *clientStream) beat(b beat) error {
+// handleHeartbeat handles the server's heartbeat.
+func (s *clientStream) handleHeartbeat(b heartbeat) error {
 	age := time.Duration(b.ContactAgeMS) * time.Millisecond
-	if age <= s.client.cfg.StaleBound && b.Revision >= s.client.heldRevision() {
-		s.client.choose.good()
+	if age <= s.client.cfg.MaxContactAge && b.Revision >= s.client.heldRevision() {
+		s.client.selector.recordGood()
 	}
-	return s.judge(b)
+	return s.checkControl(b)
 }
 
-// judge decides whether the VM is worth staying with.
-func (s *clientStream) judge(b beat) error {
+// checkControl returns an error if the subscriber should leave the VM.
+func (s *clientStream) checkControl(b heartbeat) error {
 	c, now := s.client, time.Now()
 	age := time.Duration(b.ContactAgeMS) * time.Millisecond
-	c.heard(age, now)
-	if age > c.cfg.StaleBound && c.choose.leave(now) {
+	c.recordContact(age, now)
+	if age > c.cfg.MaxContactAge && c.selector.shouldLeave(now) {
 		return errStale
 	}
 	if b.Revision >= c.heldRevision() {
@@ -210,15 +210,15 @@
 	if s.behindSince.IsZero() {
 		s.behindSince = now
 	}
-	if now.Sub(s.behindSince) > behindBound && c.choose.leave(now) {
+	if now.Sub(s.behindSince) > maxBehindTime && c.selector.shouldLeave(now) {
 		return errBehind
 	}
 	return nil
 }
 
-// part takes a piece of an update and, with the last one, the update.
-func (s *clientStream) part(p *part) error {
-	data, whole, err := s.parts.add(p)
+// handlePart handles a part of an update, and with the last part the update.
+func (s *clientStream) handlePart(p *part) error {
+	data, whole, err := s.assembler.add(p)
 	if err != nil || !whole {
 		return err
 	}
@@ -226,59 +226,59 @@
 	if err != nil {
 		return err
 	}
-	return s.update(u)
+	return s.handleUpdate(u)
 }
 
-func (s *clientStream) update(u *update) error {
+func (s *clientStream) handleUpdate(u *update) error {
 	c := s.client
 	next, err := applyUpdate(c.held, u)
 	switch {
-	case errors.Is(err, errLower):
-		c.count.lower.Add(1)
+	case errors.Is(err, errLowerRevision):
+		c.counters.lowerRevision.Add(1)
 		return nil
 	case err != nil:
-		return s.resync(err)
+		return s.requestResync(err)
 	}
 	s.mismatches = 0
 	c.countUpdate(u)
-	c.take(next)
-	return s.ack()
+	c.useTable(next)
+	return s.sendHeartbeat()
 }
 
-// resync asks for a whole table. A digest that differs means that the table in
-// use isn't control's, for example because the state file is of another cluster.
-func (s *clientStream) resync(cause error) error {
+// requestResync asks for a snapshot. A wrong digest means that the table in use isn't
+// control's, for example because the state file belongs to another cluster.
+func (s *clientStream) requestResync(cause error) error {
 	c := s.client
-	c.count.resyncs.Add(1)
+	c.counters.resyncs.Add(1)
 	events.Log(c.cfg.Log, events.TableMismatch, logrus.Fields{"revision": c.heldRevision(), "error": cause})
 	s.mismatches++
 	if s.mismatches >= mismatchLimit {
-		return errMismatch
+		return errRepeatedMismatch
 	}
-	b := c.standing()
+	b := c.currentHeartbeat()
 	return s.send(kindResync, &b)
 }
 
-func (s *clientStream) ack() error {
-	b := s.client.standing()
-	return s.send(kindBeat, &b)
+func (s *clientStream) sendHeartbeat() error {
+	b := s.client.currentHeartbeat()
+	return s.send(kindHeartbeat, &b)
 }
 
 func (c *Client) countUpdate(u *update) {
 	if u.From == 0 {
-		c.count.snapshots.Add(1)
+		c.counters.snapshots.Add(1)
 		return
 	}
-	c.count.deltas.Add(1)
+	c.counters.deltas.Add(1)
 }
 
-// sendBeats keeps the stream alive and announces again when asked. A failed
-// write shows as a failed read soon after.
-func (s *clientStream) sendBeats(ctx context.Context) {
-	// A random phase, or the beats of all that reconnected together would stay
-	// together; the server beats when it is beaten to.
-	beat := s.client.cfg.Beat
-	timer := time.NewTimer(time.Duration(rand.Float64() * float64(beat)))
+// sendLoop sends heartbeats, and announcements when wakeSender is called. A failed write
+// closes the connection, which ends the reader too.
+func (s *clientStream) sendLoop(ctx context.Context) {
+	// The phase is random, as the heartbeats of subscribers that reconnected together would
+	// otherwise coincide. The server sends its heartbeat in answer to the subscriber's.
+	interval := s.client.cfg.HeartbeatInterval
+	timer := time.NewTimer(time.Duration(rand.Float64() * float64(interval)))
 	defer timer.Stop()
 	for {
 		var err error
@@ -286,8 +286,8 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-			err = s.ack()
-			timer.Reset(beat)
+			err = s.sendHeartbeat()
+			timer.Reset(interval)
 		case <-s.client.reannounce:
 			a := s.client.nextAnnouncement()
 			err = s.send(kindAnnounce, &a)
@@ -299,24 +299,24 @@
 	}
 }
 
-// assembly puts the parts of an update together.
-type assembly struct {
+// partAssembler assembles an update from its parts.
+type partAssembler struct {
 	from, to table.Revision
 	total    int
 	data     []byte
 }
 
-// add returns the update's bytes once all of them are there.
-func (a *assembly) add(p *part) (data []byte, whole bool, err error) {
-	if p.Total < 0 || p.Total > bodyLimit {
-		return nil, false, errors.Wrapf(errProtocol, "update of %d bytes", p.Total)
+// add adds a part. It returns the update's bytes once they are complete.
+func (a *partAssembler) add(p *part) (data []byte, whole bool, err error) {
+	if p.Total < 0 || p.Total > updateLimitBytes {
+		return nil, false, errors.Wrapf(errProtocol, "update of %d bytes is above the limit", p.Total)
 	}
 	if a.from != p.From || a.to != p.To || a.total != p.Total || len(a.data) == a.total {
 		a.from, a.to, a.total, a.data = p.From, p.To, p.Total, nil
 	}
 	a.data = append(a.data, p.Data...)
 	if len(a.data) > a.total {
-		return nil, false, errors.Wrap(errProtocol, "update longer than it said")
+		return nil, false, errors.Wrap(errProtocol, "update is longer than its announced size")
 	}
 	if len(a.data) < a.total {
 		return nil, false, nil
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -1,7 +1,7 @@
-// Package distribution carries the routing table from control to balancers and
-// agents, and announcements and heartbeats back. A subscriber keeps one stream
-// to one control VM: a snapshot when it is far behind, deltas otherwise. A
-// subscriber's revision never falls.
+// Package distribution sends the routing table from control to balancers and agents,
+// and announcements and heartbeats back. A subscriber keeps one stream to one control
+// VM, which sends it a snapshot if it is far behind, and deltas otherwise. The revision
+// that a subscriber uses never decreases.
 package distribution
 
 import (
@@ -14,18 +14,18 @@
 //go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/distribution/distribution.go -o ../internal/distribution/distribution_gen.go -tests=false
 //go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/distribution/messages.go -o ../internal/distribution/messages_gen.go -tests=false -unexported
 
-// Role is what a subscriber is; it decides which part of the table it gets.
+// Role is the kind of a subscriber. It determines which part of the table it gets.
 type Role uint8
 
 const (
 	// RoleBalancer subscribers get the whole table.
 	RoleBalancer Role = iota + 1
-	// RoleAgent subscribers get their own service and its targets, the balancers
-	// and the keys.
+	// RoleAgent subscribers get their own service and its targets, all balancers and
+	// the keys.
 	RoleAgent
 )
 
-// String returns the role's name as certificates and settings write it.
+// String returns the role's name as used in certificates and settings.
 func (r Role) String() string {
 	switch r {
 	case RoleBalancer:
@@ -36,38 +36,37 @@
 	return "unknown"
 }
 
-// Source is where a server finds the table to distribute.
+// Source provides the table that a server distributes.
 type Source interface {
 	// Table returns the newest table that this control VM has applied.
 	Table() *table.Table
 	// Changed returns a channel that is closed at the next change of Table.
 	Changed() <-chan struct{}
-	// ContactAge tells how long ago this VM was last known to be in touch with
-	// a quorum. Subscribers leave a VM whose age is over their bound.
+	// ContactAge returns how long ago this VM was last known to be in contact with a
+	// quorum. Subscribers leave a VM whose contact age exceeds their limit.
 	ContactAge() time.Duration
 }
 
-// Announcement is what an agent or balancer tells control about itself. There
-// is no list of targets: this is how control learns of them.
+// Announcement is what an agent or balancer tells control about itself. Targets aren't
+// configured anywhere else; control learns of them by announcements.
 type Announcement struct {
-	// Name is the process's own name, unique among processes of its role.
+	// Name is the name of the process, unique among processes of its role.
 	Name string `msg:"n"`
-	// Incarnation differs at each start of the process.
+	// Incarnation differs for each start of the process.
 	Incarnation uint64 `msg:"i"`
-	// Attachment counts the announcements of one incarnation, from 1. A subscriber
-	// that moves to another control VM announces itself there with a higher one,
-	// so the state can ignore what the first VM says late: an announcement or a
-	// Silence with a lower attachment of the same incarnation is void.
+	// Attachment numbers the announcements of one incarnation from 1. A subscriber that
+	// moves to another control VM announces itself there with a higher number, so that
+	// late messages of the first VM can be ignored: an announcement or a Silence with a
+	// lower attachment of the same incarnation is void.
 	Attachment uint64 `msg:"a"`
-	// Via is the control VM that took the announcement; the server sets it. A VM
-	// that restarts, or one that takes over from a dead VM, learns from it whose
-	// streams are missing.
+	// Via is the control VM that received the announcement; the server sets it. From it,
+	// a VM that restarts or takes over from a dead VM learns which streams are missing.
 	Via        string `msg:"v"`
 	DataCentre string `msg:"d"`
 	// Tunnel is the UDP address for envelopes, "ip:port".
 	Tunnel string `msg:"t"`
 
-	// The rest is an agent's; a balancer leaves it empty.
+	// The following fields are set by agents only.
 
 	Service string `msg:"s"`
 	Host    string `msg:"h"`
@@ -79,33 +78,32 @@
 	Draining bool `msg:"x"`
 }
 
-// Silence says that a subscriber's stream has been gone for the damped time. It
-// is void unless the state's last announcement of that subscriber has the same
-// incarnation and no higher attachment: otherwise the subscriber has come back,
-// here or at another control VM.
+// Silence reports that a subscriber's stream ended and hasn't been replaced within the
+// grace period. It is void unless the last committed announcement of the subscriber has
+// the same incarnation and no higher attachment; otherwise the subscriber is back, at
+// this or another control VM.
 //
-// The state takes a silent agent out of new work only. Its open flows may well
-// be alive, because a lost control stream says nothing of the data path.
+// A silent agent only gets no new flows. Its open flows may be alive, because a lost
+// control stream says nothing about the data path.
 type Silence struct {
 	Name string `msg:"n"`
-	// Agent is 0 for a balancer, and for an agent that never got a number.
+	// Agent is 0 for a balancer, and for an agent without a number.
 	Agent       table.AgentNumber `msg:"g"`
 	Incarnation uint64            `msg:"i"`
 	Attachment  uint64            `msg:"a"`
 }
 
-// Registrar takes announcements and damped changes of liveness into the
-// replicated state. It is the control role's. Its methods return once the
-// command is committed; the server repeats those that fail.
+// Registrar records announcements and silences in control's replicated state. Its methods
+// return once the command is committed; the server retries those that fail.
 type Registrar interface {
-	// AnnounceAgent registers an incarnation and returns its number. The same
-	// incarnation announced again gets the same number; that alone changes no
+	// AnnounceAgent registers an incarnation and returns its agent number. Announcing
+	// the same incarnation again returns the same number, and by itself makes no new
 	// table revision.
 	AnnounceAgent(ctx context.Context, a Announcement) (table.AgentNumber, error)
 	// AnnounceBalancer registers a balancer's return-path address.
 	AnnounceBalancer(ctx context.Context, a Announcement) error
-	// AgentSilent reports that an agent has been silent for the damped time.
+	// AgentSilent reports that an agent has been silent for the grace period.
 	AgentSilent(ctx context.Context, s Silence) error
-	// BalancerSilent reports the same of a balancer.
+	// BalancerSilent reports that a balancer has been silent for the grace period.
 	BalancerSilent(ctx context.Context, s Silence) error
 }
--- a/internal/distribution/failure_test.go
+++ b/internal/distribution/failure_test.go
@@ -13,10 +13,10 @@
 	"bergamotstall/internal/table"
 )
 
-// A balancer is stopped while operators make four hundred changes, some to
-// targets that are gone by then. It starts with its last table in use, and one
-// merged delta later it has the newest; no whole table travels.
-func TestAwayForHundredsOfRevisions(t *testing.T) {
+// A balancer that was stopped during 400 changes, some to targets removed meanwhile, must
+// start with the table of its state file and get the newest one by a single merged delta,
+// without a snapshot.
+func TestRestartedSubscriberGetsOneMergedDelta(t *testing.T) {
 	is := is.New(t)
 	control := newFakeControl(largeTable(5, 600))
 	server := serveControl(t, control, nil)
@@ -36,14 +36,14 @@
 	eventually(t, "server follows", func() bool { r, _ := server.publisher.state(); return r == 405 })
 	again := startClient(t, "balancer-0", func(c *ClientConfig) { c.StateFile = path; c.Announcement.Incarnation = 2 }, server.address)
 	eventually(t, "newest table", func() bool { return again.latest().Revision == 405 })
-	is.Equal(again.tables()[0].Revision, table.Revision(5)) // the kept table came first
-	is.Equal(digest(again.latest()), digest(control.Table()))
+	is.Equal(again.tables()[0].Revision, table.Revision(5)) // the state file's table came first
+	is.Equal(tableDigest(again.latest()), tableDigest(control.Table()))
 	is.Equal(again.metrics.Value("control_snapshots"), int64(0))
 	is.Equal(again.metrics.Value("control_deltas"), int64(1))
 }
 
-// A control VM is cut off from the quorum but still serves. The operator sees
-// the subscriber leave it for a VM in touch, and a change made there arrives.
+// A subscriber must leave a control VM that is cut off from the quorum but still serves. It
+// moves to a VM in contact with the quorum and gets a change made there.
 func TestStaleVMIsLeft(t *testing.T) {
 	is := is.New(t)
 	cutOff, inTouch := newFakeControl(smallTable(5)), newFakeControl(smallTable(5))
@@ -55,33 +55,33 @@
 	}
 	cutOff.setContact(time.Now().Add(-time.Minute))
 	inTouch.set(withWeight(inTouch.Table(), 0, 7))
-	eventually(t, "change from the VM in touch", func() bool { return f.latest().Revision == 6 })
+	eventually(t, "change from the VM in contact", func() bool { return f.latest().Revision == 6 })
 	is.Equal(f.Status().Control, b.address)
 	is.True(f.metrics.Value("control_ended_stale") >= 1)
-	eventually(t, "fresh word", func() bool { return f.Status().WithoutControlSince.IsZero() })
+	eventually(t, "confirmation by control", func() bool { return f.Status().WithoutControlSince.IsZero() })
 }
 
-// The whole cluster has lost its quorum. The data path keeps its table, status
-// and metrics say since when, and the subscriber stays with a VM; when a quorum
-// is back, so is control's word.
-func TestNoQuorumAnywhere(t *testing.T) {
+// When the whole cluster loses its quorum, the data path must keep its table, status and
+// metrics must tell since when, and the subscriber must stay with a VM. When the quorum is
+// back, the table is confirmed again.
+func TestSubscriberStaysWithoutQuorum(t *testing.T) {
 	is := is.New(t)
 	control := newFakeControl(smallTable(5))
 	a, b := serveControl(t, control, nil), serveControl(t, control, nil)
 	f := startClient(t, "balancer-0", nil, a.address, b.address)
-	eventually(t, "fresh word", func() bool { return f.Status().WithoutControlSince.IsZero() })
+	eventually(t, "confirmation by control", func() bool { return f.Status().WithoutControlSince.IsZero() })
 	control.setContact(time.Now().Add(-time.Minute))
-	eventually(t, "told", func() bool { return !f.Status().WithoutControlSince.IsZero() })
+	eventually(t, "missing confirmation", func() bool { return !f.Status().WithoutControlSince.IsZero() })
 	is.True(f.metrics.Value("control_without_since_unix_ms") > 0)
 	is.Equal(f.latest().Revision, table.Revision(5))
-	eventually(t, "settled", func() bool { return f.Status().Control != "" })
+	eventually(t, "attachment", func() bool { return f.Status().Control != "" })
 	control.setContact(time.Time{})
-	eventually(t, "back", func() bool { return f.Status().WithoutControlSince.IsZero() })
+	eventually(t, "confirmation again", func() bool { return f.Status().WithoutControlSince.IsZero() })
 }
 
-// A balancer meets a control VM that is behind what it holds: first after its
-// own VM died, then after a restart, when only its file remembers. It never goes
-// back to an older table, and takes the VM's word again once that has caught up.
+// A balancer whose only control VM is behind its table, which it has from its state file
+// after a restart, must never return to an older table. Once the VM has caught up, the
+// balancer gets its tables again.
 func TestRevisionNeverFalls(t *testing.T) {
 	is := is.New(t)
 	ahead, behind := newFakeControl(smallTable(50)), newFakeControl(smallTable(40))
@@ -95,16 +95,16 @@
 	again := startClient(t, "balancer-0", keep, b.address)
 	eventually(t, "attached to the VM behind", func() bool { return again.Status().Control == b.address })
 	behind.set(smallTable(41))
-	eventually(t, "left for being behind, or tried again", func() bool { return again.metrics.Value("control_bytes_in") > 200 })
+	eventually(t, "left the VM behind, or retried it", func() bool { return again.metrics.Value("control_bytes_in") > 200 })
 	is.Equal(again.latest().Revision, table.Revision(50))
 	behind.set(withWeight(smallTable(60), 0, 9))
 	eventually(t, "table 61", func() bool { return again.latest().Revision == 61 })
-	is.Equal(again.falls(), 0)
-	is.Equal(digest(again.latest()), digest(behind.Table()))
+	is.Equal(again.revisionDecreases(), 0)
+	is.Equal(tableDigest(again.latest()), tableDigest(behind.Table()))
 }
 
-// The state file is of another cluster whose table happened to have the same
-// revision. Control notices by the digest and sends the whole table.
+// A state file of another cluster may have the same revision as control's table. Control must
+// notice by the digest and send a snapshot.
 func TestForeignStateFileIsReplaced(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "table")
@@ -114,38 +114,38 @@
 	control := newFakeControl(smallTable(5))
 	server := serveControl(t, control, nil)
 	f := startClient(t, "balancer-0", func(c *ClientConfig) { c.StateFile = path }, server.address)
-	eventually(t, "control's table", func() bool { return digest(f.latest()) == digest(control.Table()) })
+	eventually(t, "control's table", func() bool { return tableDigest(f.latest()) == tableDigest(control.Table()) })
 	is.Equal(server.metrics.Value("spread_resyncs"), int64(1))
 }
 
-// Control is stopped altogether and comes back after a change. Meanwhile the
-// table stays in use and status says since when; afterwards the change arrives.
-func TestControlGoneAndBack(t *testing.T) {
+// While control is down, the table must stay in use and status must tell since when. A change
+// made meanwhile must arrive once control is back.
+func TestSubscriberKeepsItsTableWhileControlIsDown(t *testing.T) {
 	is := is.New(t)
 	control := newFakeControl(smallTable(5))
 	server := serveControl(t, control, nil)
-	f := startClient(t, "balancer-0", func(c *ClientConfig) { c.StaleBound = 300 * time.Millisecond }, server.address)
+	f := startClient(t, "balancer-0", func(c *ClientConfig) { c.MaxContactAge = 300 * time.Millisecond }, server.address)
 	eventually(t, "first table", func() bool { return f.latest().Revision == 5 && f.Status().WithoutControlSince.IsZero() })
 	server.Close()
-	eventually(t, "told", func() bool { return !f.Status().WithoutControlSince.IsZero() })
+	eventually(t, "missing confirmation", func() bool { return !f.Status().WithoutControlSince.IsZero() })
 	is.Equal(f.latest().Revision, table.Revision(5))
-	is.Equal(len(control.silenced()), 0) // a VM that stops reports nobody
+	is.Equal(len(control.silenced()), 0) // a VM that stops reports nobody as silent
 
 	control.set(withWeight(control.Table(), 0, 7))
 	serveAt(t, server.address, control, nil)
 	eventually(t, "change", func() bool { return f.latest().Revision == 6 })
-	eventually(t, "fresh word", func() bool { return f.Status().WithoutControlSince.IsZero() })
+	eventually(t, "confirmation by control", func() bool { return f.Status().WithoutControlSince.IsZero() })
 }
 
-// A path goes silent without a FIN. Neither end is told by its kernel; both see
-// the missed heartbeats. The subscriber moves to the other VM, and the first
-// VM's late report finds its attachment outdated: nobody is taken out.
+// When a connection goes silent without a FIN, neither kernel reports it; both ends must
+// notice by missed heartbeats. The subscriber moves to the other VM, and the first VM's late
+// report of silence must be void, as its attachment number is outdated.
 func TestHalfOpenPathIsLeftByBothEnds(t *testing.T) {
 	is := is.New(t)
 	control := newFakeControl(smallTable(5))
 	a := serveControl(t, control, func(c *ServerConfig) { c.Name = "control-a" })
 	b := serveControl(t, control, func(c *ServerConfig) { c.Name = "control-b" })
-	toA, toB := newRelay(t, a.address), newRelay(t, b.address)
+	toA, toB := newTCPForwarder(t, a.address), newTCPForwarder(t, b.address)
 	f := startClient(t, "agent-1", asAgent("cartoons"), toA.address, toB.address)
 	eventually(t, "attached and announced", func() bool { return f.AgentNumber() != 0 })
 	first, path := a, toA
@@ -153,46 +153,45 @@
 		first, path = b, toB
 	}
 	path.frozen.Store(true)
-	eventually(t, "moved", func() bool {
+	eventually(t, "attachment to the other VM", func() bool {
 		s := f.Status().Control
 		return s != "" && s != path.address
 	})
-	eventually(t, "server let go", func() bool { return len(first.Subscribers()) == 0 })
-	eventually(t, "report made", func() bool { return first.metrics.Value("spread_reported_silent") >= 1 })
+	eventually(t, "server ended the stream", func() bool { return len(first.Subscribers()) == 0 })
+	eventually(t, "report of silence", func() bool { return first.metrics.Value("spread_reported_silent") >= 1 })
 	is.Equal(len(control.silenced()), 0)
 	is.True(f.metrics.Value("control_ended_silent") >= 1)
 }
 
-// An agent's process dies for good. It is reported silent once, by number,
-// incarnation and attachment; and taken back when it returns.
+// A dead agent must be reported silent exactly once, with its number, incarnation and
+// attachment. A new incarnation must get a new number.
 func TestDeadAgentIsReportedAndComesBack(t *testing.T) {
 	is := is.New(t)
 	control := newFakeControl(smallTable(5))
 	server := serveControl(t, control, nil)
 	f := startClient(t, "agent-1", asAgent("cartoons"), server.address)
-	eventually(t, "a number", func() bool { return f.AgentNumber() != 0 })
+	eventually(t, "agent number", func() bool { return f.AgentNumber() != 0 })
 	n := f.AgentNumber()
 	f.stop()
-	eventually(t, "reported", func() bool { return len(control.silenced()) == 1 })
+	eventually(t, "report of silence", func() bool { return len(control.silenced()) == 1 })
 	is.Equal(control.silenced()[0], Silence{Name: "agent-1", Agent: n, Incarnation: 1, Attachment: control.announced("agent-1").Attachment})
 
 	again := startClient(t, "agent-1", func(c *ClientConfig) { asAgent("cartoons")(c); c.Announcement.Incarnation = 2 }, server.address)
 	eventually(t, "another number", func() bool { return again.AgentNumber() != 0 })
-	is.True(again.AgentNumber() != n) // a new incarnation never gets an old number
+	is.True(again.AgentNumber() != n) // a new incarnation never gets an old one's number
 }
 
-// A control VM and an agent attached to it are cut off together; the leader
-// takes the VM for dead and the agent, which it adopted, for silent. When the
-// path is back the agent's stream has never broken, but the table no longer
-// offers it: it announces itself again and gets new work. One that drains on
-// purpose doesn't.
-func TestWronglySilencedProcessesComeBack(t *testing.T) {
+// If a control VM is cut off together with an agent, the leader takes the VM for dead and
+// reports the adopted agent silent. The agent's stream never broke, but the table no longer
+// gives it new flows, so it must announce itself again. A balancer does the same; an agent
+// that drains on purpose must not.
+func TestProcessesReportedSilentByMistakeComeBack(t *testing.T) {
 	is := is.New(t)
 	control := newFakeControl(smallTable(5))
 	server := serveControl(t, control, nil)
 	agent := startClient(t, "agent-1", asAgent("cartoons"), server.address)
 	balancer := startClient(t, "balancer-0", nil, server.address)
-	eventually(t, "a number", func() bool { return agent.AgentNumber() != 0 })
+	eventually(t, "agent number", func() bool { return agent.AgentNumber() != 0 })
 	next := func(state table.State, balancers int) table.Revision {
 		n := *smallTable(control.Table().Revision + 1)
 		n.Balancers = n.Balancers[:balancers]
@@ -202,7 +201,7 @@
 		return n.Revision
 	}
 	offered := next(table.Active, 3)
-	eventually(t, "offered", func() bool { return agent.latest().Revision == offered && balancer.latest().Revision == offered })
+	eventually(t, "active", func() bool { return agent.latest().Revision == offered && balancer.latest().Revision == offered })
 	gone := next(table.Draining, 0)
 	eventually(t, "agent announced again", func() bool { return control.announced("agent-1").Attachment >= 2 })
 	eventually(t, "balancer announced again", func() bool { return control.announced("balancer-0").Attachment >= 2 })
@@ -216,10 +215,9 @@
 	is.Equal(agent.metrics.Value("control_taken_out"), int64(1))
 }
 
-// A table comes that the balancer's data path can't use. The one before stays in
-// force, and neither status nor control's list says otherwise, so that nobody is
-// told that a switch is in force or signs with a key that isn't known. The next
-// good table is in force again.
+// If the data path refuses a table, the previous one stays in force, and neither status nor
+// control's list of subscribers may say otherwise: operators would think a change in force,
+// and keys would be used that the balancer doesn't know. The next valid table is in force.
 func TestRefusedTableIsNotInForce(t *testing.T) {
 	is := is.New(t)
 	control := newFakeControl(smallTable(5))
@@ -246,12 +244,12 @@
 	is.True(listed() != 6)
 	control.set(withWeight(control.Table(), 0, 8))
 	eventually(t, "next table", func() bool { return f.Status().Revision == 7 && listed() == 7 })
-	is.Equal(f.metrics.Value("control_resyncs"), int64(0)) // deltas went on from the table held
+	is.Equal(f.metrics.Value("control_resyncs"), int64(0)) // deltas continued from the held table
 }
 
-// Changes and a whole table go to a subscriber that acknowledges everything at
-// once. Whatever it does, its link carries no more than the budget and the burst.
-func TestLinkKeepsItsBudget(t *testing.T) {
+// A snapshot and many changes to a subscriber that acknowledges at once must not exceed the
+// byte budget plus the burst.
+func TestLinkStaysWithinItsByteBudget(t *testing.T) {
 	is := is.New(t)
 	const budget = 8 << 10
 	control := newFakeControl(largeTable(5, 1200))
@@ -260,21 +258,21 @@
 	f := startClient(t, "balancer-0", nil, server.address)
 	eventually(t, "whole table", func() bool { return f.latest().Revision == 5 })
 	for range 40 {
-		control.set(switched(control.Table(), "peak"))
+		control.set(withPreset(control.Table(), "peak"))
 		want := control.Table().Revision
 		eventually(t, "change", func() bool { return f.latest().Revision == want })
 	}
 	elapsed := time.Since(start).Seconds()
-	// Both buckets start full; heartbeats come on top, ten a second here.
-	most := float64(burstSeconds*budget+budget) + elapsed*(budget+10*64) + partSize
+	// Both limiters start with a full burst. Heartbeats, here ten per second, are added.
+	most := float64(burstSeconds*budget+budget) + elapsed*(budget+10*64) + partBytes
 	is.True(float64(f.metrics.Value("control_bytes_in")) <= most)
-	is.True(f.metrics.Value("control_bytes_in") > 40<<10) // more than the burst went over it
+	is.True(f.metrics.Value("control_bytes_in") > 40<<10) // more than the bursts was sent
 }
 
-// An agent that keeps coming and going is held back: it has its table, but gets
-// no number and so no new work. When it says that it is about to stop, that goes
-// through at once: no hold may keep a leaving target in.
-func TestFlappingAgentIsHeldButMayLeave(t *testing.T) {
+// A flapping agent gets its table, but during the damping delay no number and so no new
+// flows. When it announces that it is about to stop, that must be committed at once, as
+// damping must not keep a leaving target active.
+func TestFlappingAgentIsDampedButMayLeave(t *testing.T) {
 	is := is.New(t)
 	control := newFakeControl(smallTable(5))
 	server := serveControl(t, control, func(c *ServerConfig) {
@@ -282,12 +280,12 @@
 		c.Liveness.HoldFrom, c.Liveness.HoldBase, c.Liveness.HoldCap = 1, time.Hour, time.Hour
 	})
 	first := startClient(t, "agent-1", asAgent("cartoons"), server.address)
-	eventually(t, "a number", func() bool { return first.AgentNumber() != 0 })
+	eventually(t, "agent number", func() bool { return first.AgentNumber() != 0 })
 	first.stop()
 	eventually(t, "gone", func() bool { return len(server.Subscribers()) == 0 })
 
 	again := startClient(t, "agent-1", func(c *ClientConfig) { asAgent("cartoons")(c); c.Announcement.Incarnation = 2 }, server.address)
-	eventually(t, "held", func() bool { return server.metrics.Value("spread_announce_held") > 0 && again.latest().Revision == 5 })
+	eventually(t, "damped", func() bool { return server.metrics.Value("spread_announce_held") > 0 && again.latest().Revision == 5 })
 	is.Equal(control.announced("agent-1").Incarnation, uint64(1))
 	again.SetDraining(true)
 	eventually(t, "drain announced", func() bool {
@@ -296,9 +294,9 @@
 	})
 }
 
-// A control VM dies together with one of its agents, and nobody else has that
-// agent's stream. The leader adopts the dead VM's subscribers: one has come back
-// here meanwhile and keeps its place, the other is reported by its number.
+// If a control VM dies together with one of its agents, no other VM has the agent's stream.
+// The leader adopts the dead VM's subscribers: one that attached here meanwhile must stay
+// active, the other must be reported silent with its number.
 func TestDeadVMsSubscribersAreAdopted(t *testing.T) {
 	is := is.New(t)
 	control := newFakeControl(smallTable(5))
@@ -308,17 +306,17 @@
 	})
 	control.agents["agent-2"] = Announcement{Name: "agent-2", Incarnation: 1, Attachment: 1, Via: "control-dead"}
 	back := startClient(t, "agent-1", func(c *ClientConfig) { asAgent("cartoons")(c); c.Announcement.Attachment = 1 }, server.address)
-	eventually(t, "back", func() bool { return back.AgentNumber() != 0 })
+	eventually(t, "agent number", func() bool { return back.AgentNumber() != 0 })
 	server.Adopt(RoleAgent, []Silence{
 		{Name: "agent-1", Agent: 1, Incarnation: 1, Attachment: 1},
 		{Name: "agent-2", Agent: 2, Incarnation: 1, Attachment: 1},
 	})
-	eventually(t, "the other reported", func() bool { return len(control.silenced()) > 0 })
+	eventually(t, "report of the other agent", func() bool { return len(control.silenced()) > 0 })
 	is.Equal(control.silenced(), []Silence{{Name: "agent-2", Agent: 2, Incarnation: 1, Attachment: 1}})
 }
 
-// The replicated state takes no commands for a while: the agent gets its table
-// all the same, and its number as soon as the announcement can be committed.
+// While the replicated state accepts no commands, an agent must still get its table. It gets
+// its number once the announcement can be committed.
 func TestAnnouncementsAreRepeated(t *testing.T) {
 	is := is.New(t)
 	control := newFakeControl(smallTable(5))
@@ -331,63 +329,62 @@
 	control.mu.Lock()
 	control.fail = false
 	control.mu.Unlock()
-	eventually(t, "a number", func() bool { return f.AgentNumber() != 0 })
+	eventually(t, "agent number", func() bool { return f.AgentNumber() != 0 })
 }
 
-// A balancer has stopped reading but its heartbeats still come. The others get
-// every change meanwhile, and the server queues nothing for it but one update.
-func TestSlowSubscriberHoldsNobodyUp(t *testing.T) {
+// A balancer that sends heartbeats but doesn't read must not delay changes to others, and the
+// server must not queue more than one update for it.
+func TestSlowSubscriberDelaysNobody(t *testing.T) {
 	is := is.New(t)
 	control := newFakeControl(largeTable(5, 300))
 	server := serveControl(t, control, func(c *ServerConfig) {
-		c.Beat, c.BytesPerSecond, c.SnapshotBytesPerSecond = DefaultBeat, 1<<20, 1<<20
+		c.HeartbeatInterval, c.BytesPerSecond, c.SnapshotBytesPerSecond = DefaultHeartbeatInterval, 1<<20, 1<<20
 	})
 	stuck := dialRaw(t, server.address, hello{Role: RoleBalancer, Announcement: Announcement{Name: "stuck", Incarnation: 1}})
-	stop := stuck.beatForever(t)
+	stop := stuck.sendHeartbeats(t)
 	defer stop()
-	f := startClient(t, "balancer-0", func(c *ClientConfig) { c.Beat = DefaultBeat }, server.address)
+	f := startClient(t, "balancer-0", func(c *ClientConfig) { c.HeartbeatInterval = DefaultHeartbeatInterval }, server.address)
 	for range 50 {
-		control.set(switched(control.Table(), "peak"))
+		control.set(withPreset(control.Table(), "peak"))
 		want := control.Table().Revision
 		eventually(t, "change", func() bool { return f.latest().Revision == want })
 	}
 	for _, s := range server.Subscribers() {
 		if s.Name == "stuck" {
-			is.Equal(s.Revision, table.Revision(0)) // operators see who lags
+			is.Equal(s.Revision, table.Revision(0)) // operators see that it lags
 		}
 	}
 	is.Equal(len(server.Subscribers()), 2)
 	is.Equal(server.metrics.Value("spread_snapshots"), int64(2))
-	is.True(server.metrics.Value("spread_deltas") < 60) // fifty for the balancer; none are queued for the stuck one
+	is.True(server.metrics.Value("spread_deltas") < 60) // 50 for the balancer, none queued for the stuck one
 }
 
-// All three hundred balancers lose their VM and hold no table. Whole tables go
-// out a few at a time, those over the line are told when to come again, and all
-// have the table in the end.
+// When 300 balancers without a table connect at once, only a few snapshots may be sent at a
+// time. Those that exceed the queue are told when to retry, and all get the table in the end.
 func TestAllReconnectAtOnce(t *testing.T) {
 	is := is.New(t)
 	control := newFakeControl(largeTable(5, 1200))
 	server := serveControl(t, control, func(c *ServerConfig) {
-		c.Snapshots, c.Waiting = 4, 16
+		c.SnapshotLimit, c.SnapshotQueueLimit = 4, 16
 		c.SnapshotBytesPerSecond = 4 << 20
 		c.Liveness = liveness.DefaultConfig()
 	})
-	// All places are taken until the line is full, so that the verdict doesn't
-	// hang on how fast three hundred arrive.
+	// All slots are taken until the queue is full, so that the result doesn't depend on how
+	// fast the balancers connect.
 	for range 4 {
-		server.line.places <- struct{}{}
+		server.snapshotQueue.slots <- struct{}{}
 	}
-	var all []*follower
+	var all []*testClient
 	for i := range 300 {
 		all = append(all, startClient(t, "balancer-"+string(rune('a'+i%26))+string(rune('a'+i/26)), func(c *ClientConfig) { c.Seed = uint64(i + 1) }, server.address))
 	}
-	eventually(t, "line full", func() bool { return server.metrics.Value("spread_refused_busy") > 0 })
+	eventually(t, "full queue", func() bool { return server.metrics.Value("spread_refused_busy") > 0 })
 	for range 4 {
-		server.line.done()
+		server.snapshotQueue.release()
 	}
 	most := 0
 	eventually(t, "everyone has the table", func() bool {
-		most = max(most, server.line.active())
+		most = max(most, server.snapshotQueue.active())
 		for _, f := range all {
 			if f.latest().Revision != 5 {
 				return false
@@ -397,15 +394,15 @@
 	})
 	is.True(most <= 4)
 	is.True(server.metrics.Value("spread_snapshots") >= 300)
-	eventually(t, "empty line", func() bool { return server.line.active() == 0 && server.line.waiting() == 0 })
+	eventually(t, "empty queue", func() bool { return server.snapshotQueue.active() == 0 && server.snapshotQueue.waiting() == 0 })
 }
 
-// A process with an agent's certificate says it is a balancer, or another agent.
-// It is refused and counted, and control hears no announcement from it; the
-// agent that the certificate is for is served.
-func TestPeerIsHeldToItsCertificate(t *testing.T) {
+// A process that claims to be a balancer or another agent with an agent's certificate must be
+// refused and counted, and no announcement of it may reach control. The agent to which the
+// certificate belongs is served.
+func TestPeerMustMatchItsCertificate(t *testing.T) {
 	is := is.New(t)
-	l := newLab(t, true)
+	l := newTestLab(t, true)
 	control := newFakeControl(smallTable(5))
 	server := serveControl(t, control, func(c *ServerConfig) {
 		c.TLS = l.store(keys.Control, "control-1").Server(keys.Agent, keys.Balancer)
--- a/internal/distribution/fakes_test.go
+++ b/internal/distribution/fakes_test.go
@@ -20,12 +20,12 @@
 	"bergamotstall/internal/table"
 )
 
-// fakeControl is a control VM's state: Source and Registrar in one.
+// fakeControl is a fake control VM: Source and Registrar in one.
 type fakeControl struct {
 	mu      sync.Mutex
 	table   *table.Table
 	changed chan struct{}
-	// contact is when a quorum was last heard; zero means always fresh.
+	// contact is the time of the last contact with a quorum; zero means always now.
 	contact time.Time
 	fail    bool
 
@@ -101,7 +101,7 @@
 	return err
 }
 
-// AgentSilent follows the contract of Silence.
+// AgentSilent ignores reports that are void by the contract of Silence.
 func (f *fakeControl) AgentSilent(_ context.Context, s Silence) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -132,7 +132,7 @@
 	return slices.Clone(f.silent)
 }
 
-// smallTable has two services with ten hosts between them.
+// smallTable returns a table with two services and ten hosts.
 func smallTable(revision table.Revision) *table.Table {
 	t := &table.Table{Revision: revision, Preset: "ordinary", Keys: []table.KeySet{{Generation: 1, ConnID: make([]byte, 16)}}}
 	t.Services = []table.Service{
@@ -163,32 +163,32 @@
 	return &next
 }
 
-func quiet() logrus.FieldLogger {
+func discardLog() logrus.FieldLogger {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return l
 }
 
-// testBeat keeps tests quick; three missed ones end a stream.
-const testBeat = 100 * time.Millisecond
+// testHeartbeatInterval is short to keep tests fast; three missed heartbeats end a stream.
+const testHeartbeatInterval = 100 * time.Millisecond
 
-// running is a served control VM.
-type running struct {
+// testServer is a running server with its fake control.
+type testServer struct {
 	*Server
 	control *fakeControl
 	address string
 	metrics *metrics.Set
 }
 
-func serveControl(t testing.TB, control *fakeControl, change func(*ServerConfig)) *running {
+func serveControl(t testing.TB, control *fakeControl, change func(*ServerConfig)) *testServer {
 	t.Helper()
 	return serveAt(t, "127.0.0.1:0", control, change)
 }
 
-func serveAt(t testing.TB, address string, control *fakeControl, change func(*ServerConfig)) *running {
+func serveAt(t testing.TB, address string, control *fakeControl, change func(*ServerConfig)) *testServer {
 	t.Helper()
 	m := metrics.New()
-	cfg := ServerConfig{Name: "control-1", Source: control, Registrar: control, Beat: testBeat, Log: quiet(), Metrics: m}
+	cfg := ServerConfig{Name: "control-1", Source: control, Registrar: control, HeartbeatInterval: testHeartbeatInterval, Log: discardLog(), Metrics: m}
 	if change != nil {
 		change(&cfg)
 	}
@@ -200,28 +200,28 @@
 	done := make(chan struct{})
 	go func() { defer close(done); _ = s.Serve(ln) }()
 	t.Cleanup(func() { s.Close(); <-done })
-	return &running{Server: s, control: control, address: ln.Addr().String(), metrics: m}
+	return &testServer{Server: s, control: control, address: ln.Addr().String(), metrics: m}
 }
 
-// follower is a running client with all it applied.
-type follower struct {
+// testClient is a running client with the tables that it applied.
+type testClient struct {
 	*Client
 	metrics *metrics.Set
 	stop    func()
 
 	mu      sync.Mutex
 	applied []*table.Table
-	// onApply, where set, takes tables instead of applied.
+	// onApply, if set, is called with tables instead of adding them to applied.
 	onApply func(*table.Table) error
 }
 
-func (f *follower) tables() []*table.Table {
+func (f *testClient) tables() []*table.Table {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.applied)
 }
 
-func (f *follower) latest() *table.Table {
+func (f *testClient) latest() *table.Table {
 	all := f.tables()
 	if len(all) == 0 {
 		return &table.Table{}
@@ -229,7 +229,7 @@
 	return all[len(all)-1]
 }
 
-func (f *follower) falls() int {
+func (f *testClient) revisionDecreases() int {
 	n := 0
 	all := f.tables()
 	for i := 1; i < len(all); i++ {
@@ -240,17 +240,17 @@
 	return n
 }
 
-func startClient(t testing.TB, name string, change func(*ClientConfig), controls ...string) *follower {
+func startClient(t testing.TB, name string, change func(*ClientConfig), controls ...string) *testClient {
 	t.Helper()
 	m := metrics.New()
 	cfg := ClientConfig{
-		Controls: controls, Role: RoleBalancer, Beat: testBeat, Seed: 1, Log: quiet(), Metrics: m,
+		Controls: controls, Role: RoleBalancer, HeartbeatInterval: testHeartbeatInterval, Seed: 1, Log: discardLog(), Metrics: m,
 		Announcement: Announcement{Name: name, Incarnation: 1, DataCentre: "brescia-fornace", Tunnel: "127.0.0.1:7000"},
 	}
 	if change != nil {
 		change(&cfg)
 	}
-	f := &follower{metrics: m}
+	f := &testClient{metrics: m}
 	f.Client = NewClient(cfg, func(tb *table.Table) error {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -268,7 +268,7 @@
 	return f
 }
 
-// asAgent turns a client's configuration into an agent's.
+// asAgent changes a client's configuration to that of an agent.
 func asAgent(service string) func(*ClientConfig) {
 	return func(c *ClientConfig) {
 		c.Role = RoleAgent
@@ -277,33 +277,34 @@
 	}
 }
 
-// eventually polls with a generous limit; it never judges by time being short.
+// eventually polls until ok returns true. The limit is generous, as no test may depend on
+// speed.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(60 * time.Second)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within a minute: %s", what)
+			t.Fatalf("timed out after a minute waiting for: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// relay is a TCP path that can go silent without a FIN, as when a VM loses power
-// or a device between the ends forgets its connections.
-type relay struct {
+// tcpForwarder is a TCP forwarder that can go silent without a FIN, as when a VM loses power
+// or a device on the path loses its connection state.
+type tcpForwarder struct {
 	address string
 	frozen  atomic.Bool
 }
 
-func newRelay(t testing.TB, target string) *relay {
+func newTCPForwarder(t testing.TB, target string) *tcpForwarder {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = ln.Close() })
-	r := &relay{address: ln.Addr().String()}
+	r := &tcpForwarder{address: ln.Addr().String()}
 	go func() {
 		for {
 			near, err := ln.Accept()
@@ -323,8 +324,8 @@
 	return r
 }
 
-// copy swallows what comes while the relay is frozen, FINs included.
-func (r *relay) copy(from, to net.Conn) {
+// copy copies data. While the forwarder is frozen it drops everything, FINs included.
+func (r *tcpForwarder) copy(from, to net.Conn) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := from.Read(buf)
@@ -344,7 +345,7 @@
 	}
 }
 
-// largeTable has the given number of hosts over a few data centres.
+// largeTable returns a table with the given number of hosts in 17 data centres.
 func largeTable(revision table.Revision, hosts int) *table.Table {
 	r := rand.New(rand.NewPCG(1, uint64(hosts)))
 	t := &table.Table{Revision: revision, Preset: "ordinary", Keys: smallTable(1).Keys}
@@ -377,9 +378,9 @@
 	return t
 }
 
-// switched returns the next revision, in which a switch of preset has given
-// every target one of a few weights.
-func switched(t *table.Table, preset string) *table.Table {
+// withPreset returns the next revision, in which a switch of the preset has given every
+// target one of a few weights.
+func withPreset(t *table.Table, preset string) *table.Table {
 	next := *t
 	next.Revision++
 	next.Preset = preset
@@ -394,7 +395,7 @@
 
 var loopback = net.IPv4(127, 0, 0, 1)
 
-// rawPeer speaks the protocol by hand.
+// rawPeer is a subscriber that sends and reads single frames.
 type rawPeer struct{ *framing.Conn }
 
 func dialRaw(t testing.TB, address string, opening hello) rawPeer {
@@ -404,15 +405,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = raw.Close() })
-	p := rawPeer{framing.NewConn(raw, frameLimit, 0)}
+	p := rawPeer{framing.NewConn(raw, frameLimitBytes, 0)}
 	if _, err := p.Write(kindHello, &opening); err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-// beatForever sends heartbeats and reads nothing.
-func (p rawPeer) beatForever(t testing.TB) (stop func()) {
+// sendHeartbeats sends heartbeats without reading, until stop is called.
+func (p rawPeer) sendHeartbeats(t testing.TB) (stop func()) {
 	t.Helper()
 	done := make(chan struct{})
 	go func() {
@@ -420,8 +421,8 @@
 			select {
 			case <-done:
 				return
-			case <-time.After(testBeat):
-				_, _ = p.Write(kindBeat, &beat{})
+			case <-time.After(testHeartbeatInterval):
+				_, _ = p.Write(kindHeartbeat, &heartbeat{})
 			}
 		}
 	}()
--- a/internal/distribution/history.go
+++ b/internal/distribution/history.go
@@ -7,71 +7,67 @@
 	"bergamotstall/internal/table"
 )
 
-// tombstoneLimit bounds the removals that are remembered. At 1,700 restarts a
-// day it reaches back more than two days; a subscriber that was away for longer
-// gets a whole table.
+// tombstoneLimit bounds the removals kept for deltas. With 1,700 restarts per day it covers
+// more than two days; a subscriber that was away for longer gets a snapshot.
 const tombstoneLimit = 4096
 
-// tracked is one element of the newest table with the revisions that last
-// changed it. Because changes are kept per element, a delta from any revision
-// back to the floor is one pass and comes out merged: a target whose weight
-// changed a hundred times is in it once.
-type tracked[T any] struct {
+// trackedElement is an element of the newest table with the revisions that last changed it.
+// As changes are kept per element, a delta from any revision since the floor takes one pass
+// and is merged: a target whose weight changed a hundred times is in it once.
+type trackedElement[T any] struct {
 	value T
-	// changed is the last change of any kind, whole the last one that shifts
-	// can't carry.
-	changed, whole table.Revision
-	sum            uint64
+	// changed is the revision of the last change of any kind, changedInFull that of the
+	// last one that a share change can't express.
+	changed, changedInFull table.Revision
+	digest                 uint64
 }
 
-// tombstone remembers a removal.
+// tombstone records a removal.
 type tombstone[K any] struct {
-	key K
-	at  table.Revision
+	key       K
+	removedAt table.Revision
 }
 
-// history knows the newest table and what changed since floor.
+// history holds the newest table and what changed since the floor revision.
 type history struct {
 	floor, revision table.Revision
 
 	preset    string
 	keys      []table.KeySet
-	services  []tracked[table.Service]
-	targets   []tracked[table.Target]
-	balancers []tracked[table.Balancer]
-	// ofService are the places in targets of each service, so that making the
-	// updates of two thousand services' agents isn't as many passes over all.
-	ofService map[table.ServiceID][]int
-	byName    map[string]table.ServiceID
+	services  []trackedElement[table.Service]
+	targets   []trackedElement[table.Target]
+	balancers []trackedElement[table.Balancer]
+	// targetsByService holds the indexes into targets of each service, as making updates
+	// for the agents of 2,000 services would otherwise take as many passes over all targets.
+	targetsByService map[table.ServiceID][]int
+	serviceByName    map[string]table.ServiceID
 
-	keysAt        table.Revision
-	goneServices  []tombstone[table.ServiceID]
-	goneTargets   []tombstone[table.AgentNumber]
-	goneBalancers []tombstone[string]
+	keysChangedAt    table.Revision
+	removedServices  []tombstone[table.ServiceID]
+	removedTargets   []tombstone[table.AgentNumber]
+	removedBalancers []tombstone[string]
 
-	// common sums what every view holds; byService the rest.
-	common    partSum
-	byService map[table.ServiceID]partSum
-	total     partSum
+	// commonDigest covers the elements in every view, serviceDigests those of one service.
+	commonDigest   partDigest
+	serviceDigests map[table.ServiceID]partDigest
+	totalDigest    partDigest
 }
 
-// partSum is the digest of a part of the table and the revision that last
-// changed it.
-type partSum struct {
-	sum uint64
-	at  table.Revision
+// partDigest is the digest of a part of the table and the revision that last changed it.
+type partDigest struct {
+	sum       uint64
+	changedAt table.Revision
 }
 
-func (p *partSum) add(sum uint64, at table.Revision) {
+func (p *partDigest) add(sum uint64, revision table.Revision) {
 	p.sum += sum
-	p.at = at
+	p.changedAt = revision
 }
 
-func newHistory() *history { return &history{byService: map[table.ServiceID]partSum{}} }
+func newHistory() *history { return &history{serviceDigests: map[table.ServiceID]partDigest{}} }
 
-// advance takes in a newer table. The first one sets the floor. It returns
-// false, and changes nothing, for a table that isn't newer; revision 0 is a
-// state without any table.
+// advance adds a newer table. The first one sets the floor. For a table that isn't newer,
+// advance changes nothing and returns false; revision 0 means that there is no table.
 func (h *history) advance(t *table.Table) bool {
 	if t.Revision <= h.revision {
 		return false
@@ -79,153 +75,153 @@
 	if h.revision == 0 {
 		h.floor = t.Revision
 	}
-	at := t.Revision
-	h.services = follow(h.services, sortedBy(t.Services, serviceKey), &tracker[table.Service, table.ServiceID]{
-		at: at, key: serviceKey, gone: &h.goneServices,
-		sum:  func(s table.Service) uint64 { return sumOf(seedService, &s) },
-		note: func(s table.Service, d uint64) { h.note(s.ID, d, at) },
+	revision := t.Revision
+	h.services = mergeElements(h.services, sortedBy(t.Services, serviceKey), &mergeRules[table.Service, table.ServiceID]{
+		revision: revision, key: serviceKey, removed: &h.removedServices,
+		digest:       func(s table.Service) uint64 { return digestOf(seedService, &s) },
+		recordChange: func(s table.Service, d uint64) { h.recordChange(s.ID, d, revision) },
 	})
-	h.targets = follow(h.targets, sortedBy(t.Targets, targetKey), &tracker[table.Target, table.AgentNumber]{
-		at: at, key: targetKey, gone: &h.goneTargets,
-		sum:   func(x table.Target) uint64 { return sumOf(seedTarget, &x) },
-		note:  func(x table.Target, d uint64) { h.note(x.Service, d, at) },
-		small: func(old, now table.Target) bool { return shifted(old, now) == now },
+	h.targets = mergeElements(h.targets, sortedBy(t.Targets, targetKey), &mergeRules[table.Target, table.AgentNumber]{
+		revision: revision, key: targetKey, removed: &h.removedTargets,
+		digest:       func(x table.Target) uint64 { return digestOf(seedTarget, &x) },
+		recordChange: func(x table.Target, d uint64) { h.recordChange(x.Service, d, revision) },
+		shareOnly:    func(old, now table.Target) bool { return withShares(old, now) == now },
 	})
-	h.balancers = follow(h.balancers, sortedBy(t.Balancers, balancerKey), &tracker[table.Balancer, string]{
-		at: at, key: balancerKey, gone: &h.goneBalancers,
-		sum:  func(b table.Balancer) uint64 { return sumOf(seedBalancer, &b) },
-		note: func(_ table.Balancer, d uint64) { h.noteCommon(d, at) },
+	h.balancers = mergeElements(h.balancers, sortedBy(t.Balancers, balancerKey), &mergeRules[table.Balancer, string]{
+		revision: revision, key: balancerKey, removed: &h.removedBalancers,
+		digest:       func(b table.Balancer) uint64 { return digestOf(seedBalancer, &b) },
+		recordChange: func(_ table.Balancer, d uint64) { h.recordCommonChange(d, revision) },
 	})
-	h.index()
-	h.advancePreset(t, at)
-	h.advanceKeys(t, at)
-	h.revision = at
-	h.trim()
+	h.rebuildIndexes()
+	h.advancePreset(t, revision)
+	h.advanceKeys(t, revision)
+	h.revision = revision
+	h.trimTombstones()
 	return true
 }
 
-func (h *history) index() {
-	h.ofService = make(map[table.ServiceID][]int, len(h.services))
+func (h *history) rebuildIndexes() {
+	h.targetsByService = make(map[table.ServiceID][]int, len(h.services))
 	for i := range h.targets {
 		id := h.targets[i].value.Service
-		h.ofService[id] = append(h.ofService[id], i)
+		h.targetsByService[id] = append(h.targetsByService[id], i)
 	}
-	h.byName = make(map[string]table.ServiceID, len(h.services))
+	h.serviceByName = make(map[string]table.ServiceID, len(h.services))
 	for i := range h.services {
-		h.byName[h.services[i].value.Name] = h.services[i].value.ID
+		h.serviceByName[h.services[i].value.Name] = h.services[i].value.ID
 	}
 }
 
-func (h *history) advancePreset(t *table.Table, at table.Revision) {
+func (h *history) advancePreset(t *table.Table, revision table.Revision) {
 	if t.Preset == h.preset && h.revision != 0 {
 		return
 	}
-	old := sumOfPreset(h.preset)
+	old := digestOfPreset(h.preset)
 	if h.revision == 0 {
 		old = 0
 	}
-	h.noteCommon(sumOfPreset(t.Preset)-old, at)
+	h.recordCommonChange(digestOfPreset(t.Preset)-old, revision)
 	h.preset = t.Preset
 }
 
-func (h *history) advanceKeys(t *table.Table, at table.Revision) {
-	old, now := sumOfKeys(h.keys), sumOfKeys(t.Keys)
+func (h *history) advanceKeys(t *table.Table, revision table.Revision) {
+	old, now := digestOfKeys(h.keys), digestOfKeys(t.Keys)
 	if old == now {
 		return
 	}
-	h.noteCommon(now-old, at)
-	h.keys, h.keysAt = slices.Clone(t.Keys), at
+	h.recordCommonChange(now-old, revision)
+	h.keys, h.keysChangedAt = slices.Clone(t.Keys), revision
 }
 
-// note books a change of a service's part.
-func (h *history) note(id table.ServiceID, change uint64, at table.Revision) {
-	p := h.byService[id]
-	p.add(change, at)
-	h.byService[id] = p
-	h.total.add(change, at)
+// recordChange adds a digest difference to a service's part.
+func (h *history) recordChange(id table.ServiceID, change uint64, revision table.Revision) {
+	p := h.serviceDigests[id]
+	p.add(change, revision)
+	h.serviceDigests[id] = p
+	h.totalDigest.add(change, revision)
 }
 
-func (h *history) noteCommon(change uint64, at table.Revision) {
-	h.common.add(change, at)
-	h.total.add(change, at)
+func (h *history) recordCommonChange(change uint64, revision table.Revision) {
+	h.commonDigest.add(change, revision)
+	h.totalDigest.add(change, revision)
 }
 
-// trim forgets the oldest removals over the limit; deltas that would need them
-// can't be made any more.
-func (h *history) trim() {
-	h.floor = max(h.floor, trimOne(&h.goneServices), trimOne(&h.goneTargets), trimOne(&h.goneBalancers))
+// trimTombstones removes the oldest tombstones above the limit and raises the floor, as
+// deltas that need them can't be made any more.
+func (h *history) trimTombstones() {
+	h.floor = max(h.floor, trimTombstoneList(&h.removedServices), trimTombstoneList(&h.removedTargets), trimTombstoneList(&h.removedBalancers))
 }
 
-func trimOne[K any](gone *[]tombstone[K]) table.Revision {
-	over := len(*gone) - tombstoneLimit
+func trimTombstoneList[K any](tombstones *[]tombstone[K]) table.Revision {
+	over := len(*tombstones) - tombstoneLimit
 	if over <= 0 {
 		return 0
 	}
-	floor := (*gone)[over-1].at
-	*gone = slices.Clone((*gone)[over:])
+	floor := (*tombstones)[over-1].removedAt
+	*tombstones = slices.Clone((*tombstones)[over:])
 	return floor
 }
 
-// tracker says how follow treats one kind of element.
-type tracker[T comparable, K cmp.Ordered] struct {
-	at   table.Revision
-	key  func(T) K
-	gone *[]tombstone[K]
-	sum  func(T) uint64
-	// note books the change of the digest that the element's change makes.
-	note func(T, uint64)
-	// small reports a change that a shift can carry; nil where none can.
-	small func(old, now T) bool
+// mergeRules tell mergeElements how to handle one kind of element.
+type mergeRules[T comparable, K cmp.Ordered] struct {
+	revision table.Revision
+	key      func(T) K
+	removed  *[]tombstone[K]
+	digest   func(T) uint64
+	// recordChange records the digest difference of a changed element.
+	recordChange func(T, uint64)
+	// shareOnly reports whether a share change can express a change; nil if none can.
+	shareOnly func(old, now T) bool
 }
 
-// follow merges the newest elements, sorted by key, with those tracked so far.
-func follow[T comparable, K cmp.Ordered](old []tracked[T], now []T, tr *tracker[T, K]) []tracked[T] {
-	out := make([]tracked[T], 0, len(now))
+// mergeElements merges the newest elements, sorted by key, into those tracked so far.
+func mergeElements[T comparable, K cmp.Ordered](old []trackedElement[T], now []T, rules *mergeRules[T, K]) []trackedElement[T] {
+	out := make([]trackedElement[T], 0, len(now))
 	i := 0
 	for _, v := range now {
-		for i < len(old) && tr.key(old[i].value) < tr.key(v) {
-			tr.remove(old[i])
+		for i < len(old) && rules.key(old[i].value) < rules.key(v) {
+			rules.remove(old[i])
 			i++
 		}
-		if i == len(old) || tr.key(old[i].value) != tr.key(v) {
-			out = append(out, tr.insert(v))
+		if i == len(old) || rules.key(old[i].value) != rules.key(v) {
+			out = append(out, rules.insert(v))
 			continue
 		}
-		out = append(out, tr.change(old[i], v))
+		out = append(out, rules.change(old[i], v))
 		i++
 	}
 	for ; i < len(old); i++ {
-		tr.remove(old[i])
+		rules.remove(old[i])
 	}
 	return out
 }
 
-func (tr *tracker[T, K]) remove(old tracked[T]) {
-	tr.note(old.value, -old.sum)
-	*tr.gone = append(*tr.gone, tombstone[K]{key: tr.key(old.value), at: tr.at})
+func (rules *mergeRules[T, K]) remove(old trackedElement[T]) {
+	rules.recordChange(old.value, -old.digest)
+	*rules.removed = append(*rules.removed, tombstone[K]{key: rules.key(old.value), removedAt: rules.revision})
 }
 
-func (tr *tracker[T, K]) insert(v T) tracked[T] {
-	sum := tr.sum(v)
-	tr.note(v, sum)
-	return tracked[T]{value: v, changed: tr.at, whole: tr.at, sum: sum}
+func (rules *mergeRules[T, K]) insert(v T) trackedElement[T] {
+	digest := rules.digest(v)
+	rules.recordChange(v, digest)
+	return trackedElement[T]{value: v, changed: rules.revision, changedInFull: rules.revision, digest: digest}
 }
 
-func (tr *tracker[T, K]) change(old tracked[T], v T) tracked[T] {
+func (rules *mergeRules[T, K]) change(old trackedElement[T], v T) trackedElement[T] {
 	if old.value == v {
 		return old
 	}
-	next := tracked[T]{value: v, changed: tr.at, whole: tr.at, sum: tr.sum(v)}
-	if tr.small != nil && tr.small(old.value, v) {
-		next.whole = old.whole
+	next := trackedElement[T]{value: v, changed: rules.revision, changedInFull: rules.revision, digest: rules.digest(v)}
+	if rules.shareOnly != nil && rules.shareOnly(old.value, v) {
+		next.changedInFull = old.changedInFull
 	}
-	tr.note(old.value, -old.sum)
-	tr.note(v, next.sum)
+	rules.recordChange(old.value, -old.digest)
+	rules.recordChange(v, next.digest)
 	return next
 }
 
-// sortedBy returns the elements in order of keys; control's order isn't relied
-// on, and its slice isn't touched.
+// sortedBy returns the elements sorted by key. It doesn't rely on control's order and
+// doesn't modify its slice.
 func sortedBy[T any, K cmp.Ordered](in []T, key func(T) K) []T {
 	byKey := func(a, b T) int { return cmp.Compare(key(a), key(b)) }
 	if slices.IsSortedFunc(in, byKey) {
--- a/internal/distribution/history_test.go
+++ b/internal/distribution/history_test.go
@@ -11,8 +11,8 @@
 	"bergamotstall/internal/table"
 )
 
-// mutate draws the next revision: a few elements come, go or change.
-func mutate(rt *rapid.T, t *table.Table, nextAgent *table.AgentNumber) *table.Table {
+// drawNextTable draws the next revision, with a few elements added, removed or changed.
+func drawNextTable(rt *rapid.T, t *table.Table, nextAgent *table.AgentNumber) *table.Table {
 	next := &table.Table{Revision: t.Revision + table.Revision(rapid.IntRange(1, 3).Draw(rt, "step")), Preset: t.Preset, Keys: t.Keys}
 	for _, x := range t.Targets {
 		switch rapid.IntRange(0, 9).Draw(rt, "target") {
@@ -51,15 +51,15 @@
 	return next
 }
 
-// only returns the part of a table that a view is for, computed the plain way.
-func only(t *table.Table, v view) *table.Table {
+// expectedTable returns the part of a table that a view includes, computed directly.
+func expectedTable(t *table.Table, v view) *table.Table {
 	if v.role == RoleBalancer {
 		return t
 	}
 	out := &table.Table{Revision: t.Revision, Preset: t.Preset, Keys: t.Keys, Balancers: t.Balancers}
 	s, ok := t.ServiceNamed(v.service)
 	if !ok {
-		// A service may lose its entry while targets of it stand.
+		// A service's entry may be removed while it still has targets.
 		return out
 	}
 	out.Services = []table.Service{s}
@@ -67,37 +67,37 @@
 	return out
 }
 
-// A subscriber that was away for any number of revisions, with any mix of
-// changes between, holds control's table after one delta; where a delta can't do
-// it, the digest says so and it gets the whole table. It never holds a mixture.
-func TestAnyDeltaEndsAtControlsTable(t *testing.T) {
+// After any number of missed revisions with any mix of changes, one delta must bring a
+// subscriber to control's table. If a delta can't, the digest must show it, and a snapshot
+// follows. A subscriber must never hold a mixture of tables.
+func TestAnyDeltaLeadsToControlsTable(t *testing.T) {
 	views := []view{{role: RoleBalancer}, {role: RoleAgent, service: "s1"}, {role: RoleAgent, service: "s4"}}
 	rapid.Check(t, func(rt *rapid.T) {
 		h := newHistory()
 		next := table.AgentNumber(0)
-		newest := mutate(rt, &table.Table{Preset: "ordinary"}, &next)
+		newest := drawNextTable(rt, &table.Table{Preset: "ordinary"}, &next)
 		h.advance(newest)
 		held := make([]*table.Table, len(views))
 		for range rapid.IntRange(1, 12).Draw(rt, "revisions") {
-			newest = mutate(rt, newest, &next)
+			newest = drawNextTable(rt, newest, &next)
 			h.advance(newest)
 			i := rapid.IntRange(0, len(views)-1).Draw(rt, "who")
 			if held[i] == nil {
 				held[i] = &table.Table{}
 			}
 			held[i] = catchUp(rt, h, views[i], held[i])
-			if digest(held[i]) != digest(only(newest, views[i])) || held[i].Revision != newest.Revision {
+			if tableDigest(held[i]) != tableDigest(expectedTable(newest, views[i])) || held[i].Revision != newest.Revision {
 				rt.Fatalf("view %v differs from control's table", views[i])
 			}
 		}
 	})
 }
 
-// catchUp brings a table to the newest revision the way the stream does.
+// catchUp updates a table to the newest revision as a stream does.
 func catchUp(rt *rapid.T, h *history, v view, held *table.Table) *table.Table {
-	next, err := applyUpdate(held, overTheWire(rt, h.since(v, held.Revision)))
-	if errors.Is(err, errDigest) && held.Revision != 0 {
-		next, err = applyUpdate(held, overTheWire(rt, h.since(v, 0)))
+	next, err := applyUpdate(held, encodeAndDecode(rt, h.updateSince(v, held.Revision)))
+	if errors.Is(err, errDigestMismatch) && held.Revision != 0 {
+		next, err = applyUpdate(held, encodeAndDecode(rt, h.updateSince(v, 0)))
 	}
 	if err != nil {
 		rt.Fatalf("view %v: %v", v, err)
@@ -105,7 +105,7 @@
 	return next
 }
 
-func overTheWire(rt *rapid.T, u *update) *update {
+func encodeAndDecode(rt *rapid.T, u *update) *update {
 	data, deflated, err := encodeUpdate(u)
 	if err != nil {
 		rt.Fatal(err)
@@ -117,24 +117,24 @@
 	return out
 }
 
-// A balancer's deltas never need a second try: only a view whose service loses
-// its entry does.
-func TestBalancersDeltasAlwaysFit(t *testing.T) {
+// A balancer's deltas must always lead to control's table; only the view of a service whose
+// entry is removed may need a snapshot instead.
+func TestBalancersNeedNoSecondDelta(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := newHistory()
 		next := table.AgentNumber(0)
-		newest := mutate(rt, &table.Table{}, &next)
+		newest := drawNextTable(rt, &table.Table{}, &next)
 		h.advance(newest)
-		held, err := applyUpdate(&table.Table{}, h.since(view{role: RoleBalancer}, 0))
+		held, err := applyUpdate(&table.Table{}, h.updateSince(view{role: RoleBalancer}, 0))
 		if err != nil {
 			rt.Fatal(err)
 		}
 		for range 10 {
-			newest = mutate(rt, newest, &next)
+			newest = drawNextTable(rt, newest, &next)
 			h.advance(newest)
-			u := h.since(view{role: RoleBalancer}, held.Revision)
+			u := h.updateSince(view{role: RoleBalancer}, held.Revision)
 			if u.From == 0 {
-				rt.Fatal("history should reach")
+				rt.Fatal("got a snapshot, want a delta")
 			}
 			if held, err = applyUpdate(held, u); err != nil {
 				rt.Fatal(err)
@@ -143,8 +143,8 @@
 	})
 }
 
-// More removals than are remembered: whoever holds a revision from before gets
-// the whole table instead of a delta that would keep removed targets alive.
+// After more removals than there are tombstones, a subscriber with an older revision must get
+// a snapshot, as a delta would keep removed targets.
 func TestForgottenRemovalsForceAWholeTable(t *testing.T) {
 	is := is.New(t)
 	h := newHistory()
@@ -155,15 +155,15 @@
 	h.advance(full)
 	half := &table.Table{Revision: 2, Targets: full.Targets[20:]}
 	h.advance(half)
-	is.Equal(h.since(view{role: RoleBalancer}, 1).From, table.Revision(1))
+	is.Equal(h.updateSince(view{role: RoleBalancer}, 1).From, table.Revision(1))
 	h.advance(&table.Table{Revision: 3})
-	is.Equal(h.since(view{role: RoleBalancer}, 1).From, table.Revision(0))
-	is.Equal(len(h.goneTargets), tombstoneLimit)
+	is.Equal(h.updateSince(view{role: RoleBalancer}, 1).From, table.Revision(0))
+	is.Equal(len(h.removedTargets), tombstoneLimit)
 }
 
-// Control's own state machine is wrong, or restarted from an old copy: a table
-// that isn't newer is never handed out.
-func TestHistoryNeverGoesBack(t *testing.T) {
+// If control's state machine fails or restarts from an old copy, a table that isn't newer
+// must never be distributed.
+func TestHistoryIgnoresTablesThatAreNotNewer(t *testing.T) {
 	is := is.New(t)
 	h := newHistory()
 	is.True(h.advance(smallTable(5)))
@@ -172,13 +172,12 @@
 	is.Equal(h.revision, table.Revision(5))
 }
 
-// A peer sends an update that lies about its sizes: it is refused, and takes
-// neither memory nor the process with it.
+// An update with forged sizes must be refused without using much memory or a panic.
 func TestForgedUpdatesAreRefused(t *testing.T) {
 	is := is.New(t)
 	h := newHistory()
 	h.advance(smallTable(5))
-	u := h.since(view{role: RoleBalancer}, 0)
+	u := h.updateSince(view{role: RoleBalancer}, 0)
 	good, deflated, err := encodeUpdate(u)
 	is.NoErr(err)
 	is.True(deflated)
@@ -186,72 +185,72 @@
 		_, err := decodeUpdate(0, 5, good[:cut], true)
 		is.True(err != nil)
 	}
-	c := sharesOf(u.Targets)
+	c := shareColumnsOf(u.Targets)
 	c.Count = 1 << 40
 	_, err = c.targets()
-	is.True(errors.Is(err, errBody))
+	is.True(errors.Is(err, errMalformedUpdate))
 
-	bomb, err := deflate(make([]byte, bodyLimit+1))
+	bomb, err := deflate(make([]byte, updateLimitBytes+1))
 	is.NoErr(err)
 	_, err = decodeUpdate(0, 5, bomb, true)
-	is.True(errors.Is(err, errBody))
+	is.True(errors.Is(err, errMalformedUpdate))
 
-	var a assembly
-	_, _, err = a.add(&part{From: 1, To: 2, Total: bodyLimit + 1})
+	var a partAssembler
+	_, _, err = a.add(&part{From: 1, To: 2, Total: updateLimitBytes + 1})
 	is.True(errors.Is(err, errProtocol))
 	_, _, err = a.add(&part{From: 1, To: 2, Total: 3, Data: make([]byte, 4)})
 	is.True(errors.Is(err, errProtocol))
 }
 
-// A control VM that is restored from an old copy sends its whole table, or a
-// delta that builds on another revision: the subscriber keeps what it has.
+// A control VM restored from an old copy may send an older snapshot, or a delta with
+// another base revision. The subscriber must keep its table.
 func TestOlderTablesAreRefused(t *testing.T) {
 	is := is.New(t)
 	h := newHistory()
 	h.advance(smallTable(5))
-	whole := h.since(view{role: RoleBalancer}, 0)
+	whole := h.updateSince(view{role: RoleBalancer}, 0)
 	held, err := applyUpdate(&table.Table{}, whole)
 	is.NoErr(err)
 	newer := *held
 	newer.Revision = 6
 	_, err = applyUpdate(&newer, whole)
-	is.True(errors.Is(err, errLower))
+	is.True(errors.Is(err, errLowerRevision))
 	_, err = applyUpdate(&newer, &update{From: 5, To: 7})
-	is.True(errors.Is(err, errBase))
-	is.Equal(len(newer.Targets), 10) // what is held isn't touched
+	is.True(errors.Is(err, errOtherBase))
+	is.Equal(len(newer.Targets), 10) // the held table isn't modified
 }
 
-// FuzzUpdate feeds a subscriber updates of any bytes: it takes them or refuses
-// them, and its own table stays as it is.
+// FuzzUpdate decodes and applies updates of arbitrary bytes. An accepted one must match its
+// digest, and the held table must not be modified.
 func FuzzUpdate(f *testing.F) {
 	h := newHistory()
 	h.advance(smallTable(5))
 	h.advance(withWeight(smallTable(5), 3, 9))
 	for _, from := range []table.Revision{0, 5} {
-		data, deflated, err := encodeUpdate(h.since(view{role: RoleBalancer}, from))
+		data, deflated, err := encodeUpdate(h.updateSince(view{role: RoleBalancer}, from))
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(uint64(from), data, deflated)
 	}
-	raw, err := bodyOf(h.since(view{role: RoleBalancer}, 0)).MarshalMsg(nil)
+	raw, err := columnarUpdateOf(h.updateSince(view{role: RoleBalancer}, 0)).MarshalMsg(nil)
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(uint64(0), raw, false)
 	held := smallTable(5)
-	before := digest(held)
+	before := tableDigest(held)
 	f.Fuzz(func(t *testing.T, from uint64, data []byte, deflated bool) {
 		u, err := decodeUpdate(table.Revision(from), 6, data, deflated)
 		if err != nil {
 			return
 		}
 		next, err := applyUpdate(held, u)
-		if err == nil && digest(next) != u.Digest {
-			t.Fatal("a table without its digest was taken")
+		if err == nil && tableDigest(next) != u.Digest {
+			t.Fatal("accepted a table that doesn't match its digest")
 		}
-		if digest(held) != before {
-			t.Fatal("the table in use was changed")
+		if tableDigest(held) != before {
+			t.Fatal("modified the held table")
 		}
 	})
 }
--- a/internal/distribution/main_test.go
+++ b/internal/distribution/main_test.go
@@ -7,9 +7,8 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fixes the seed of the generated tests, so that the verdict is the same
-// each time; another is tried with -rapid.seed. It fails where streams leave
-// goroutines behind.
+// TestMain sets a fixed seed for the property tests, so that their result is reproducible;
+// -rapid.seed sets another one. It fails if streams leak goroutines.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == f.DefValue {
--- a/internal/distribution/measure_streams_test.go
+++ b/internal/distribution/measure_streams_test.go
@@ -14,12 +14,12 @@
 	"bergamotstall/internal/metrics"
 )
 
-// TestMeasureAtRest prints what an idle stream costs: bytes a second, and the
-// server's memory and processor time with a peer that only beats.
+// TestMeasureAtRest prints the cost of an idle stream: bytes per second, and the memory and
+// CPU time of both ends.
 func TestMeasureAtRest(t *testing.T) {
-	measured(t)
+	requireMeasure(t)
 	const watch = 20 * time.Second
-	t.Log("TLS | streams | bytes/s to subscriber | bytes/s to server | heap and stacks a stream | processor time a stream a second")
+	t.Log("TLS | streams | bytes/s to subscriber | bytes/s to server | heap and stacks per stream | CPU time per stream and second")
 	for _, secured := range []bool{false, true} {
 		for _, streams := range []int{100, 300, 900} {
 			measureAtRest(t, secured, streams, watch)
@@ -29,7 +29,7 @@
 
 func measureAtRest(t *testing.T, secured bool, streams int, watch time.Duration) {
 	t.Helper()
-	l := newLab(t, secured)
+	l := newTestLab(t, secured)
 	server := l.server(newFakeControl(smallTable(5)))
 	defer server.Close()
 	before := heap()
@@ -39,23 +39,23 @@
 	}
 	time.Sleep(2 * time.Second)
 	perStream := (heap() - before) / int64(streams)
-	in, out, busy := total(all, "control_bytes_in"), total(all, "control_bytes_out"), processorTime()
+	in, out, busy := sumMetric(all, "control_bytes_in"), sumMetric(all, "control_bytes_out"), processorTime()
 	time.Sleep(watch)
 	seconds := watch.Seconds() * float64(streams)
 	t.Logf("%v | %d | %.0f | %.0f | %d KB (both ends) | %v (both ends)", secured, streams,
-		float64(total(all, "control_bytes_in")-in)/seconds, float64(total(all, "control_bytes_out")-out)/seconds,
+		float64(sumMetric(all, "control_bytes_in")-in)/seconds, float64(sumMetric(all, "control_bytes_out")-out)/seconds,
 		perStream>>10, time.Duration(float64(processorTime()-busy)/seconds))
 	for _, f := range all {
 		f.stop()
 	}
 }
 
-// TestMeasureServerAtRest prints the server's share: its peers are connections
-// on which one goroutine writes all heartbeats and nobody reads, which costs them
-// a socket, a TLS state where there is TLS, and one write a second.
+// TestMeasureServerAtRest prints the server's part of that cost. Its peers are connections
+// that only send heartbeats, many from one goroutine, and never read. Each peer costs a
+// socket, a TLS state if there is TLS, and one write per second.
 func TestMeasureServerAtRest(t *testing.T) {
-	measured(t)
-	t.Log("TLS | streams | heap and stacks a stream | processor time a stream a second")
+	requireMeasure(t)
+	t.Log("TLS | streams | heap and stacks per stream | CPU time per stream and second")
 	for _, secured := range []bool{false, true} {
 		for _, streams := range []int{300, 900, 1500} {
 			measureServerAtRest(t, secured, streams, 10*time.Second)
@@ -65,7 +65,7 @@
 
 func measureServerAtRest(t *testing.T, secured bool, streams int, watch time.Duration) {
 	t.Helper()
-	l := newLab(t, secured)
+	l := newTestLab(t, secured)
 	server := l.server(newFakeControl(smallTable(5)))
 	defer server.Close()
 	var peers []*keys.Store
@@ -90,15 +90,15 @@
 				t.Fatal(err)
 			}
 		}
-		c := framing.NewConn(raw, frameLimit, 0)
-		opening := hello{Role: RoleAgent, Have: 5, Announcement: Announcement{Name: name, Incarnation: 1, Service: "none"}}
+		c := framing.NewConn(raw, frameLimitBytes, 0)
+		opening := hello{Role: RoleAgent, Held: 5, Announcement: Announcement{Name: name, Incarnation: 1, Service: "none"}}
 		if _, err := c.Write(kindHello, &opening); err != nil {
 			t.Fatal(err)
 		}
 		all = append(all, c)
-		if len(all)%beatGroup == 0 {
-			group := all[len(all)-beatGroup:]
-			beating.Go(func() { beatAll(group, done) })
+		if len(all)%heartbeatGroupSize == 0 {
+			group := all[len(all)-heartbeatGroupSize:]
+			beating.Go(func() { sendGroupHeartbeats(group, done) })
 		}
 	}
 	eventually(t, "attached", func() bool { return len(server.Subscribers()) == streams })
@@ -108,14 +108,15 @@
 	time.Sleep(watch)
 	each := time.Duration(float64(processorTime()-busy) / (watch.Seconds() * float64(streams)))
 	if n := len(server.Subscribers()); n != streams {
-		t.Errorf("%d of %d streams left", n, streams)
+		t.Errorf("%d of %d streams are still attached", n, streams)
 	}
 	t.Logf("%v | %d | %.1f KB | %v", secured, streams, float64(memory)/float64(streams)/1024, each)
 	close(done)
 	beating.Wait()
 }
 
-// writeHeapProfile shows which end of a stream holds what, where a file is named.
+// writeHeapProfile writes a heap profile, which tells the memory of both ends apart, to the
+// file in BERGAMOTSTALL_MEASURE_PROFILE, if set.
 func writeHeapProfile(t *testing.T) {
 	t.Helper()
 	path := os.Getenv("BERGAMOTSTALL_MEASURE_PROFILE")
@@ -132,28 +133,28 @@
 	}
 }
 
-// beatGroup is how many connections one goroutine beats for.
-const beatGroup = 100
+// heartbeatGroupSize is how many connections one goroutine sends heartbeats on.
+const heartbeatGroupSize = 100
 
-// beatAll writes a heartbeat on each connection once a second, evenly.
-func beatAll(group []*framing.Conn, done <-chan struct{}) {
-	pause := time.NewTicker(time.Second / beatGroup)
+// sendGroupHeartbeats sends a heartbeat on each connection once a second, evenly spaced.
+func sendGroupHeartbeats(group []*framing.Conn, done <-chan struct{}) {
+	pause := time.NewTicker(time.Second / heartbeatGroupSize)
 	defer pause.Stop()
 	for next := 0; ; next++ {
 		select {
 		case <-done:
 			return
 		case <-pause.C:
-			_, _ = group[next%beatGroup].Write(kindBeat, &beat{Revision: 5, InForce: 5})
+			_, _ = group[next%heartbeatGroupSize].Write(kindHeartbeat, &heartbeat{Revision: 5, InForce: 5})
 		}
 	}
 }
 
-// TestMeasureReconnect prints how long the subscribers of a VM that stops take
-// to be attached elsewhere, and the processor time of both ends for each.
+// TestMeasureReconnect prints how long the subscribers of a stopping VM take to attach to the
+// other VM, and the CPU time of both ends per subscriber.
 func TestMeasureReconnect(t *testing.T) {
-	measured(t)
-	t.Log("TLS | subscribers | first back | all back | processor time a subscriber (both ends)")
+	requireMeasure(t)
+	t.Log("TLS | subscribers | first back | all back | CPU time per subscriber (both ends)")
 	for _, secured := range []bool{false, true} {
 		for _, streams := range []int{100, 300, 900} {
 			measureReconnect(t, secured, streams)
@@ -163,7 +164,7 @@
 
 func measureReconnect(t *testing.T, secured bool, streams int) {
 	t.Helper()
-	l, control := newLab(t, secured), newFakeControl(smallTable(5))
+	l, control := newTestLab(t, secured), newFakeControl(smallTable(5))
 	a, b := l.server(control), l.server(control)
 	defer b.Close()
 	all := l.agents(streams, a.address, b.address)
@@ -179,44 +180,44 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Logf("%v | %d | %v | %v | %v", secured, moving, ms(first), ms(time.Since(start)), (processorTime()-busy)/time.Duration(moving))
+	t.Logf("%v | %d | %v | %v | %v", secured, moving, millis(first), millis(time.Since(start)), (processorTime()-busy)/time.Duration(moving))
 	for _, f := range all {
 		f.stop()
 	}
 }
 
-// lab makes servers and agents with or without TLS.
-type lab struct {
+// testLab starts servers and agents with or without TLS.
+type testLab struct {
 	t       *testing.T
 	secured bool
 	folder  string
 }
 
-func newLab(t *testing.T, secured bool) lab {
+func newTestLab(t *testing.T, secured bool) testLab {
 	t.Helper()
-	l := lab{t: t, secured: secured, folder: t.TempDir()}
+	l := testLab{t: t, secured: secured, folder: t.TempDir()}
 	if err := keys.Init(l.folder); err != nil {
 		t.Fatal(err)
 	}
 	return l
 }
 
-func (l lab) server(control *fakeControl) *running {
+func (l testLab) server(control *fakeControl) *testServer {
 	return serveControl(l.t, control, func(c *ServerConfig) {
-		c.Beat = DefaultBeat
+		c.HeartbeatInterval = DefaultHeartbeatInterval
 		if l.secured {
 			c.TLS = l.store(keys.Control, "control-1").Server(keys.Agent)
 		}
 	})
 }
 
-func (l lab) agents(count int, controls ...string) []*follower {
-	var all []*follower
+func (l testLab) agents(count int, controls ...string) []*testClient {
+	var all []*testClient
 	for i := range count {
 		name := fmt.Sprintf("agent-%d", i)
 		all = append(all, startClient(l.t, name, func(c *ClientConfig) {
 			asAgent("cartoons")(c)
-			c.Beat, c.Seed = DefaultBeat, uint64(i+1)
+			c.HeartbeatInterval, c.Seed = DefaultHeartbeatInterval, uint64(i+1)
 			if l.secured {
 				c.TLS = l.store(keys.Agent, name).Client(keys.Control)
 			}
@@ -225,20 +226,20 @@
 	return all
 }
 
-func (l lab) store(role keys.Role, name string) *keys.Store {
+func (l testLab) store(role keys.Role, name string) *keys.Store {
 	l.t.Helper()
 	files, err := keys.Issue(l.folder, role, name, loopback)
 	if err != nil {
 		l.t.Fatal(err)
 	}
-	s, err := keys.Load(files, quiet(), metrics.New())
+	s, err := keys.Load(files, discardLog(), metrics.New())
 	if err != nil {
 		l.t.Fatal(err)
 	}
 	return s
 }
 
-func total(all []*follower, name string) int64 {
+func sumMetric(all []*testClient, name string) int64 {
 	var n int64
 	for _, f := range all {
 		n += f.metrics.Value(name)
--- a/internal/distribution/measure_test.go
+++ b/internal/distribution/measure_test.go
@@ -17,27 +17,27 @@
 	"bergamotstall/internal/table"
 )
 
-// measured skips a test that prints figures instead of judging. docs/DISTRIBUTION.md
-// has the command for each table.
-func measured(t *testing.T) {
+// requireMeasure skips a test that only prints figures, unless BERGAMOTSTALL_MEASURE is set.
+// docs/DISTRIBUTION.md has the command for each table.
+func requireMeasure(t *testing.T) {
 	t.Helper()
 	if os.Getenv("BERGAMOTSTALL_MEASURE") == "" {
 		t.Skip("set BERGAMOTSTALL_MEASURE=1 to print figures")
 	}
 }
 
-func packed(t *testing.T, u *update) (raw, wire int) {
+func encodedSizes(t *testing.T, u *update) (raw, wire int) {
 	t.Helper()
 	e := newEncoded(u)
 	e.encode()
 	if e.err != nil {
 		t.Fatal(e.err)
 	}
-	b, err := bodyOf(u).MarshalMsg(nil)
+	b, err := columnarUpdateOf(u).MarshalMsg(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return len(b), e.size
+	return len(b), e.frameBytes
 }
 
 func deflated(t *testing.T, m msgp.Marshaler) (raw, small int) {
@@ -53,26 +53,26 @@
 	return len(b), len(z)
 }
 
-// TestMeasureTableBytes prints what a whole table takes, as rows and as columns.
+// TestMeasureTableBytes prints the encoded size of a whole table as rows and as columns.
 func TestMeasureTableBytes(t *testing.T) {
-	measured(t)
+	requireMeasure(t)
 	t.Log("hosts | rows | rows deflated | columns | columns deflated | balancer's whole table | agent's whole table | at 5 KB/s | at 20 KB/s")
 	for _, hosts := range []int{120, 1200, 12000} {
 		full := largeTable(5, hosts)
 		rows, rowsSmall := deflated(t, full)
 		h := newHistory()
 		h.advance(full)
-		columns, size := packed(t, h.since(view{role: RoleBalancer}, 0))
-		_, small := deflated(t, bodyOf(h.since(view{role: RoleBalancer}, 0)))
-		_, agent := packed(t, h.since(view{role: RoleAgent, service: "service-1"}, 0))
+		columns, size := encodedSizes(t, h.updateSince(view{role: RoleBalancer}, 0))
+		_, small := deflated(t, columnarUpdateOf(h.updateSince(view{role: RoleBalancer}, 0)))
+		_, agent := encodedSizes(t, h.updateSince(view{role: RoleAgent, service: "service-1"}, 0))
 		t.Logf("%d | %d | %d | %d | %d | %d | %d | %.1f s | %.1f s", hosts, rows, rowsSmall, columns, small, size, agent,
-			float64(size)/DefaultBytesPerSecond, float64(size)/(snapshotFactor*DefaultBytesPerSecond))
+			float64(size)/DefaultBytesPerSecond, float64(size)/(snapshotRateFactor*DefaultBytesPerSecond))
 	}
 }
 
-// TestMeasureChangeBytes prints what one change takes for each role.
+// TestMeasureChangeBytes prints the encoded size of single changes for each role.
 func TestMeasureChangeBytes(t *testing.T) {
-	measured(t)
+	requireMeasure(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	t.Log("hosts | change | balancer | agent of the service | agent of another")
 	for _, hosts := range []int{120, 1200, 12000} {
@@ -91,7 +91,7 @@
 			{"one balancer joined", func(n *table.Table) {
 				n.Balancers = append(n.Balancers, table.Balancer{Name: "balancer-new", DataCentre: "region-0-dc-00", Tunnel: "10.0.0.1:7000"})
 			}},
-			{"preset switched, weights in 7 classes", func(n *table.Table) { *n = *switched(full, "peak") }},
+			{"preset switched, weights in 7 classes", func(n *table.Table) { *n = *withPreset(full, "peak") }},
 			{"preset switched, every weight its own", func(n *table.Table) {
 				for i := range n.Targets {
 					n.Targets[i].PreviousWeight, n.Targets[i].Weight = n.Targets[i].Weight, uint32(random.IntN(1000))
@@ -106,24 +106,23 @@
 			h := newHistory()
 			h.advance(full)
 			h.advance(&next)
-			_, balancer := packed(t, h.since(view{role: RoleBalancer}, 5))
-			_, own := packed(t, h.since(view{role: RoleAgent, service: full.Services[0].Name}, 5))
-			_, other := packed(t, h.since(view{role: RoleAgent, service: full.Services[len(full.Services)-1].Name}, 5))
+			_, balancer := encodedSizes(t, h.updateSince(view{role: RoleBalancer}, 5))
+			_, own := encodedSizes(t, h.updateSince(view{role: RoleAgent, service: full.Services[0].Name}, 5))
+			_, other := encodedSizes(t, h.updateSince(view{role: RoleAgent, service: full.Services[len(full.Services)-1].Name}, 5))
 			t.Logf("%d | %s | %d | %d | %d", hosts, c.name, balancer, own, other)
 		}
 	}
 }
 
-// TestMeasureWork prints the processor time of each step and the memory of a
-// table.
+// TestMeasureWork prints the time of each step of an update and the memory of a table.
 func TestMeasureWork(t *testing.T) {
-	measured(t)
+	requireMeasure(t)
 	t.Log("hosts | advance, one change | encode whole | decode and apply whole | apply one change | write state file | heap of a table")
 	for _, hosts := range []int{120, 1200, 12000} {
 		full := largeTable(5, hosts)
 		h := newHistory()
 		h.advance(full)
-		whole := h.since(view{role: RoleBalancer}, 0)
+		whole := h.updateSince(view{role: RoleBalancer}, 0)
 		next := withWeight(full, 0, 7)
 		advance := timed(func() { h.advance(next) })
 		var data []byte
@@ -141,7 +140,7 @@
 			}
 		})
 		size := heap() - before
-		delta := h.since(view{role: RoleBalancer}, 5)
+		delta := h.updateSince(view{role: RoleBalancer}, 5)
 		apply := timed(func() {
 			if _, err := applyUpdate(held, delta); err != nil {
 				t.Fatal(err)
@@ -158,9 +157,9 @@
 	}
 }
 
-// BenchmarkEveryView makes the update of each of 2,100 services' agents and of the
-// balancers after a change that all of them see. One VM of nine has about two
-// thirds of these views among its subscribers.
+// BenchmarkEveryView makes the updates for the agents of each of 2,100 services and for the
+// balancers after a change that is in every view. One VM of nine has about two thirds of
+// these views among its subscribers.
 func BenchmarkEveryView(b *testing.B) {
 	full := largeTable(5, 12000)
 	for _, c := range []struct {
@@ -173,7 +172,7 @@
 			n.Balancers = append(slices.Clone(t.Balancers), table.Balancer{Name: "balancer-new", DataCentre: "region-0-dc-00", Tunnel: "10.0.0.1:7000"})
 			return &n
 		}},
-		{"preset switched", func(t *table.Table) *table.Table { return switched(t, "peak") }},
+		{"preset switched", func(t *table.Table) *table.Table { return withPreset(t, "peak") }},
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			b.ReportAllocs()
@@ -215,16 +214,16 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// TestMeasureInForce prints the time from a change at control to its being
-// applied by every subscriber, each link at 5 KB/s.
+// TestMeasureInForce prints the time from a change at control until every subscriber has
+// applied it, with 5 KB/s per link.
 func TestMeasureInForce(t *testing.T) {
-	measured(t)
-	t.Log("hosts | change | subscribers | p50 | p99 | max | time for all p50 | max | bytes a change a subscriber")
+	requireMeasure(t)
+	t.Log("hosts | change | subscribers | p50 | p99 | max | time for all p50 | max | bytes per change and subscriber")
 	for _, hosts := range []int{10, 1200, 12000} {
 		for _, subscribers := range []int{3, 30, 300} {
 			t.Run(fmt.Sprintf("%d/%d", hosts, subscribers), func(t *testing.T) {
 				measureInForce(t, hosts, subscribers, "one weight", 20, 500*time.Millisecond, func(x *table.Table) *table.Table { return withWeight(x, 0, uint32(x.Revision)) })
-				measureInForce(t, hosts, subscribers, "preset switched", 4, 4*time.Second, func(x *table.Table) *table.Table { return switched(x, "peak") })
+				measureInForce(t, hosts, subscribers, "preset switched", 4, 4*time.Second, func(x *table.Table) *table.Table { return withPreset(x, "peak") })
 			})
 		}
 	}
@@ -233,7 +232,7 @@
 func measureInForce(t *testing.T, hosts, subscribers int, name string, changes int, pause time.Duration, change func(*table.Table) *table.Table) {
 	t.Helper()
 	control := newFakeControl(largeTable(5, hosts))
-	server := serveControl(t, control, func(c *ServerConfig) { c.Beat, c.SnapshotBytesPerSecond = DefaultBeat, 1<<20 })
+	server := serveControl(t, control, func(c *ServerConfig) { c.HeartbeatInterval, c.SnapshotBytesPerSecond = DefaultHeartbeatInterval, 1<<20 })
 	defer server.Close()
 	arrived := make(chan time.Time, subscribers)
 	var all []*timedClient
@@ -263,19 +262,19 @@
 	slices.Sort(each)
 	slices.Sort(whole)
 	t.Logf("%d | %s | %d | %v | %v | %v | %v | %v | %.0f", hosts, name, subscribers,
-		ms(each[len(each)/2]), ms(each[len(each)*99/100]), ms(each[len(each)-1]), ms(whole[len(whole)/2]), ms(whole[len(whole)-1]), perChange)
+		millis(each[len(each)/2]), millis(each[len(each)*99/100]), millis(each[len(each)-1]), millis(whole[len(whole)/2]), millis(whole[len(whole)-1]), perChange)
 }
 
-func ms(d time.Duration) string { return fmt.Sprintf("%.1f ms", float64(d.Microseconds())/1000) }
+func millis(d time.Duration) string { return fmt.Sprintf("%.1f ms", float64(d.Microseconds())/1000) }
 
-// timedClient tells when it applied a table, and keeps none.
+// timedClient reports when it applied a table, and keeps no tables.
 type timedClient struct {
 	metrics *metrics.Set
 	stop    func()
 }
 
 func newTimedClient(t *testing.T, name, address string, arrived chan<- time.Time) *timedClient {
-	f := startClient(t, name, func(c *ClientConfig) { c.Beat = DefaultBeat }, address)
+	f := startClient(t, name, func(c *ClientConfig) { c.HeartbeatInterval = DefaultHeartbeatInterval }, address)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.onApply = func(*table.Table) error { arrived <- time.Now(); return nil }
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -7,63 +7,63 @@
 	"bergamotstall/internal/table"
 )
 
-// Kinds of frames on a subscriber's stream.
+// Frame kinds on a subscriber's stream, with the message in each.
 const (
 	// Subscriber to server.
-	kindHello    framing.Kind = iota + 1 // hello, first frame
-	kindAnnounce                         // Announcement, again
-	kindBeat                             // beat, both ways
+	kindHello     framing.Kind = iota + 1 // hello, first frame
+	kindAnnounce                          // Announcement, changed or repeated
+	kindHeartbeat                         // heartbeat, in both directions
 	// Server to subscriber.
 	kindWelcome // welcome, first frame
-	kindNumber  // number
+	kindNumber  // numberAssignment
 	kindRefusal // refusal, last frame
 	kindPart    // part
-	// Subscriber to server: the table it holds isn't what the server thinks.
-	kindResync // beat
+	// Subscriber to server: the subscriber's table isn't the one that the server assumes.
+	kindResync // heartbeat
 )
 
-// frameHeader is the bytes of a frame beside its body.
-const frameHeader = 5
+// frameHeaderBytes is the size of a frame without its body.
+const frameHeaderBytes = 5
 
-// encodable is a message that can be sent.
-type encodable = msgp.Marshaler
+// message is a message that can be sent in a frame.
+type message = msgp.Marshaler
 
 // hello opens a stream.
 type hello struct {
 	Role         Role         `msg:"r"`
 	Announcement Announcement `msg:"a"`
-	// Have is the revision the subscriber holds, 0 for none.
-	Have table.Revision `msg:"h"`
+	// Held is the revision that the subscriber holds, 0 for none.
+	Held table.Revision `msg:"h"`
 	// Digest is that of the table held.
 	Digest uint64 `msg:"d"`
-	// InForce is the revision in force; see beat.
+	// InForce is the revision in force; see heartbeat.
 	InForce table.Revision `msg:"f"`
 }
 
-// welcome answers a hello.
+// welcome is the server's answer to a hello.
 type welcome struct {
-	Control string `msg:"n"`
-	Beat    beat   `msg:"b"`
+	Control   string    `msg:"n"`
+	Heartbeat heartbeat `msg:"b"`
 }
 
-// beat says that its sender is alive, and where it stands.
-type beat struct {
-	// Revision is what the server has, or what the subscriber holds.
+// heartbeat tells that its sender is alive, and its state.
+type heartbeat struct {
+	// Revision is the server's newest revision, or the one that the subscriber holds.
 	Revision table.Revision `msg:"r"`
-	// InForce is the revision that the subscriber's data path runs on. It is lower
-	// than Revision where the data path refused a table: deltas go on from the one
-	// held, but nobody may be told that it is in force. A server leaves it 0.
+	// InForce is the revision that the subscriber's data path uses. It is lower than
+	// Revision if the data path refused a table: deltas build on the held table, but it
+	// must not be reported as in force. A server leaves it 0.
 	InForce table.Revision `msg:"f"`
-	// ContactAgeMS is the server's quorum contact age in milliseconds.
+	// ContactAgeMS is the server's quorum contact age in milliseconds; see Source.
 	ContactAgeMS int64 `msg:"c"`
 }
 
-// number tells an agent the number of its incarnation.
-type number struct {
+// numberAssignment tells an agent the number of its incarnation.
+type numberAssignment struct {
 	Agent table.AgentNumber `msg:"g"`
 }
 
-// refusalReason says why a server ends a stream.
+// refusalReason is why a server ends a stream.
 type refusalReason uint8
 
 const (
@@ -73,7 +73,7 @@
 	refusedProtocol
 )
 
-// String returns the reason as counters name it.
+// String returns the reason as used in counter names.
 func (r refusalReason) String() string {
 	switch r {
 	case refusedBusy:
@@ -88,22 +88,22 @@
 	return "unknown"
 }
 
-// refusal ends a stream.
+// refusal is the server's last message when it ends a stream.
 type refusal struct {
 	Reason refusalReason `msg:"r"`
-	// RetryAfterMS is how long to keep away from this VM, in milliseconds.
+	// RetryAfterMS is how long the subscriber must not retry this VM, in milliseconds.
 	RetryAfterMS int64 `msg:"w"`
 }
 
-// part is a piece of an update. A large update travels in pieces, so that a
-// heartbeat never waits behind it and the byte budget paces it.
+// part is a part of an update. A large update is sent in parts, so that heartbeats don't
+// wait for it and the byte budget can pace it.
 type part struct {
-	// From is the revision the update builds on; 0 marks a whole table.
+	// From is the revision that the update builds on, 0 for a snapshot.
 	From table.Revision `msg:"f"`
 	To   table.Revision `msg:"t"`
-	// Total is the update's encoded size in bytes, the same in each part.
+	// Total is the encoded size of the whole update in bytes, the same in each part.
 	Total int `msg:"n"`
-	// Deflated updates are compressed as a whole.
+	// Deflated is set if the update, as a whole, is compressed.
 	Deflated bool   `msg:"z"`
 	Data     []byte `msg:"d"`
 }
--- a/internal/distribution/messages_gen.go
+++ b/internal/distribution/messages_gen.go
@@ -7,7 +7,7 @@
 )
 
 // DecodeMsg implements msgp.Decodable
-func (z *beat) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *heartbeat) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -54,7 +54,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *beat) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *heartbeat) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 3
 	// write "r"
 	err = en.Append(0x83, 0xa1, 0x72)
@@ -90,7 +90,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *beat) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *heartbeat) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
 	// string "r"
@@ -114,7 +114,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *beat) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *heartbeat) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -162,7 +162,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *beat) Msgsize() (s int) {
+func (z *heartbeat) Msgsize() (s int) {
 	s = 1 + 2 + z.Revision.Msgsize() + 2 + z.InForce.Msgsize() + 2 + msgp.Int64Size
 	return
 }
@@ -198,9 +198,9 @@
 				return
 			}
 		case "h":
-			err = z.Have.DecodeMsg(dc)
+			err = z.Held.DecodeMsg(dc)
 			if err != nil {
-				err = msgp.WrapError(err, "Have")
+				err = msgp.WrapError(err, "Held")
 				return
 			}
 		case "d":
@@ -254,9 +254,9 @@
 	if err != nil {
 		return
 	}
-	err = z.Have.EncodeMsg(en)
+	err = z.Held.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "Have")
+		err = msgp.WrapError(err, "Held")
 		return
 	}
 	// write "d"
@@ -302,9 +302,9 @@
 	}
 	// string "h"
 	o = append(o, 0xa1, 0x68)
-	o, err = z.Have.MarshalMsg(o)
+	o, err = z.Held.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Have")
+		err = msgp.WrapError(err, "Held")
 		return
 	}
 	// string "d"
@@ -351,9 +351,9 @@
 				return
 			}
 		case "h":
-			bts, err = z.Have.UnmarshalMsg(bts)
+			bts, err = z.Held.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Have")
+				err = msgp.WrapError(err, "Held")
 				return
 			}
 		case "d":
@@ -382,12 +382,12 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *hello) Msgsize() (s int) {
-	s = 1 + 2 + z.Role.Msgsize() + 2 + z.Announcement.Msgsize() + 2 + z.Have.Msgsize() + 2 + msgp.Uint64Size + 2 + z.InForce.Msgsize()
+	s = 1 + 2 + z.Role.Msgsize() + 2 + z.Announcement.Msgsize() + 2 + z.Held.Msgsize() + 2 + msgp.Uint64Size + 2 + z.InForce.Msgsize()
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *number) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *numberAssignment) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -422,7 +422,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *number) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *numberAssignment) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 1
 	// write "g"
 	err = en.Append(0x81, 0xa1, 0x67)
@@ -438,7 +438,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *number) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *numberAssignment) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "g"
@@ -452,7 +452,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *number) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *numberAssignment) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -488,7 +488,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *number) Msgsize() (s int) {
+func (z *numberAssignment) Msgsize() (s int) {
 	s = 1 + 2 + z.Agent.Msgsize()
 	return
 }
@@ -920,39 +920,39 @@
 			var zb0002 uint32
 			zb0002, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Beat")
+				err = msgp.WrapError(err, "Heartbeat")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
-					err = msgp.WrapError(err, "Beat")
+					err = msgp.WrapError(err, "Heartbeat")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "r":
-					err = z.Beat.Revision.DecodeMsg(dc)
+					err = z.Heartbeat.Revision.DecodeMsg(dc)
 					if err != nil {
-						err = msgp.WrapError(err, "Beat", "Revision")
+						err = msgp.WrapError(err, "Heartbeat", "Revision")
 						return
 					}
 				case "f":
-					err = z.Beat.InForce.DecodeMsg(dc)
+					err = z.Heartbeat.InForce.DecodeMsg(dc)
 					if err != nil {
-						err = msgp.WrapError(err, "Beat", "InForce")
+						err = msgp.WrapError(err, "Heartbeat", "InForce")
 						return
 					}
 				case "c":
-					z.Beat.ContactAgeMS, err = dc.ReadInt64()
+					z.Heartbeat.ContactAgeMS, err = dc.ReadInt64()
 					if err != nil {
-						err = msgp.WrapError(err, "Beat", "ContactAgeMS")
+						err = msgp.WrapError(err, "Heartbeat", "ContactAgeMS")
 						return
 					}
 				default:
 					err = dc.Skip()
 					if err != nil {
-						err = msgp.WrapError(err, "Beat")
+						err = msgp.WrapError(err, "Heartbeat")
 						return
 					}
 				}
@@ -992,9 +992,9 @@
 	if err != nil {
 		return
 	}
-	err = z.Beat.Revision.EncodeMsg(en)
+	err = z.Heartbeat.Revision.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "Beat", "Revision")
+		err = msgp.WrapError(err, "Heartbeat", "Revision")
 		return
 	}
 	// write "f"
@@ -1002,9 +1002,9 @@
 	if err != nil {
 		return
 	}
-	err = z.Beat.InForce.EncodeMsg(en)
+	err = z.Heartbeat.InForce.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "Beat", "InForce")
+		err = msgp.WrapError(err, "Heartbeat", "InForce")
 		return
 	}
 	// write "c"
@@ -1012,9 +1012,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteInt64(z.Beat.ContactAgeMS)
+	err = en.WriteInt64(z.Heartbeat.ContactAgeMS)
 	if err != nil {
-		err = msgp.WrapError(err, "Beat", "ContactAgeMS")
+		err = msgp.WrapError(err, "Heartbeat", "ContactAgeMS")
 		return
 	}
 	return
@@ -1032,21 +1032,21 @@
 	// map header, size 3
 	// string "r"
 	o = append(o, 0x83, 0xa1, 0x72)
-	o, err = z.Beat.Revision.MarshalMsg(o)
+	o, err = z.Heartbeat.Revision.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Beat", "Revision")
+		err = msgp.WrapError(err, "Heartbeat", "Revision")
 		return
 	}
 	// string "f"
 	o = append(o, 0xa1, 0x66)
-	o, err = z.Beat.InForce.MarshalMsg(o)
+	o, err = z.Heartbeat.InForce.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Beat", "InForce")
+		err = msgp.WrapError(err, "Heartbeat", "InForce")
 		return
 	}
 	// string "c"
 	o = append(o, 0xa1, 0x63)
-	o = msgp.AppendInt64(o, z.Beat.ContactAgeMS)
+	o = msgp.AppendInt64(o, z.Heartbeat.ContactAgeMS)
 	return
 }
 
@@ -1078,39 +1078,39 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Beat")
+				err = msgp.WrapError(err, "Heartbeat")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Beat")
+					err = msgp.WrapError(err, "Heartbeat")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "r":
-					bts, err = z.Beat.Revision.UnmarshalMsg(bts)
+					bts, err = z.Heartbeat.Revision.UnmarshalMsg(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Beat", "Revision")
+						err = msgp.WrapError(err, "Heartbeat", "Revision")
 						return
 					}
 				case "f":
-					bts, err = z.Beat.InForce.UnmarshalMsg(bts)
+					bts, err = z.Heartbeat.InForce.UnmarshalMsg(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Beat", "InForce")
+						err = msgp.WrapError(err, "Heartbeat", "InForce")
 						return
 					}
 				case "c":
-					z.Beat.ContactAgeMS, bts, err = msgp.ReadInt64Bytes(bts)
+					z.Heartbeat.ContactAgeMS, bts, err = msgp.ReadInt64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Beat", "ContactAgeMS")
+						err = msgp.WrapError(err, "Heartbeat", "ContactAgeMS")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Beat")
+						err = msgp.WrapError(err, "Heartbeat")
 						return
 					}
 				}
@@ -1129,6 +1129,6 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *welcome) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Control) + 2 + 1 + 2 + z.Beat.Revision.Msgsize() + 2 + z.Beat.InForce.Msgsize() + 2 + msgp.Int64Size
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Control) + 2 + 1 + 2 + z.Heartbeat.Revision.Msgsize() + 2 + z.Heartbeat.InForce.Msgsize() + 2 + msgp.Int64Size
 	return
 }
--- a/internal/distribution/publish.go
+++ b/internal/distribution/publish.go
@@ -10,56 +10,56 @@
 )
 
 const (
-	// partSize is the piece in which updates travel: at 5 KB/s a piece takes under
-	// half a second, so heartbeats between pieces keep their time.
-	partSize = 2 << 10
-	// keptSnapshots bounds the encoded tables that are kept for the next who asks.
-	// Balancers share one; agents of one service share one of some 20 KB.
-	keptSnapshots = 256
-	// snapshotLag is how many revisions old a kept table may be: a delta follows
-	// it, which is far cheaper than encoding 12,000 hosts for each that asks while
-	// the table changes.
-	snapshotLag = 64
+	// partBytes is the size of an update's parts. At 5 KB/s a part takes less than half a
+	// second, so heartbeats between parts stay on time.
+	partBytes = 2 << 10
+	// snapshotCacheLimit bounds the encoded snapshots that are kept for reuse. All balancers
+	// share one; the agents of a service share one of about 20 KB.
+	snapshotCacheLimit = 256
+	// snapshotMaxLag is how many revisions old a cached snapshot may be. A delta follows it,
+	// which is far cheaper than encoding 12,000 hosts for each request while the table
+	// changes.
+	snapshotMaxLag = 64
 )
 
-// encoded is an update as it goes to every subscriber that needs it.
-type encoded struct {
+// encodedUpdate is an update encoded once for all subscribers that need it.
+type encodedUpdate struct {
 	from, to table.Revision
-	// size counts the frames whole, headers included.
-	size  int
-	parts []msgp.Raw
+	// frameBytes is the total size of the frames, including their headers.
+	frameBytes int
+	parts      []msgp.Raw
 
-	once sync.Once
-	raw  *update
-	err  error
+	once   sync.Once
+	update *update
+	err    error
 }
 
-// updateKey is what tells two updates to the newest revision apart.
+// updateKey identifies an update to the newest revision.
 type updateKey struct {
 	view view
 	from table.Revision
 }
 
-// publisher holds the history and encodes each update once.
+// publisher holds the history and encodes each update only once.
 type publisher struct {
 	mu        sync.Mutex
 	history   *history
-	deltas    map[updateKey]*encoded
-	snapshots map[view]*encoded
-	// news is closed at the next advance.
-	news chan struct{}
+	deltas    map[updateKey]*encodedUpdate
+	snapshots map[view]*encodedUpdate
+	// changed is closed when a newer table is added.
+	changed chan struct{}
 }
 
 func newPublisher() *publisher {
 	return &publisher{
 		history:   newHistory(),
-		deltas:    map[updateKey]*encoded{},
-		snapshots: map[view]*encoded{},
-		news:      make(chan struct{}),
+		deltas:    map[updateKey]*encodedUpdate{},
+		snapshots: map[view]*encodedUpdate{},
+		changed:   make(chan struct{}),
 	}
 }
 
-// advance takes in a table and wakes who waits for news.
+// advance adds a newer table and wakes the writers that wait for one.
 func (p *publisher) advance(t *table.Table) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,21 +67,22 @@
 		return false
 	}
 	clear(p.deltas)
-	close(p.news)
-	p.news = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 	return true
 }
 
-// state returns the newest revision and a channel closed when it changes.
+// state returns the newest revision and a channel that is closed when it changes.
 func (p *publisher) state() (table.Revision, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.history.revision, p.news
+	return p.history.revision, p.changed
 }
 
-// agrees tells whether a table with the given digest can be the view's at the
-// revision. Only the newest revision's digest is known; a delta checks the rest.
-func (p *publisher) agrees(v view, held table.Revision, digest uint64) bool {
+// digestMatches reports whether a table with the given digest can be that of the view at
+// the held revision. Only the newest revision's digest is known here; for older revisions
+// the digest of the next delta shows a mismatch.
+func (p *publisher) digestMatches(v view, held table.Revision, digest uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if held == 0 || held != p.history.revision {
@@ -90,51 +91,52 @@
 	return p.history.digest(v, p.history.serviceID(v)).sum == digest
 }
 
-// update returns what a subscriber that was sent revision sent and holds
-// revision held needs next. A sent of 0 asks for a whole table.
-func (p *publisher) update(v view, sent, held table.Revision) (*encoded, error) {
-	e := p.find(v, sent, held)
+// update returns the next update for a subscriber to which revision sent was sent and
+// which holds revision held. A sent of 0 asks for a snapshot.
+func (p *publisher) update(v view, sent, held table.Revision) (*encodedUpdate, error) {
+	e := p.findUpdate(v, sent, held)
 	e.once.Do(func() { e.encode() })
 	return e, e.err
 }
 
-func (p *publisher) find(v view, sent, held table.Revision) *encoded {
+func (p *publisher) findUpdate(v view, sent, held table.Revision) *encodedUpdate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.history.reaches(sent) {
+	if p.history.hasDeltaFrom(sent) {
 		return p.delta(updateKey{view: v, from: sent})
 	}
 	return p.snapshot(v, held)
 }
 
-func (p *publisher) delta(key updateKey) *encoded {
+func (p *publisher) delta(key updateKey) *encodedUpdate {
 	if e, ok := p.deltas[key]; ok {
 		return e
 	}
-	e := newEncoded(p.history.since(key.view, key.from))
+	e := newEncoded(p.history.updateSince(key.view, key.from))
 	p.deltas[key] = e
 	return e
 }
 
-func (p *publisher) snapshot(v view, held table.Revision) *encoded {
-	if e, ok := p.snapshots[v]; ok && p.usable(e, held) {
+// snapshot returns a cached snapshot if it is usable, and a new one otherwise.
+func (p *publisher) snapshot(v view, held table.Revision) *encodedUpdate {
+	if e, ok := p.snapshots[v]; ok && p.snapshotUsable(e, held) {
 		return e
 	}
-	e := newEncoded(p.history.since(v, 0))
-	if len(p.snapshots) >= keptSnapshots {
-		p.dropOldest()
+	e := newEncoded(p.history.updateSince(v, 0))
+	if len(p.snapshots) >= snapshotCacheLimit {
+		p.dropOldestSnapshot()
 	}
 	p.snapshots[v] = e
 	return e
 }
 
-// usable tells whether a kept table still serves: a delta must be able to
-// follow it, and it must not be below what the subscriber holds.
-func (p *publisher) usable(e *encoded, held table.Revision) bool {
-	return p.history.reaches(e.to) && e.to >= held && p.history.revision-e.to <= snapshotLag
+// snapshotUsable reports whether a cached snapshot can be sent: a delta must be able to
+// follow it, and it must not be older than what the subscriber holds.
+func (p *publisher) snapshotUsable(e *encodedUpdate, held table.Revision) bool {
+	return p.history.hasDeltaFrom(e.to) && e.to >= held && p.history.revision-e.to <= snapshotMaxLag
 }
 
-func (p *publisher) dropOldest() {
+func (p *publisher) dropOldestSnapshot() {
 	var oldest view
 	found := false
 	for v, e := range p.snapshots {
@@ -145,20 +147,20 @@
 	delete(p.snapshots, oldest)
 }
 
-func newEncoded(u *update) *encoded { return &encoded{from: u.From, to: u.To, raw: u} }
+func newEncoded(u *update) *encodedUpdate { return &encodedUpdate{from: u.From, to: u.To, update: u} }
 
-// encode cuts the update into frames' bodies.
-func (e *encoded) encode() {
-	data, deflated, err := encodeUpdate(e.raw)
-	e.raw = nil
+// encode encodes the update and splits it into the bodies of frames.
+func (e *encodedUpdate) encode() {
+	data, deflated, err := encodeUpdate(e.update)
+	e.update = nil
 	if err != nil {
 		e.err = err
 		return
 	}
-	for start := 0; start < len(data); start += partSize {
+	for start := 0; start < len(data); start += partBytes {
 		piece := part{
 			From: e.from, To: e.to, Total: len(data), Deflated: deflated,
-			Data: data[start:min(start+partSize, len(data))],
+			Data: data[start:min(start+partBytes, len(data))],
 		}
 		b, err := piece.MarshalMsg(nil)
 		if err != nil {
@@ -166,6 +168,6 @@
 			return
 		}
 		e.parts = append(e.parts, b)
-		e.size += len(b) + frameHeader
+		e.frameBytes += len(b) + frameHeaderBytes
 	}
 }
--- a/internal/distribution/server.go
+++ b/internal/distribution/server.go
@@ -17,51 +17,52 @@
 )
 
 const (
-	// DefaultBytesPerSecond is the byte budget of one subscriber's link.
+	// DefaultBytesPerSecond is the byte budget for changes to one subscriber.
 	DefaultBytesPerSecond = 5 << 10
-	// snapshotFactor is how much faster whole tables may go than changes. A table
-	// of 12,000 hosts is sent once in a process's life, a process restarts about
-	// every eight days, and until the table is there the VM serves nobody.
-	snapshotFactor = 4
-	// DefaultSnapshots is how many large tables one VM sends at once.
-	DefaultSnapshots = 32
-	// DefaultWaiting is how many more may wait in line for one.
-	DefaultWaiting = 128
-	// handshakes bounds the TLS handshakes under way, each about a millisecond of
-	// processor time, so that a reconnect of all leaves the heartbeats theirs.
-	handshakes = 64
-	// smallSnapshot is the size up to which a whole table needs no place in line.
-	smallSnapshot = 8 << 10
-	// acceptPause is the wait after a failed accept.
-	acceptPause = 100 * time.Millisecond
-	// openingTimeout bounds the handshake and the hello.
-	openingTimeout = 5 * time.Second
+	// snapshotRateFactor is how much faster snapshots may be sent than changes. A snapshot
+	// of 12,000 hosts is sent once per process start, about every eight days, and until it
+	// arrives the VM serves no traffic.
+	snapshotRateFactor = 4
+	// DefaultSnapshotLimit is how many large snapshots one VM sends at once.
+	DefaultSnapshotLimit = 32
+	// DefaultSnapshotQueueLimit is how many more subscribers may wait for one.
+	DefaultSnapshotQueueLimit = 128
+	// handshakeLimit bounds the concurrent TLS handshakes, each of which takes about 1 ms
+	// of CPU time, so that a mass reconnect doesn't delay the heartbeats.
+	handshakeLimit = 64
+	// smallSnapshotBytes is the size up to which a snapshot bypasses the queue.
+	smallSnapshotBytes = 8 << 10
+	// acceptRetryDelay is the delay after a failed accept.
+	acceptRetryDelay = 100 * time.Millisecond
+	// handshakeTimeout bounds the TLS handshake and the hello together.
+	handshakeTimeout = 5 * time.Second
 )
 
 // ErrClosed is returned by Serve after Close.
 var ErrClosed = errors.New("distribution: server closed")
 
-// ServerConfig is what a control VM's server needs.
+// ServerConfig configures a Server.
 type ServerConfig struct {
-	// Name is the control VM's.
+	// Name is the name of the control VM.
 	Name      string
 	Source    Source
 	Registrar Registrar
-	// TLS is nil only in tests and the demo.
+	// TLS may be nil only in tests and the demo; streams are then not encrypted.
 	TLS *tls.Config
 	// BytesPerSecond paces the changes to one subscriber; 0 means
 	// DefaultBytesPerSecond.
 	BytesPerSecond int
-	// SnapshotBytesPerSecond paces a whole table; 0 means four times
+	// SnapshotBytesPerSecond paces a snapshot to one subscriber; 0 means four times
 	// BytesPerSecond.
 	SnapshotBytesPerSecond int
-	// Snapshots and Waiting bound the large tables under way and in line; 0 means
-	// the defaults.
-	Snapshots int
-	Waiting   int
-	// Beat is the pause between heartbeats; 0 means DefaultBeat.
-	Beat time.Duration
-	// Liveness are the thresholds of silence; zero means the defaults.
+	// SnapshotLimit bounds the large snapshots sent at once, SnapshotQueueLimit the
+	// subscribers that wait for one; 0 means the defaults.
+	SnapshotLimit      int
+	SnapshotQueueLimit int
+	// HeartbeatInterval is the interval between heartbeats; 0 means
+	// DefaultHeartbeatInterval.
+	HeartbeatInterval time.Duration
+	// Liveness configures when a subscriber is reported silent; zero means the defaults.
 	Liveness liveness.Config
 	Log      logrus.FieldLogger
 	Metrics  *metrics.Set
@@ -72,16 +73,16 @@
 		cfg.BytesPerSecond = DefaultBytesPerSecond
 	}
 	if cfg.SnapshotBytesPerSecond == 0 {
-		cfg.SnapshotBytesPerSecond = snapshotFactor * cfg.BytesPerSecond
+		cfg.SnapshotBytesPerSecond = snapshotRateFactor * cfg.BytesPerSecond
 	}
-	if cfg.Snapshots == 0 {
-		cfg.Snapshots = DefaultSnapshots
+	if cfg.SnapshotLimit == 0 {
+		cfg.SnapshotLimit = DefaultSnapshotLimit
 	}
-	if cfg.Waiting == 0 {
-		cfg.Waiting = DefaultWaiting
+	if cfg.SnapshotQueueLimit == 0 {
+		cfg.SnapshotQueueLimit = DefaultSnapshotQueueLimit
 	}
-	if cfg.Beat == 0 {
-		cfg.Beat = DefaultBeat
+	if cfg.HeartbeatInterval == 0 {
+		cfg.HeartbeatInterval = DefaultHeartbeatInterval
 	}
 	if cfg.Liveness == (liveness.Config{}) {
 		cfg.Liveness = liveness.DefaultConfig()
@@ -94,72 +95,72 @@
 	}
 }
 
-// Subscriber is one attached subscriber as operators see it.
+// Subscriber describes an attached subscriber to operators.
 type Subscriber struct {
 	Name       string
 	Role       Role
 	Service    string
 	DataCentre string
 	Agent      table.AgentNumber
-	// Revision is the last one that the subscriber said is in force.
+	// Revision is the last one that the subscriber reported as in force.
 	Revision table.Revision
-	// Age is how long ago the subscriber was last heard.
+	// Age is the time since the last message from the subscriber.
 	Age time.Duration
 }
 
-// Server distributes the table of one control VM.
+// Server distributes a control VM's table to its subscribers.
 type Server struct {
-	cfg       ServerConfig
-	publisher *publisher
-	line      *line
-	silence   *silence
-	count     serverCounters
+	cfg             ServerConfig
+	publisher       *publisher
+	snapshotQueue   *snapshotQueue
+	silenceReporter *silenceReporter
+	counters        serverCounters
 
-	ctx     context.Context
-	cancel  context.CancelFunc
-	opening chan struct{}
-	commits chan struct{}
+	ctx         context.Context
+	cancel      context.CancelFunc
+	handshakes  chan struct{}
+	commitSlots chan struct{}
 
 	mu          sync.Mutex
 	listeners   map[net.Listener]struct{}
 	subscribers map[*subscriber]struct{}
-	running     sync.WaitGroup
+	goroutines  sync.WaitGroup
 }
 
-// NewServer starts following the source; Serve takes subscribers.
+// NewServer returns a server that follows the source. Serve accepts subscribers.
 func NewServer(cfg ServerConfig) *Server {
 	cfg.defaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{
-		cfg:         cfg,
-		publisher:   newPublisher(),
-		line:        newLine(cfg.Snapshots, cfg.Waiting),
-		count:       newServerCounters(cfg.Metrics),
-		ctx:         ctx,
-		cancel:      cancel,
-		opening:     make(chan struct{}, handshakes),
-		commits:     make(chan struct{}, handshakes),
-		listeners:   map[net.Listener]struct{}{},
-		subscribers: map[*subscriber]struct{}{},
+		cfg:           cfg,
+		publisher:     newPublisher(),
+		snapshotQueue: newSnapshotQueue(cfg.SnapshotLimit, cfg.SnapshotQueueLimit),
+		counters:      newServerCounters(cfg.Metrics),
+		ctx:           ctx,
+		cancel:        cancel,
+		handshakes:    make(chan struct{}, handshakeLimit),
+		commitSlots:   make(chan struct{}, handshakeLimit),
+		listeners:     map[net.Listener]struct{}{},
+		subscribers:   map[*subscriber]struct{}{},
 	}
-	s.silence = newSilence(s)
+	s.silenceReporter = newSilenceReporter(s)
 	if t := cfg.Source.Table(); t != nil {
 		s.publisher.advance(t)
 	}
-	cfg.Metrics.Gauge("spread_subscribers", func() int64 { return int64(s.size()) })
-	cfg.Metrics.Gauge("spread_snapshots_active", func() int64 { return int64(s.line.active()) })
-	cfg.Metrics.Gauge("spread_snapshots_waiting", func() int64 { return int64(s.line.waiting()) })
-	s.running.Add(2)
-	go s.follow()
-	go s.silence.run()
+	cfg.Metrics.Gauge("spread_subscribers", func() int64 { return int64(s.subscriberCount()) })
+	cfg.Metrics.Gauge("spread_snapshots_active", func() int64 { return int64(s.snapshotQueue.active()) })
+	cfg.Metrics.Gauge("spread_snapshots_waiting", func() int64 { return int64(s.snapshotQueue.waiting()) })
+	s.goroutines.Add(2)
+	go s.followSource()
+	go s.silenceReporter.run()
 	return s
 }
 
-// follow takes each newer table of the source into the history.
-func (s *Server) follow() {
-	defer s.running.Done()
+// followSource adds each newer table of the source to the history.
+func (s *Server) followSource() {
+	defer s.goroutines.Done()
 	for {
-		// Changed comes before Table, or a change between the two would be missed.
+		// Changed is called before Table, or a change between the two would be missed.
 		changed := s.cfg.Source.Changed()
 		if t := s.cfg.Source.Table(); t != nil {
 			s.publisher.advance(t)
@@ -172,58 +173,58 @@
 	}
 }
 
-// Serve takes subscribers from the listener until Close.
+// Serve accepts subscribers from the listener until Close, and then returns ErrClosed.
 func (s *Server) Serve(ln net.Listener) error {
-	if !s.listen(ln) {
+	if !s.addListener(ln) {
 		_ = ln.Close()
 		return ErrClosed
 	}
-	defer s.running.Done()
+	defer s.goroutines.Done()
 	for {
 		select {
-		case s.opening <- struct{}{}:
+		case s.handshakes <- struct{}{}:
 		case <-s.ctx.Done():
 			return ErrClosed
 		}
 		raw, err := ln.Accept()
 		if err != nil {
-			<-s.opening
+			<-s.handshakes
 			if s.ctx.Err() != nil {
 				return ErrClosed
 			}
 			if errors.Is(err, net.ErrClosed) {
 				return errors.Wrap(err, "distribution: accept")
 			}
-			// Out of file descriptors, for one: it passes, and the streams that are
-			// open must not end for it.
-			s.count.acceptErrors.Add(1)
-			if !wait.For(s.ctx, acceptPause) {
+			// Such as a lack of file descriptors. It is temporary, and must not end the
+			// open streams.
+			s.counters.acceptErrors.Add(1)
+			if !wait.For(s.ctx, acceptRetryDelay) {
 				return ErrClosed
 			}
 			continue
 		}
-		s.running.Add(1)
+		s.goroutines.Add(1)
 		go func() {
-			defer s.running.Done()
-			s.serve(raw)
+			defer s.goroutines.Done()
+			s.serveStream(raw)
 		}()
 	}
 }
 
-// listen books a listener; false after Close.
-func (s *Server) listen(ln net.Listener) bool {
+// addListener registers a listener. It returns false after Close.
+func (s *Server) addListener(ln net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ctx.Err() != nil {
 		return false
 	}
 	s.listeners[ln] = struct{}{}
-	s.running.Add(1)
+	s.goroutines.Add(1)
 	return true
 }
 
-// Close ends every stream; subscribers are told to go elsewhere. Nothing is
-// reported silent.
+// Close closes the listeners and ends every stream; subscribers are told to use another VM.
+// No subscriber is reported silent.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.cancel()
@@ -231,27 +232,27 @@
 		_ = ln.Close()
 	}
 	s.mu.Unlock()
-	s.running.Wait()
+	s.goroutines.Wait()
 }
 
-// Subscribers returns who is attached.
+// Subscribers returns the attached subscribers.
 func (s *Server) Subscribers() []Subscriber {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]Subscriber, 0, len(s.subscribers))
 	for sub := range s.subscribers {
-		out = append(out, sub.describe(time.Now()))
+		out = append(out, sub.status(time.Now()))
 	}
 	return out
 }
 
-// Adopt takes over subscribers that the replicated state says are attached via
-// a control VM that died, or via this one before it restarted. Those that don't
-// attach anywhere within the grace are reported silent; a report on one that
-// did is void by its attachment.
-func (s *Server) Adopt(role Role, lost []Silence) { s.silence.adopt(role, lost) }
+// Adopt takes over subscribers that, by the replicated state, are attached to a control VM
+// that died, or to this one before its restart. Those that don't attach to any VM within
+// the grace period are reported silent; a report on one that did is void, as its attachment
+// number is outdated.
+func (s *Server) Adopt(role Role, lost []Silence) { s.silenceReporter.adopt(role, lost) }
 
-func (s *Server) size() int {
+func (s *Server) subscriberCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.subscribers)
--- a/internal/distribution/server_metrics.go
+++ b/internal/distribution/server_metrics.go
@@ -6,7 +6,7 @@
 	"bergamotstall/internal/metrics"
 )
 
-// serverCounters count what a server does.
+// serverCounters are a server's counters.
 type serverCounters struct {
 	set *metrics.Set
 
@@ -33,10 +33,10 @@
 	}
 }
 
-func (c serverCounters) refused(r refusalReason) {
+func (c serverCounters) countRefusal(r refusalReason) {
 	c.set.Counter("spread_refused_" + r.String()).Add(1)
 }
 
-func (c serverCounters) ended(err error) {
+func (c serverCounters) countEnd(err error) {
 	c.set.Counter("spread_ended_" + endReason(err)).Add(1)
 }
