--- a/internal/distribution/server_stream.go
+++ b/internal/distribution/server_stream.go
@@ -17,55 +17,55 @@
 	"bergamotstall/internal/table"
 )
 
-// textLimit bounds names and addresses in an announcement.
-const textLimit = 256
+// textLimitBytes bounds names and addresses in an announcement.
+const textLimitBytes = 256
 
-// closeTimeout is how long Close lets a stream say good-bye.
+// closeTimeout is how long Close waits for a stream to send its refusal.
 const closeTimeout = time.Second
 
-// leavingFor is how long subscribers keep away from a VM that stops: about the
-// time of its restart. Where it is the only one, changes must reach them within
-// nine seconds of its return.
-const leavingFor = time.Second
+// leavingRetryDelay is how long subscribers don't retry a VM that stops, about the time of
+// its restart. If it is the only VM, changes must reach them within nine seconds of its
+// return.
+const leavingRetryDelay = time.Second
 
-// subscriber is one stream at the server.
+// subscriber is the server's side of one stream.
 type subscriber struct {
 	server *Server
 	conn   *framing.Conn
 	role   Role
 	view   view
 	ctx    context.Context
-	// wake tells the writer that there is something to do.
+	// wake wakes the writer when there is something to do.
 	wake chan struct{}
-	// skipHold ends the hold of an announcement.
-	skipHold chan struct{}
+	// skipDamping ends the damping delay of an announcement.
+	skipDamping chan struct{}
 
 	mu           sync.Mutex
 	announcement Announcement
 	announcing   bool
 	number       table.AgentNumber
 	numberSent   table.AgentNumber
-	// held is what the subscriber said it holds, digest that of its table when
-	// the stream began, inForce what its data path runs on.
-	held    table.Revision
-	digest  uint64
-	inForce table.Revision
-	heardAt time.Time
-	// resync is set when the subscriber asked for a whole table.
+	// held is the revision that the subscriber reported to hold, digest that of its table
+	// when the stream began, inForce the revision that its data path uses.
+	held      table.Revision
+	digest    uint64
+	inForce   table.Revision
+	lastHeard time.Time
+	// resync is set when the subscriber asked for a snapshot.
 	resync bool
 }
 
-func (sub *subscriber) key() subject {
-	return subject{role: sub.role, name: sub.announced().Name}
+func (sub *subscriber) key() subscriberKey {
+	return subscriberKey{role: sub.role, name: sub.currentAnnouncement().Name}
 }
 
-func (sub *subscriber) announced() Announcement {
+func (sub *subscriber) currentAnnouncement() Announcement {
 	sub.mu.Lock()
 	defer sub.mu.Unlock()
 	return sub.announcement
 }
 
-func (sub *subscriber) describe(now time.Time) Subscriber {
+func (sub *subscriber) status(now time.Time) Subscriber {
 	sub.mu.Lock()
 	defer sub.mu.Unlock()
 	return Subscriber{
@@ -75,24 +75,24 @@
 		DataCentre: sub.announcement.DataCentre,
 		Agent:      sub.number,
 		Revision:   sub.inForce,
-		Age:        now.Sub(sub.heardAt),
+		Age:        now.Sub(sub.lastHeard),
 	}
 }
 
-// base returns the revision that deltas can build on: what the subscriber holds,
-// or 0 where its table can't be the one that control handed out under that
-// revision, as after a change of cluster.
-func (sub *subscriber) base() table.Revision {
+// deltaBase returns the revision on which deltas can build: the one that the subscriber
+// holds, or 0 if its table can't be control's at that revision, for example because the
+// subscriber came from another cluster.
+func (sub *subscriber) deltaBase() table.Revision {
 	sub.mu.Lock()
 	defer sub.mu.Unlock()
-	if !sub.server.publisher.agrees(sub.view, sub.held, sub.digest) {
-		sub.server.count.resyncs.Add(1)
+	if !sub.server.publisher.digestMatches(sub.view, sub.held, sub.digest) {
+		sub.server.counters.resyncs.Add(1)
 		return 0
 	}
 	return sub.held
 }
 
-// wakeWriter never blocks; a writer that is awake looks again.
+// wakeWriter wakes the writer without blocking. A running writer checks its work again.
 func (sub *subscriber) wakeWriter() {
 	select {
 	case sub.wake <- struct{}{}:
@@ -100,50 +100,50 @@
 	}
 }
 
-// serve runs one stream from its handshake to its end.
-func (s *Server) serve(raw net.Conn) {
+// serveStream serves one stream from its handshake to its end.
+func (s *Server) serveStream(raw net.Conn) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
 	defer func() { _ = raw.Close() }()
-	// Close must not wait for a peer that reads nothing.
+	// Close must not wait for a peer that doesn't read.
 	stop := context.AfterFunc(s.ctx, func() { time.AfterFunc(closeTimeout, func() { _ = raw.Close() }) })
 	defer stop()
-	sub, err := s.open(ctx, raw)
-	<-s.opening
+	sub, err := s.handshake(ctx, raw)
+	<-s.handshakes
 	if err != nil {
-		s.count.ended(err)
+		s.counters.countEnd(err)
 		events.Log(s.cfg.Log, events.SubscriberRefused, logrus.Fields{"peer": raw.RemoteAddr().String(), "error": err})
 		return
 	}
 	s.add(sub)
 	defer s.remove(sub)
-	s.count.accepted.Add(1)
-	sub.announce(sub.announced())
+	s.counters.accepted.Add(1)
+	sub.announce(sub.currentAnnouncement())
 
 	written := make(chan error, 1)
 	go func() {
-		err := sub.write()
-		// The reader must not wait for a peer that can't be written to.
+		err := sub.writeLoop()
+		// Ends the reader if the peer can't be written to.
 		_ = raw.Close()
 		written <- err
 	}()
-	err = sub.read()
+	err = sub.readLoop()
 	cancel()
-	// A writer blocked on a silent peer would else hold its loss back for the
-	// write's time-out.
+	// Otherwise a writer that is blocked on a silent peer would delay the detection of the
+	// lost stream by writeTimeout.
 	_ = raw.Close()
 	if werr := <-written; werr != nil {
 		err = werr
 	}
-	s.silence.lost(sub.key(), sub.announced())
-	s.count.ended(err)
-	events.Log(s.cfg.Log, events.SubscriberLost, logrus.Fields{"role": sub.role, "name": sub.announced().Name, "error": err})
+	s.silenceReporter.streamLost(sub.key(), sub.currentAnnouncement())
+	s.counters.countEnd(err)
+	events.Log(s.cfg.Log, events.SubscriberLost, logrus.Fields{"role": sub.role, "name": sub.currentAnnouncement().Name, "error": err})
 }
 
-// open does the handshake and takes the hello.
-func (s *Server) open(ctx context.Context, raw net.Conn) (*subscriber, error) {
-	if err := raw.SetDeadline(time.Now().Add(openingTimeout)); err != nil {
-		return nil, errors.Wrap(err, "distribution: deadline")
+// handshake does the TLS handshake and reads and checks the hello.
+func (s *Server) handshake(ctx context.Context, raw net.Conn) (*subscriber, error) {
+	if err := raw.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
+		return nil, errors.Wrap(err, "distribution: set deadline")
 	}
 	stop := context.AfterFunc(ctx, func() { _ = raw.Close() })
 	defer stop()
@@ -154,7 +154,7 @@
 		}
 		raw = secured
 	}
-	conn := framing.NewConn(raw, frameLimit, writeTimeout)
+	conn := framing.NewConn(raw, frameLimitBytes, writeTimeout)
 	f, err := conn.Read()
 	if err != nil {
 		return nil, err
@@ -166,14 +166,14 @@
 	if err := f.Decode(&h); err != nil {
 		return nil, err
 	}
-	if !plausible(h) {
+	if !validHello(h) {
 		return nil, s.refuse(conn, refusedProtocol)
 	}
 	if err := checkIdentity(raw, h); err != nil {
 		return nil, errors.Wrap(s.refuse(conn, refusedIdentity), err.Error())
 	}
 	if err := raw.SetDeadline(time.Time{}); err != nil {
-		return nil, errors.Wrap(err, "distribution: deadline")
+		return nil, errors.Wrap(err, "distribution: set deadline")
 	}
 	return &subscriber{
 		server:       s,
@@ -182,26 +182,26 @@
 		view:         viewOf(h.Role, h.Announcement),
 		ctx:          ctx,
 		wake:         make(chan struct{}, 1),
-		skipHold:     make(chan struct{}, 1),
+		skipDamping:  make(chan struct{}, 1),
 		announcement: h.Announcement,
-		held:         h.Have,
+		held:         h.Held,
 		digest:       h.Digest,
 		inForce:      h.InForce,
-		heardAt:      time.Now(),
+		lastHeard:    time.Now(),
 	}, nil
 }
 
-// refuse tells the peer why its stream ends, and when to come again.
+// refuse tells the peer why its stream ends, and when to retry.
 func (s *Server) refuse(conn *framing.Conn, reason refusalReason) error {
-	after := retryCap
+	after := retryMaxDelay
 	if reason == refusedLeaving {
-		after = leavingFor
+		after = leavingRetryDelay
 	}
 	return s.refuseFor(conn, reason, after)
 }
 
 func (s *Server) refuseFor(conn *framing.Conn, reason refusalReason, after time.Duration) error {
-	s.count.refused(reason)
+	s.counters.countRefusal(reason)
 	_, err := conn.Write(kindRefusal, &refusal{Reason: reason, RetryAfterMS: after.Milliseconds()})
 	if err != nil {
 		return err
@@ -209,9 +209,9 @@
 	return errors.Wrap(errRefused, reason.String())
 }
 
-// plausible judges a hello. Control characters are refused because texts travel
+// validHello reports whether a hello is valid. Control characters aren't, as texts are sent
 // in columns with a separator.
-func plausible(h hello) bool {
+func validHello(h hello) bool {
 	if h.Role != RoleBalancer && h.Role != RoleAgent {
 		return false
 	}
@@ -220,20 +220,20 @@
 		return false
 	}
 	for _, s := range []string{a.Name, a.DataCentre, a.Tunnel, a.Service, a.Host, a.Peer} {
-		if len(s) > textLimit || strings.ContainsFunc(s, unicode.IsControl) {
+		if len(s) > textLimitBytes || strings.ContainsFunc(s, unicode.IsControl) {
 			return false
 		}
 	}
 	return true
 }
 
-// read takes frames until the stream ends. Missed heartbeats end it: a peer
-// that lost power sends no FIN.
-func (sub *subscriber) read() error {
-	limit := missedBeats * sub.server.cfg.Beat
+// readLoop reads frames until the stream ends. Missed heartbeats end it, as a peer that
+// lost power sends no FIN.
+func (sub *subscriber) readLoop() error {
+	limit := missedHeartbeats * sub.server.cfg.HeartbeatInterval
 	for {
 		if err := sub.conn.Raw().SetReadDeadline(time.Now().Add(limit)); err != nil {
-			return errors.Wrap(err, "distribution: read deadline")
+			return errors.Wrap(err, "distribution: set read deadline")
 		}
 		f, err := sub.conn.Read()
 		if err != nil {
@@ -247,13 +247,13 @@
 
 func (sub *subscriber) handle(f framing.Frame) error {
 	switch f.Kind {
-	case kindBeat, kindResync:
-		var b beat
+	case kindHeartbeat, kindResync:
+		var b heartbeat
 		if err := f.Decode(&b); err != nil {
 			return err
 		}
-		sub.heard(b, f.Kind == kindResync)
-		return sub.answerBeat()
+		sub.recordHeartbeat(b, f.Kind == kindResync)
+		return sub.answerHeartbeat()
 	case kindAnnounce:
 		var a Announcement
 		if err := f.Decode(&a); err != nil {
@@ -261,51 +261,50 @@
 		}
 		return sub.reannounce(a)
 	}
-	return errors.Wrapf(errProtocol, "kind %d", f.Kind)
+	return errors.Wrapf(errProtocol, "frame kind %d", f.Kind)
 }
 
-// answerBeat sends the server's heartbeat. It answers the subscriber's, in the
-// goroutine that is awake anyway: a timer of its own for each stream costs more
-// than the heartbeat.
-func (sub *subscriber) answerBeat() error {
-	b := sub.server.beat()
-	return sub.send(kindBeat, &b)
+// answerHeartbeat sends the server's heartbeat in answer to the subscriber's, in the reading
+// goroutine. A separate timer per stream would cost more than the heartbeat itself.
+func (sub *subscriber) answerHeartbeat() error {
+	b := sub.server.heartbeat()
+	return sub.send(kindHeartbeat, &b)
 }
 
-func (sub *subscriber) send(kind framing.Kind, m encodable) error {
+func (sub *subscriber) send(kind framing.Kind, m message) error {
 	n, err := sub.conn.Write(kind, m)
-	sub.server.count.bytesOut.Add(int64(n))
+	sub.server.counters.bytesOut.Add(int64(n))
 	return err
 }
 
-// beat is where this VM stands.
-func (s *Server) beat() beat {
+// heartbeat returns this VM's heartbeat.
+func (s *Server) heartbeat() heartbeat {
 	revision, _ := s.publisher.state()
-	return beat{Revision: revision, ContactAgeMS: s.cfg.Source.ContactAge().Milliseconds()}
+	return heartbeat{Revision: revision, ContactAgeMS: s.cfg.Source.ContactAge().Milliseconds()}
 }
 
-func (sub *subscriber) heard(b beat, resync bool) {
+func (sub *subscriber) recordHeartbeat(b heartbeat, resync bool) {
 	sub.mu.Lock()
-	news := resync || b.Revision != sub.held
-	sub.held, sub.inForce, sub.heardAt = b.Revision, b.InForce, time.Now()
+	changed := resync || b.Revision != sub.held
+	sub.held, sub.inForce, sub.lastHeard = b.Revision, b.InForce, time.Now()
 	sub.resync = sub.resync || resync
 	sub.mu.Unlock()
 	if resync {
-		sub.server.count.resyncs.Add(1)
+		sub.server.counters.resyncs.Add(1)
 	}
-	if news {
+	if changed {
 		sub.wakeWriter()
 	}
 }
 
-// reannounce takes a changed announcement; a stream stays one subscriber's.
+// reannounce handles a changed announcement. It must be of the same subscriber.
 func (sub *subscriber) reannounce(a Announcement) error {
-	old := sub.announced()
+	old := sub.currentAnnouncement()
 	if a.Name != old.Name || a.Service != old.Service || a.Incarnation != old.Incarnation {
 		return errors.Wrap(errProtocol, "announcement of another subscriber")
 	}
-	if !plausible(hello{Role: sub.role, Announcement: a}) {
-		return errors.Wrap(errProtocol, "implausible announcement")
+	if !validHello(hello{Role: sub.role, Announcement: a}) {
+		return errors.Wrap(errProtocol, "invalid announcement")
 	}
 	sub.announce(a)
 	return nil
--- a/internal/distribution/server_write.go
+++ b/internal/distribution/server_write.go
@@ -8,85 +8,85 @@
 	"bergamotstall/internal/table"
 )
 
-// burstSeconds is how many seconds of its byte budget a subscriber may take at
-// once after a rest.
+// burstSeconds is how many seconds of the byte budget may be sent at once after an idle
+// period.
 const burstSeconds = 2
 
-// writer is the sending half of a stream. It sends one update at a time and the
-// next only once that one is acknowledged: what changed meanwhile goes as one
-// merged delta, and a slow subscriber has no stale deltas queued in its socket.
+// writer is the sending half of a stream. It sends one update at a time, and the next one
+// only after that is acknowledged. What changed meanwhile is sent as one merged delta, so
+// a slow subscriber has no outdated deltas queued in its socket.
 type writer struct {
 	sub *subscriber
-	// sent is the revision that the subscriber will hold once all is delivered.
+	// sent is the revision that the subscriber will hold once everything is delivered.
 	sent table.Revision
 	// awaiting is set until sent is acknowledged.
 	awaiting bool
-	pending  []wirePart
-	// snapshot is the whole table that waits in line or is under way.
-	snapshot *encoded
-	inLine   bool
-	hasPlace bool
-	giveUp   time.Time
-
-	changes, tables *rate.Limiter
+	pending  []pacedPart
+	// snapshot is the large snapshot that is queued or being sent.
+	snapshot         *encodedUpdate
+	queued           bool
+	hasSlot          bool
+	snapshotDeadline time.Time
+
+	changeLimiter, snapshotLimiter *rate.Limiter
 }
 
-// wirePart is a part with the limiter that paces it.
-type wirePart struct {
-	body   encodable
-	size   int
-	bucket *rate.Limiter
-	// due is set once tokens are reserved.
+// pacedPart is a part of an update with the limiter that paces it.
+type pacedPart struct {
+	message    message
+	frameBytes int
+	limiter    *rate.Limiter
+	// due is the earliest time to send; set once tokens are reserved.
 	due time.Time
 }
 
-// write runs the sending half until the stream ends.
-func (sub *subscriber) write() error {
+// writeLoop runs the sending half until the stream ends.
+func (sub *subscriber) writeLoop() error {
 	cfg := sub.server.cfg
 	w := &writer{
-		sub:     sub,
-		sent:    sub.base(),
-		changes: rate.NewLimiter(rate.Limit(cfg.BytesPerSecond), max(burstSeconds*cfg.BytesPerSecond, 2*partSize)),
-		tables:  rate.NewLimiter(rate.Limit(cfg.SnapshotBytesPerSecond), max(cfg.SnapshotBytesPerSecond, 2*partSize)),
+		sub:             sub,
+		sent:            sub.deltaBase(),
+		changeLimiter:   rate.NewLimiter(rate.Limit(cfg.BytesPerSecond), max(burstSeconds*cfg.BytesPerSecond, 2*partBytes)),
+		snapshotLimiter: rate.NewLimiter(rate.Limit(cfg.SnapshotBytesPerSecond), max(cfg.SnapshotBytesPerSecond, 2*partBytes)),
 	}
-	defer w.leaveLine()
-	if err := sub.send(kindWelcome, &welcome{Control: cfg.Name, Beat: sub.server.beat()}); err != nil {
+	defer w.leaveQueue()
+	if err := sub.send(kindWelcome, &welcome{Control: cfg.Name, Heartbeat: sub.server.heartbeat()}); err != nil {
 		return err
 	}
 	for {
-		news, err := w.step(time.Now())
+		tableChanged, err := w.step(time.Now())
 		if err != nil {
 			return err
 		}
-		if done, err := w.wait(news); done {
+		if done, err := w.wait(tableChanged); done {
 			return err
 		}
 	}
 }
 
-// step does all that can be done now. It returns the channel that tells of the
-// next table.
+// step sends all that can be sent now. It returns a channel that is closed when there is a
+// newer table.
 func (w *writer) step(now time.Time) (<-chan struct{}, error) {
-	revision, news := w.sub.server.publisher.state()
+	revision, tableChanged := w.sub.server.publisher.state()
 	if err := w.sendNumber(); err != nil {
 		return nil, err
 	}
-	w.acknowledged()
-	if err := w.prepare(revision); err != nil {
+	w.takeAcknowledgement()
+	if err := w.prepareUpdate(revision); err != nil {
 		return nil, err
 	}
-	return news, w.sendDue(now)
+	return tableChanged, w.sendDue(now)
 }
 
-// wait returns when there is something to do; done ends the stream.
-func (w *writer) wait(news <-chan struct{}) (done bool, err error) {
+// wait waits until there is something to do; done means that the stream has ended.
+func (w *writer) wait(tableChanged <-chan struct{}) (done bool, err error) {
 	if w.awaiting || len(w.pending) > 0 || w.snapshot != nil {
-		// The next table goes only after this one.
-		news = nil
+		// The next update is sent only after this one.
+		tableChanged = nil
 	}
-	var place chan<- struct{}
-	if w.inLine {
-		place = w.sub.server.line.places
+	var slot chan<- struct{}
+	if w.queued {
+		slot = w.sub.server.snapshotQueue.slots
 	}
 	var tokens <-chan time.Time
 	if len(w.pending) > 0 {
@@ -100,9 +100,9 @@
 			return true, w.sub.server.refuse(w.sub.conn, refusedLeaving)
 		}
 		return true, nil
-	case place <- struct{}{}:
-		w.admitted(time.Now())
-	case <-news:
+	case slot <- struct{}{}:
+		w.startSnapshot(time.Now())
+	case <-tableChanged:
 	case <-w.sub.wake:
 	case <-tokens:
 	}
@@ -119,11 +119,11 @@
 	if !due {
 		return nil
 	}
-	return w.sub.send(kindNumber, &number{Agent: n})
+	return w.sub.send(kindNumber, &numberAssignment{Agent: n})
 }
 
-// acknowledged takes in what the subscriber said about its table.
-func (w *writer) acknowledged() {
+// takeAcknowledgement applies what the subscriber reported about its table.
+func (w *writer) takeAcknowledgement() {
 	sub := w.sub
 	sub.mu.Lock()
 	defer sub.mu.Unlock()
@@ -137,8 +137,8 @@
 	}
 }
 
-// prepare picks the next update, where one is needed and none is under way.
-func (w *writer) prepare(revision table.Revision) error {
+// prepareUpdate enqueues the next update if one is needed and none is being sent.
+func (w *writer) prepareUpdate(revision table.Revision) error {
 	if w.awaiting || len(w.pending) > 0 || w.snapshot != nil || revision <= w.sent {
 		return nil
 	}
@@ -151,79 +151,82 @@
 		return err
 	}
 	if e.from != 0 {
-		sub.server.count.deltas.Add(1)
-		w.queue(e, w.changes)
+		sub.server.counters.deltas.Add(1)
+		w.enqueueParts(e, w.changeLimiter)
 		return nil
 	}
-	if e.size <= smallSnapshot {
-		sub.server.count.snapshots.Add(1)
-		w.queue(e, w.tables)
+	if e.frameBytes <= smallSnapshotBytes {
+		sub.server.counters.snapshots.Add(1)
+		w.enqueueParts(e, w.snapshotLimiter)
 		return nil
 	}
-	return w.enterLine(e)
+	return w.joinQueue(e)
 }
 
-func (w *writer) enterLine(e *encoded) error {
+// joinQueue queues a large snapshot, or refuses the stream if the queue is full.
+func (w *writer) joinQueue(e *encodedUpdate) error {
 	s := w.sub.server
-	if !s.line.join() {
-		return s.refuseFor(w.sub.conn, refusedBusy, s.line.retryAfter(w.tableTime(e)))
+	if !s.snapshotQueue.join() {
+		return s.refuseFor(w.sub.conn, refusedBusy, s.snapshotQueue.retryAfter(w.snapshotDuration(e)))
 	}
-	w.snapshot, w.inLine = e, true
+	w.snapshot, w.queued = e, true
 	return nil
 }
 
-func (w *writer) tableTime(e *encoded) time.Duration {
-	return time.Duration(float64(e.size) / float64(w.sub.server.cfg.SnapshotBytesPerSecond) * float64(time.Second))
+// snapshotDuration returns how long a snapshot takes at its byte rate.
+func (w *writer) snapshotDuration(e *encodedUpdate) time.Duration {
+	return time.Duration(float64(e.frameBytes) / float64(w.sub.server.cfg.SnapshotBytesPerSecond) * float64(time.Second))
 }
 
-// admitted starts the table that waited. A subscriber that reads too slowly
-// loses its place in the end, or a few such could hold all places.
-func (w *writer) admitted(now time.Time) {
-	w.sub.server.line.left()
-	w.sub.server.count.snapshots.Add(1)
-	w.inLine, w.hasPlace = false, true
-	w.giveUp = now.Add(4*w.tableTime(w.snapshot) + writeTimeout)
-	w.queue(w.snapshot, w.tables)
+// startSnapshot starts sending the queued snapshot. A subscriber that reads too slowly
+// loses its slot at snapshotDeadline, as a few such subscribers could occupy all slots.
+func (w *writer) startSnapshot(now time.Time) {
+	w.sub.server.snapshotQueue.leave()
+	w.sub.server.counters.snapshots.Add(1)
+	w.queued, w.hasSlot = false, true
+	w.snapshotDeadline = now.Add(4*w.snapshotDuration(w.snapshot) + writeTimeout)
+	w.enqueueParts(w.snapshot, w.snapshotLimiter)
 }
 
-func (w *writer) leaveLine() {
-	if w.inLine {
-		w.sub.server.line.left()
+// leaveQueue gives up the place in the queue or the slot, if there is one.
+func (w *writer) leaveQueue() {
+	if w.queued {
+		w.sub.server.snapshotQueue.leave()
 	}
-	if w.hasPlace {
-		w.sub.server.line.done()
+	if w.hasSlot {
+		w.sub.server.snapshotQueue.release()
 	}
-	w.inLine, w.hasPlace, w.snapshot = false, false, nil
+	w.queued, w.hasSlot, w.snapshot = false, false, nil
 }
 
-func (w *writer) queue(e *encoded, bucket *rate.Limiter) {
+func (w *writer) enqueueParts(e *encodedUpdate, limiter *rate.Limiter) {
 	w.sent = e.to
 	w.awaiting = true
 	for _, p := range e.parts {
-		w.pending = append(w.pending, wirePart{body: p, size: len(p) + frameHeader, bucket: bucket})
+		w.pending = append(w.pending, pacedPart{message: p, frameBytes: len(p) + frameHeaderBytes, limiter: limiter})
 	}
 }
 
-// sendDue sends the parts whose tokens are there.
+// sendDue sends the parts for which the limiter has tokens.
 func (w *writer) sendDue(now time.Time) error {
 	for len(w.pending) > 0 {
 		p := &w.pending[0]
 		if p.due.IsZero() {
-			p.due = now.Add(p.bucket.ReserveN(now, p.size).DelayFrom(now))
+			p.due = now.Add(p.limiter.ReserveN(now, p.frameBytes).DelayFrom(now))
 		}
 		if p.due.After(now) {
 			return nil
 		}
-		if w.hasPlace && now.After(w.giveUp) {
+		if w.hasSlot && now.After(w.snapshotDeadline) {
 			return w.sub.server.refuse(w.sub.conn, refusedBusy)
 		}
-		if err := w.sub.send(kindPart, p.body); err != nil {
+		if err := w.sub.send(kindPart, p.message); err != nil {
 			return err
 		}
 		w.pending = w.pending[1:]
 	}
-	if w.hasPlace {
-		w.leaveLine()
+	if w.hasSlot {
+		w.leaveQueue()
 	}
 	return nil
 }
--- a/internal/distribution/silence.go
+++ b/internal/distribution/silence.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	// silenceTick is how often the tracker is asked; a tenth of the grace.
-	silenceTick = 100 * time.Millisecond
+	// silenceCheckInterval is a tenth of the liveness grace period.
+	silenceCheckInterval = 100 * time.Millisecond
 	// commitTimeout bounds one command to the replicated state.
 	commitTimeout = 3 * time.Second
 )
 
-// subject is a subscriber across its streams.
-type subject struct {
+// subscriberKey identifies a subscriber across its streams.
+type subscriberKey struct {
 	role Role
 	name string
 }
 
-// silence runs the liveness decisions of one server.
-type silence struct {
+// silenceReporter tracks the liveness of a server's subscribers and reports silent ones.
+type silenceReporter struct {
 	server *Server
 
 	mu      sync.Mutex
-	tracker *liveness.Tracker[subject]
+	tracker *liveness.Tracker[subscriberKey]
 	// numbers are the agents' last known numbers.
-	numbers map[subject]table.AgentNumber
+	numbers map[subscriberKey]table.AgentNumber
 }
 
-func newSilence(s *Server) *silence {
-	return &silence{
+func newSilenceReporter(s *Server) *silenceReporter {
+	return &silenceReporter{
 		server:  s,
-		tracker: liveness.New[subject](s.cfg.Liveness),
-		numbers: map[subject]table.AgentNumber{},
+		tracker: liveness.New[subscriberKey](s.cfg.Liveness),
+		numbers: map[subscriberKey]table.AgentNumber{},
 	}
 }
 
@@ -47,99 +47,100 @@
 	return liveness.Attachment{Incarnation: a.Incarnation, Sequence: a.Attachment}
 }
 
-// attached returns how long the announcement must wait.
-func (l *silence) attached(k subject, a Announcement) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.tracker.Attached(k, attachmentOf(a), time.Now())
+// streamAttached records a stream, and returns the damping delay of its announcement.
+func (r *silenceReporter) streamAttached(k subscriberKey, a Announcement) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.tracker.Attached(k, attachmentOf(a), time.Now())
 }
 
-func (l *silence) lost(k subject, a Announcement) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.tracker.Lost(k, attachmentOf(a), time.Now())
+func (r *silenceReporter) streamLost(k subscriberKey, a Announcement) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.tracker.Lost(k, attachmentOf(a), time.Now())
 }
 
-func (l *silence) numbered(k subject, n table.AgentNumber) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.numbers[k] = n
+func (r *silenceReporter) setNumber(k subscriberKey, n table.AgentNumber) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.numbers[k] = n
 }
 
-func (l *silence) adopt(role Role, lost []Silence) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (r *silenceReporter) adopt(role Role, lost []Silence) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	now := time.Now()
 	for _, s := range lost {
-		k := subject{role: role, name: s.Name}
-		l.tracker.Adopt(k, liveness.Attachment{Incarnation: s.Incarnation, Sequence: s.Attachment}, now)
-		if _, known := l.numbers[k]; !known {
-			l.numbers[k] = s.Agent
+		k := subscriberKey{role: role, name: s.Name}
+		r.tracker.Adopt(k, liveness.Attachment{Incarnation: s.Incarnation, Sequence: s.Attachment}, now)
+		if _, known := r.numbers[k]; !known {
+			r.numbers[k] = s.Agent
 		}
 	}
 }
 
-func (l *silence) run() {
-	defer l.server.running.Done()
-	ticker := time.NewTicker(silenceTick)
+func (r *silenceReporter) run() {
+	defer r.server.goroutines.Done()
+	ticker := time.NewTicker(silenceCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-l.server.ctx.Done():
+		case <-r.server.ctx.Done():
 			return
 		case now := <-ticker.C:
-			l.report(now)
+			r.reportDue(now)
 		}
 	}
 }
 
-// report hands what is due to the replicated state, several at once, because a
-// lost data centre is hundreds.
-func (l *silence) report(now time.Time) {
-	l.mu.Lock()
-	due := l.tracker.Due(now, l.server.cfg.Source.ContactAge())
-	l.mu.Unlock()
-	for _, r := range due {
-		l.server.running.Add(1)
+// reportDue reports the subscribers that are due as silent, several concurrently, as the
+// loss of a data centre makes hundreds of reports.
+func (r *silenceReporter) reportDue(now time.Time) {
+	r.mu.Lock()
+	reports := r.tracker.Due(now, r.server.cfg.Source.ContactAge())
+	r.mu.Unlock()
+	for _, due := range reports {
+		r.server.goroutines.Add(1)
 		go func() {
-			defer l.server.running.Done()
-			l.commit(r)
+			defer r.server.goroutines.Done()
+			r.reportSilent(due)
 		}()
 	}
 }
 
-func (l *silence) commit(r liveness.Report[subject]) {
-	s := l.server
+// reportSilent reports one subscriber as silent. A failed report is due again later.
+func (r *silenceReporter) reportSilent(report liveness.Report[subscriberKey]) {
+	s := r.server
 	select {
-	case s.commits <- struct{}{}:
-		defer func() { <-s.commits }()
+	case s.commitSlots <- struct{}{}:
+		defer func() { <-s.commitSlots }()
 	case <-s.ctx.Done():
 		return
 	}
-	l.mu.Lock()
+	r.mu.Lock()
 	message := Silence{
-		Name:        r.Subject.name,
-		Agent:       l.numbers[r.Subject],
-		Incarnation: r.Attachment.Incarnation,
-		Attachment:  r.Attachment.Sequence,
+		Name:        report.Subject.name,
+		Agent:       r.numbers[report.Subject],
+		Incarnation: report.Attachment.Incarnation,
+		Attachment:  report.Attachment.Sequence,
 	}
-	l.mu.Unlock()
+	r.mu.Unlock()
 	ctx, cancel := context.WithTimeout(s.ctx, commitTimeout)
 	defer cancel()
-	if err := l.tell(ctx, r.Subject.role, message); err != nil {
-		s.count.silentErrors.Add(1)
-		l.mu.Lock()
-		l.tracker.Failed(r, time.Now())
-		l.mu.Unlock()
+	if err := r.register(ctx, report.Subject.role, message); err != nil {
+		s.counters.silentErrors.Add(1)
+		r.mu.Lock()
+		r.tracker.Failed(report, time.Now())
+		r.mu.Unlock()
 		return
 	}
-	s.count.silent.Add(1)
-	events.Log(s.cfg.Log, events.SubscriberSilent, logrus.Fields{"role": r.Subject.role, "name": r.Subject.name, "agent": message.Agent})
+	s.counters.silent.Add(1)
+	events.Log(s.cfg.Log, events.SubscriberSilent, logrus.Fields{"role": report.Subject.role, "name": report.Subject.name, "agent": message.Agent})
 }
 
-func (l *silence) tell(ctx context.Context, role Role, m Silence) error {
+func (r *silenceReporter) register(ctx context.Context, role Role, m Silence) error {
 	if role == RoleAgent {
-		return l.server.cfg.Registrar.AgentSilent(ctx, m)
+		return r.server.cfg.Registrar.AgentSilent(ctx, m)
 	}
-	return l.server.cfg.Registrar.BalancerSilent(ctx, m)
+	return r.server.cfg.Registrar.BalancerSilent(ctx, m)
 }
--- a/internal/distribution/statefile.go
+++ b/internal/distribution/statefile.go
@@ -17,28 +17,28 @@
 
 const (
 	stateFileVersion = 1
-	// stateFileMode keeps the cluster keys in the table from other users.
+	// stateFileMode protects the cluster keys in the table from other users.
 	stateFileMode = 0o600
 )
 
-// Errors of a state file that can't be used; the subscriber starts without it.
+// Errors for a state file that can't be used. The subscriber then starts without a table.
 var (
-	errStateVersion = errors.New("distribution: state file of another version")
-	errStateSum     = errors.New("distribution: state file damaged")
-	errStateView    = errors.New("distribution: state file of another role or service")
+	errStateVersion = errors.New("distribution: state file has another version")
+	errStateDamaged = errors.New("distribution: state file is damaged")
+	errStateView    = errors.New("distribution: state file is for another role or service")
 )
 
-// stateFile is the last table in use, as it is kept on disk.
+// stateFile is the file format of the last table in use.
 type stateFile struct {
 	Version int    `msg:"v"`
 	Role    Role   `msg:"r"`
 	Service string `msg:"s"`
-	// Sum is the xxhash of Table, which is encoded.
+	// Sum is the xxhash of Table, the encoded table.
 	Sum   uint64 `msg:"h"`
 	Table []byte `msg:"t"`
 }
 
-// restore puts the table of the state file in use.
+// restore loads the table of the state file and puts it in use.
 func (c *Client) restore() {
 	if c.cfg.StateFile == "" {
 		return
@@ -48,7 +48,7 @@
 		return
 	}
 	if err != nil {
-		c.count.refusedByState.Add(1)
+		c.counters.refusedByState.Add(1)
 		events.Log(c.cfg.Log, events.StateFileUnusable, logrus.Fields{"file": c.cfg.StateFile, "error": err})
 		return
 	}
@@ -56,17 +56,17 @@
 	c.held = t
 	c.mu.Unlock()
 	events.Log(c.cfg.Log, events.TableKept, logrus.Fields{"revision": t.Revision})
-	c.force(t)
+	c.applyTable(t)
 }
 
-// save writes the state file. A disk that refuses must not keep a change from
-// coming into force, so the failure is counted and told, no more.
+// save writes the state file. A disk error must not keep a table from coming into force, so
+// it is only counted and logged.
 func (c *Client) save(t *table.Table) {
 	if c.cfg.StateFile == "" {
 		return
 	}
 	if err := saveState(c.cfg.StateFile, c.view, t); err != nil {
-		c.count.stateFileErrors.Add(1)
+		c.counters.stateFileErrors.Add(1)
 		events.Log(c.cfg.Log, events.StateFileUnusable, logrus.Fields{"file": c.cfg.StateFile, "error": err})
 	}
 }
@@ -78,26 +78,26 @@
 	}
 	var f stateFile
 	if _, err := f.UnmarshalMsg(data); err != nil {
-		return nil, errors.Wrap(errStateSum, err.Error())
+		return nil, errors.Wrap(errStateDamaged, err.Error())
 	}
 	if f.Version != stateFileVersion {
 		return nil, errStateVersion
 	}
 	if xxhash.Sum64(f.Table) != f.Sum {
-		return nil, errStateSum
+		return nil, errStateDamaged
 	}
 	if f.Role != v.role || f.Service != v.service {
 		return nil, errStateView
 	}
 	t := new(table.Table)
 	if _, err := t.UnmarshalMsg(f.Table); err != nil {
-		return nil, errors.Wrap(errStateSum, err.Error())
+		return nil, errors.Wrap(errStateDamaged, err.Error())
 	}
 	return t, nil
 }
 
-// saveState replaces the file by rename, and syncs the folder, so that a power
-// cut leaves the old file or the new one.
+// saveState replaces the file by a rename and syncs the folder, so that after a power loss
+// either the old or the new file is there.
 func saveState(path string, v view, t *table.Table) error {
 	encoded, err := t.MarshalMsg(nil)
 	if err != nil {
--- a/internal/distribution/stream_test.go
+++ b/internal/distribution/stream_test.go
@@ -8,8 +8,8 @@
 	"bergamotstall/internal/table"
 )
 
-// An operator changes a weight: every balancer has the new table, agents only
-// the part of their own service, and control knows who has it.
+// After weight changes, every balancer must have the new table, agents only the part of their
+// own service, and control must know the revision of each.
 func TestChangesReachEveryRole(t *testing.T) {
 	is := is.New(t)
 	control := newFakeControl(smallTable(5))
@@ -32,7 +32,7 @@
 	})
 	is.Equal(balancer.latest().Targets[8].Weight, uint32(219))
 	is.Equal(agent.latest().Targets[1].Weight, uint32(219))
-	is.Equal(digest(balancer.latest()), digest(control.Table()))
+	is.Equal(tableDigest(balancer.latest()), tableDigest(control.Table()))
 	is.Equal(balancer.metrics.Value("control_snapshots"), int64(1)) // changes came as deltas
 	eventually(t, "acknowledged", func() bool {
 		for _, s := range server.Subscribers() {
@@ -42,7 +42,7 @@
 		}
 		return len(server.Subscribers()) == 2
 	})
-	eventually(t, "a number", func() bool { return agent.AgentNumber() != 0 })
+	eventually(t, "agent number", func() bool { return agent.AgentNumber() != 0 })
 	is.Equal(control.announced("agent-8").Via, "control-1")
 
 	agent.SetDraining(true)
--- a/internal/distribution/update.go
+++ b/internal/distribution/update.go
@@ -10,44 +10,43 @@
 	"bergamotstall/internal/table"
 )
 
-// Errors of an update that doesn't fit the table a subscriber holds.
+// Errors for an update that doesn't fit the table that a subscriber holds.
 var (
-	errLower  = errors.New("distribution: update is below the revision held")
-	errBase   = errors.New("distribution: update builds on another revision")
-	errDigest = errors.New("distribution: table after the update isn't the server's")
+	errLowerRevision  = errors.New("distribution: update is older than the held revision")
+	errOtherBase      = errors.New("distribution: update builds on another revision than the held one")
+	errDigestMismatch = errors.New("distribution: updated table's digest differs from the server's")
 )
 
-// update is what takes a subscriber's table from one revision to another. With
-// From at 0 it is a whole table.
+// update is a delta from one revision of the table to another, or a snapshot if From is 0.
 type update struct {
 	From, To table.Revision
-	// Digest is that of the table after the update.
+	// Digest is the digest of the updated table.
 	Digest   uint64
 	Preset   string
 	Services []table.Service
-	// Targets are new, or changed in more than their share of work.
+	// Targets are new, or changed in more than their shares.
 	Targets []table.Target
-	// Shifts hold only Agent, Weight, PreviousWeight, ChangedAtMS and State: a
-	// switch of preset shifts every target, and whole targets would take three
-	// times the bytes that a link carries before the change must be in force.
-	Shifts    []table.Target
-	Balancers []table.Balancer
-	// Keys replace those held where Rekeyed is set.
-	Keys          []table.KeySet
-	Rekeyed       bool
-	GoneServices  []table.ServiceID
-	GoneTargets   []table.AgentNumber
-	GoneBalancers []string
+	// ShareChanges have only Agent, Weight, PreviousWeight, ChangedAtMS and State set. A
+	// switch of the preset changes these fields of every target, and complete targets would
+	// take three times the bytes that a link can carry before the change must be in force.
+	ShareChanges []table.Target
+	Balancers    []table.Balancer
+	// Keys replace the held keys if KeysReplaced is set.
+	Keys             []table.KeySet
+	KeysReplaced     bool
+	RemovedServices  []table.ServiceID
+	RemovedTargets   []table.AgentNumber
+	RemovedBalancers []string
 }
 
-// applyUpdate returns the table that follows held; it changes nothing in held,
-// which the data path may be reading.
+// applyUpdate returns the updated table. It doesn't modify held, which the data path may be
+// reading.
 func applyUpdate(held *table.Table, u *update) (*table.Table, error) {
 	if u.To < held.Revision {
-		return nil, errLower
+		return nil, errLowerRevision
 	}
 	if u.From != 0 && u.From != held.Revision {
-		return nil, errBase
+		return nil, errOtherBase
 	}
 	if u.From == 0 {
 		held = &table.Table{}
@@ -55,26 +54,26 @@
 	next := &table.Table{
 		Revision:  u.To,
 		Preset:    u.Preset,
-		Services:  replace(held.Services, u.Services, u.GoneServices, serviceKey),
-		Targets:   replace(held.Targets, u.Targets, u.GoneTargets, targetKey),
-		Balancers: replace(held.Balancers, u.Balancers, u.GoneBalancers, balancerKey),
+		Services:  mergeByKey(held.Services, u.Services, u.RemovedServices, serviceKey),
+		Targets:   mergeByKey(held.Targets, u.Targets, u.RemovedTargets, targetKey),
+		Balancers: mergeByKey(held.Balancers, u.Balancers, u.RemovedBalancers, balancerKey),
 		Keys:      held.Keys,
 	}
-	if u.Rekeyed {
+	if u.KeysReplaced {
 		next.Keys = u.Keys
 	}
-	shift(next.Targets, u.Shifts)
-	if digest(next) != u.Digest {
-		return nil, errDigest
+	applyShares(next.Targets, u.ShareChanges)
+	if tableDigest(next) != u.Digest {
+		return nil, errDigestMismatch
 	}
 	return next, nil
 }
 
-// replace returns held without gone, with changed put in by key. The result is
-// sorted by key.
-func replace[T any, K cmp.Ordered](held, changed []T, gone []K, key func(T) K) []T {
-	drop := make(map[K]bool, len(changed)+len(gone))
-	for _, k := range gone {
+// mergeByKey returns held without the removed elements and with the changed ones replaced or
+// added, sorted by key.
+func mergeByKey[T any, K cmp.Ordered](held, changed []T, removed []K, key func(T) K) []T {
+	drop := make(map[K]bool, len(changed)+len(removed))
+	for _, k := range removed {
 		drop[k] = true
 	}
 	for _, c := range changed {
@@ -91,21 +90,21 @@
 	return out
 }
 
-// shift writes shares of work into targets, which are sorted by agent. A shift
-// of an unknown target shows in the digest.
-func shift(targets, shifts []table.Target) {
+// applyShares applies share changes to targets, which are sorted by agent. A change of an
+// unknown target is skipped; the digest then differs.
+func applyShares(targets, shifts []table.Target) {
 	for _, s := range shifts {
 		i, ok := slices.BinarySearchFunc(targets, s.Agent, func(t table.Target, a table.AgentNumber) int {
 			return cmp.Compare(t.Agent, a)
 		})
 		if ok {
-			targets[i] = shifted(targets[i], s)
+			targets[i] = withShares(targets[i], s)
 		}
 	}
 }
 
-// shifted returns t with the share of work of s.
-func shifted(t, s table.Target) table.Target {
+// withShares returns t with the weights, change time and state of s.
+func withShares(t, s table.Target) table.Target {
 	t.Weight = s.Weight
 	t.PreviousWeight = s.PreviousWeight
 	t.ChangedAtMS = s.ChangedAtMS
@@ -117,7 +116,7 @@
 func targetKey(t table.Target) table.AgentNumber { return t.Agent }
 func balancerKey(b table.Balancer) string        { return b.Name }
 
-// Seeds keep equal encodings of different kinds apart.
+// Seeds make the digests of equal encodings of different kinds differ.
 const (
 	seedService byte = iota + 1
 	seedTarget
@@ -126,15 +125,15 @@
 	seedPreset
 )
 
-// marshaler is a table element by its generated encoder.
+// marshaler is implemented by the generated encoders of table elements.
 type marshaler interface {
 	MarshalMsg([]byte) ([]byte, error)
 }
 
-// sumOf hashes one element. Sums of elements add up to the digest of a table in
-// any order, so that a server keeps the digest of each service's part by adding
-// and subtracting what changed.
-func sumOf(seed byte, m marshaler) uint64 {
+// digestOf returns the digest of one element. The digest of a table is the sum of those of
+// its elements in any order, so a server can update the digest of each service's part by
+// adding and subtracting what changed.
+func digestOf(seed byte, m marshaler) uint64 {
 	var scratch [512]byte
 	b, err := m.MarshalMsg(append(scratch[:0], seed))
 	if err != nil {
@@ -143,29 +142,30 @@
 	return xxhash.Sum64(b)
 }
 
-func sumOfKeys(keys []table.KeySet) uint64 {
+// digestOfKeys returns the sum of the key sets' digests.
+func digestOfKeys(keys []table.KeySet) uint64 {
 	var sum uint64
 	for i := range keys {
-		sum += sumOf(seedKeys, &keys[i])
+		sum += digestOf(seedKeys, &keys[i])
 	}
 	return sum
 }
 
-func sumOfPreset(name string) uint64 {
+func digestOfPreset(name string) uint64 {
 	return xxhash.Sum64(append([]byte{seedPreset}, name...))
 }
 
-// digest returns the sum over a whole table, its revision left out.
-func digest(t *table.Table) uint64 {
-	sum := sumOfPreset(t.Preset) + sumOfKeys(t.Keys)
+// tableDigest returns the digest of a whole table without its revision.
+func tableDigest(t *table.Table) uint64 {
+	sum := digestOfPreset(t.Preset) + digestOfKeys(t.Keys)
 	for i := range t.Services {
-		sum += sumOf(seedService, &t.Services[i])
+		sum += digestOf(seedService, &t.Services[i])
 	}
 	for i := range t.Targets {
-		sum += sumOf(seedTarget, &t.Targets[i])
+		sum += digestOf(seedTarget, &t.Targets[i])
 	}
 	for i := range t.Balancers {
-		sum += sumOf(seedBalancer, &t.Balancers[i])
+		sum += digestOf(seedBalancer, &t.Balancers[i])
 	}
 	return sum
 }
--- a/internal/distribution/view.go
+++ b/internal/distribution/view.go
@@ -4,10 +4,9 @@
 	"bergamotstall/internal/table"
 )
 
-// view is the part of the table that a kind of subscriber gets. An agent of a
-// table with 12,000 hosts needs the half dozen of its own service; sending it
-// the rest would cost it forty seconds of its byte budget and megabytes of its
-// memory for nothing.
+// view identifies the part of the table that a subscriber gets. In a table with 12,000
+// hosts, an agent needs only the half dozen of its own service; the others would cost it
+// 40 seconds of its byte budget and megabytes of memory.
 type view struct {
 	role    Role
 	service string
@@ -20,42 +19,42 @@
 	return view{role: role}
 }
 
-// serviceID finds the service of an agent's view, 0 while there is none.
-func (h *history) serviceID(v view) table.ServiceID { return h.byName[v.service] }
+// serviceID returns the service of an agent's view, or 0 if there is none.
+func (h *history) serviceID(v view) table.ServiceID { return h.serviceByName[v.service] }
 
-// holds tells whether the view with the given service holds a service's part.
-func (v view) holds(own, id table.ServiceID) bool {
+// includes reports whether the view, whose own service is given, includes a service's part.
+func (v view) includes(own, id table.ServiceID) bool {
 	return v.role == RoleBalancer || (own != 0 && own == id)
 }
 
-// digest returns the digest of the view's table and when it last changed.
-func (h *history) digest(v view, own table.ServiceID) partSum {
+// digest returns the digest of the view's table and the revision that last changed it.
+func (h *history) digest(v view, own table.ServiceID) partDigest {
 	if v.role == RoleBalancer {
-		return h.total
+		return h.totalDigest
 	}
-	p := h.byService[own]
-	return partSum{sum: h.common.sum + p.sum, at: max(h.common.at, p.at)}
+	p := h.serviceDigests[own]
+	return partDigest{sum: h.commonDigest.sum + p.sum, changedAt: max(h.commonDigest.changedAt, p.changedAt)}
 }
 
-// reaches tells whether a delta from the revision can be made.
-func (h *history) reaches(from table.Revision) bool {
+// hasDeltaFrom reports whether a delta from the revision can be made.
+func (h *history) hasDeltaFrom(from table.Revision) bool {
 	return from >= h.floor && from <= h.revision && from != 0
 }
 
-// since returns what takes a view from a revision to the newest; a whole table
-// where history doesn't reach back that far.
-func (h *history) since(v view, from table.Revision) *update {
-	if !h.reaches(from) {
+// updateSince returns the update of a view from a revision to the newest one, or a snapshot
+// if the history doesn't reach back that far.
+func (h *history) updateSince(v view, from table.Revision) *update {
+	if !h.hasDeltaFrom(from) {
 		from = 0
 	}
 	own := h.serviceID(v)
 	state := h.digest(v, own)
 	u := &update{From: from, To: h.revision, Digest: state.sum, Preset: h.preset}
-	if from >= state.at {
+	if from >= state.changedAt {
 		return u
 	}
 	for _, s := range h.services {
-		if s.changed > from && v.holds(own, s.value.ID) {
+		if s.changed > from && v.includes(own, s.value.ID) {
 			u.Services = append(u.Services, s.value)
 		}
 	}
@@ -64,7 +63,7 @@
 			u.addTarget(&h.targets[i], from)
 		}
 	} else {
-		for _, i := range h.ofService[own] {
+		for _, i := range h.targetsByService[own] {
 			u.addTarget(&h.targets[i], from)
 		}
 	}
@@ -73,32 +72,32 @@
 			u.Balancers = append(u.Balancers, b.value)
 		}
 	}
-	if h.keysAt > from {
-		u.Keys, u.Rekeyed = h.keys, true
+	if h.keysChangedAt > from {
+		u.Keys, u.KeysReplaced = h.keys, true
 	}
 	if from != 0 {
-		u.GoneServices = goneSince(h.goneServices, from)
-		u.GoneTargets = goneSince(h.goneTargets, from)
-		u.GoneBalancers = goneSince(h.goneBalancers, from)
+		u.RemovedServices = removedSince(h.removedServices, from)
+		u.RemovedTargets = removedSince(h.removedTargets, from)
+		u.RemovedBalancers = removedSince(h.removedBalancers, from)
 	}
 	return u
 }
 
-// addTarget puts a target in the update if it changed since.
-func (u *update) addTarget(t *tracked[table.Target], from table.Revision) {
+// addTarget adds a target to the update if it changed after the given revision.
+func (u *update) addTarget(t *trackedElement[table.Target], from table.Revision) {
 	switch {
 	case t.changed <= from:
-	case t.whole > from:
+	case t.changedInFull > from:
 		u.Targets = append(u.Targets, t.value)
 	default:
-		u.Shifts = append(u.Shifts, t.value)
+		u.ShareChanges = append(u.ShareChanges, t.value)
 	}
 }
 
-func goneSince[K any](gone []tombstone[K], from table.Revision) []K {
+func removedSince[K any](tombstones []tombstone[K], from table.Revision) []K {
 	var out []K
-	for _, g := range gone {
-		if g.at > from {
+	for _, g := range tombstones {
+		if g.removedAt > from {
 			out = append(out, g.key)
 		}
 	}
