--- a/control/watch.go
+++ b/control/watch.go
@@ -58,7 +58,7 @@
 // lead takes the steps that one VM takes for all. A leader that was replaced a
 // moment ago may take one too; the state takes each once.
 func (c *Control) lead(ctx context.Context) {
-	agents, balancers := c.catalogue.BelievableSuspects(time.Now())
+	agents, balancers := c.catalogue.RemovableSuspects(time.Now())
 	beat := c.catalogue.SweepDue(time.Now())
 	if !beat && len(agents)+len(balancers) == 0 && len(c.catalogue.Keys()) > 0 {
 		return
@@ -93,7 +93,7 @@
 // orphans are the subscribers that this VM has to watch over.
 func (c *Control) orphans() (agents, balancers []distribution.Silence) {
 	status := c.log.Status()
-	return c.catalogue.HeardVia(func(vm string) bool {
+	return c.catalogue.LiveVia(func(vm string) bool {
 		return vm == c.settings.Name || (status.Leader == status.ID && gone(status, vm))
 	})
 }
@@ -141,7 +141,7 @@
 		return true
 	}
 	inTouch := contactAge < staleAfter
-	return inTouch && -ahead > catalogue.BeatEvery+beatTolerance
+	return inTouch && -ahead > catalogue.SweepInterval+beatTolerance
 }
 
 // noteContact logs the moments at which contact with a quorum ends and returns.
--- a/control/watch_test.go
+++ b/control/watch_test.go
@@ -166,7 +166,7 @@
 		ahead, contact time.Duration
 		want           bool
 	}{
-		{"in step", -catalogue.BeatEvery, 0, false},
+		{"in step", -catalogue.SweepInterval, 0, false},
 		{"a command's wait", time.Second, 0, false},
 		{"leader ahead", 3 * time.Second, 0, true},
 		{"leader ahead, out of touch", 3 * time.Second, time.Hour, true},
--- a/internal/catalogue/agents.go
+++ b/internal/catalogue/agents.go
@@ -10,7 +10,7 @@
 	"bergamotstall/internal/table"
 )
 
-// announceAgent registers an incarnation, or finds it again.
+// announceAgent registers an agent's incarnation, or updates it if it is known.
 func (c *Catalogue) announceAgent(cmd *Command) Outcome {
 	a := cmd.AnnounceAgent.Announcement
 	service, ok := c.serviceNamed(a.Service)
@@ -19,11 +19,11 @@
 		out.Subject = a.Service
 		return out
 	}
-	if why := announcementFault(&a); why != "" {
-		return c.outcome(NotValid, why)
+	if problem := announcementProblem(&a); problem != "" {
+		return c.outcome(NotValid, problem)
 	}
-	if known := c.incarnation(&a); known != nil {
-		return c.announceAgain(known, service.ID, &a, cmd.Via)
+	if known := c.findIncarnation(&a); known != nil {
+		return c.reannounceAgent(known, service.ID, &a, cmd.Via)
 	}
 	if len(c.state.Agents) >= maxAgents {
 		return c.outcome(Refused, fmt.Sprintf("%d agents are known", maxAgents))
@@ -31,8 +31,9 @@
 	return c.register(service, &a, cmd)
 }
 
-// announcementFault says what an agent's announcement lacks.
-func announcementFault(a *distribution.Announcement) string {
+// announcementProblem describes what is wrong with an agent's announcement; empty if
+// nothing is.
+func announcementProblem(a *distribution.Announcement) string {
 	switch {
 	case a.Name == "" || len(a.Name) > maxNameLength:
 		return fmt.Sprintf("an agent's name has 1 to %d bytes", maxNameLength)
@@ -53,9 +54,9 @@
 	return err == nil && a.Port() != 0
 }
 
-// incarnation finds the record of an incarnation that announced itself before.
-// Only retired records are looked through beside the name's current one.
-func (c *Catalogue) incarnation(a *distribution.Announcement) *Agent {
+// findIncarnation returns the record of an incarnation that announced itself before, nil
+// if there is none.
+func (c *Catalogue) findIncarnation(a *distribution.Announcement) *Agent {
 	for i := len(c.state.Agents) - 1; i >= 0; i-- {
 		x := &c.state.Agents[i]
 		if x.Incarnation == a.Incarnation && x.Name == a.Name {
@@ -65,9 +66,9 @@
 	return nil
 }
 
-// announceAgain brings a known incarnation up to date. Its number stays; one
-// that went out on silence comes back, since nobody else ever got its number.
-func (c *Catalogue) announceAgain(x *Agent, service table.ServiceID, a *distribution.Announcement, via string) Outcome {
+// reannounceAgent updates a known incarnation. It keeps its number. One that was taken
+// out of service for silence returns, since its number is never given to another agent.
+func (c *Catalogue) reannounceAgent(x *Agent, service table.ServiceID, a *distribution.Announcement, via string) Outcome {
 	if x.Service != service || x.Host != a.Host {
 		return c.outcome(NotValid, fmt.Sprintf("agent %d is bound to its service and host", x.Number))
 	}
@@ -77,7 +78,7 @@
 		return out
 	}
 	if a.Attachment < x.Attachment {
-		// A control VM that the agent has left speaks late.
+		// A delayed announcement through a control VM that the agent has left.
 		out := c.outcome(Done, fmt.Sprintf("agent %d has announced itself since", x.Number))
 		out.Agent = x.Number
 		return out
@@ -87,11 +88,11 @@
 	x.Slots, x.Connections = a.Slots, a.Connections
 	x.DataCentre, x.Leaving = a.DataCentre, a.Draining
 	x.Retired, x.RetiredAtMS = false, 0
-	x.Silence, x.SilentAtMS = Heard, 0
-	c.weigh(x)
-	before.Silence, before.SilentAtMS = suspicionOnly(before.Silence), 0
+	x.Liveness, x.SilentAtMS = Live, 0
+	c.updateWeight(x)
+	before.Liveness, before.SilentAtMS = withoutSuspicion(before.Liveness), 0
 	if *x != before {
-		c.altered = true
+		c.tableChanged = true
 	}
 	x.Via, x.Attachment = via, a.Attachment
 	out := c.outcome(Done, fmt.Sprintf("agent %d announced again", x.Number))
@@ -99,22 +100,22 @@
 	return out
 }
 
-// suspicionOnly forgets a suspicion, which the table doesn't show.
-func suspicionOnly(s Silence) Silence {
+// withoutSuspicion returns Live for Suspect: a suspicion doesn't show in the table.
+func withoutSuspicion(s Liveness) Liveness {
 	if s == Suspect {
-		return Heard
+		return Live
 	}
 	return s
 }
 
-// register gives a new incarnation its number and retires the one before it.
+// register gives a new incarnation its number and retires the incarnation before it.
 //
-// An agent counts as joined at the proposer's time where that is later than the
-// state's clock: whoever asks how long an agent can have remembered keys must
-// never take it for older than it is.
+// JoinedAtMS is the later of the proposer's time and the state's clock. It bounds how
+// long an agent can have held idempotency keys, so the agent must never appear older
+// than it is.
 func (c *Catalogue) register(service Service, a *distribution.Announcement, cmd *Command) Outcome {
-	c.replace(c.agents[a.Name])
-	c.replace(c.hostOf[place{service.ID, a.Host}])
+	c.replaceAgent(c.agentByName[a.Name])
+	c.replaceAgent(c.agentByHost[serviceHost{service.ID, a.Host}])
 	c.state.LastAgent++
 	x := Agent{
 		Number: c.state.LastAgent, Service: service.ID, Name: a.Name, Incarnation: a.Incarnation,
@@ -125,31 +126,31 @@
 	x.Weight = c.effectiveWeight(&x)
 	x.PreviousWeight = x.Weight
 	c.state.Agents = append(c.state.Agents, x)
-	c.index(&x)
-	c.altered = true
+	c.indexAgent(&x)
+	c.tableChanged = true
 	out := c.outcome(Done, fmt.Sprintf("agent %d registered for %s on %s", x.Number, service.Spec.Name, a.Host))
 	out.Agent = x.Number
 	return out
 }
 
-// replace retires an incarnation for good: a later one has its place.
-func (c *Catalogue) replace(number table.AgentNumber) {
+// replaceAgent retires an incarnation permanently, because a later one replaces it.
+func (c *Catalogue) replaceAgent(number table.AgentNumber) {
 	x := c.agent(number)
 	if x == nil {
 		return
 	}
 	x.Replaced = true
-	c.retire(x)
+	c.retireAgent(x)
 }
 
-func (c *Catalogue) retire(x *Agent) {
+func (c *Catalogue) retireAgent(x *Agent) {
 	if !x.Retired {
 		x.Retired, x.RetiredAtMS = true, c.state.ClockMS
-		c.altered = true
+		c.tableChanged = true
 	}
 }
 
-// agent finds an agent by number, nil where there is none.
+// agent returns the agent with the number, nil if there is none.
 func (c *Catalogue) agent(number table.AgentNumber) *Agent {
 	i, ok := slices.BinarySearchFunc(c.state.Agents, number, func(a Agent, n table.AgentNumber) int {
 		return cmp.Compare(a.Number, n)
@@ -160,73 +161,76 @@
 	return &c.state.Agents[i]
 }
 
-// agentSilent takes a silent agent out of new work, or suspects it only.
+// agentSilent takes a silent agent out of service, or marks it as a suspect if too many
+// agents of its group are silent.
 func (c *Catalogue) agentSilent(cmd *Command) Outcome {
 	report := cmd.AgentSilent
 	number := report.Agent
 	if number == 0 {
-		// Registered, but the answer with the number was lost before the stream was.
-		number = c.agents[report.Name]
+		// The agent was registered, but its stream ended before its control VM received
+		// the number.
+		number = c.agentByName[report.Name]
 	}
 	x := c.agent(number)
 	switch {
 	case x == nil || x.Retired:
 		return c.outcome(Done, "gone already")
 	case x.Incarnation != report.Incarnation || x.Attachment > report.Attachment:
-		// The agent has come back, here or at another control VM; the report is of
-		// a stream that it left.
+		// The agent has reconnected to this or another control VM; the report is about
+		// an older stream.
 		return c.outcome(Done, "heard since by "+x.Via)
-	case x.Silence == Out:
+	case x.Liveness == OutOfService:
 		return c.outcome(Done, "out already")
-	case !x.Leaving && !c.agentWave(x, c.state.ClockMS).believe():
-		if x.Silence != Suspect {
-			x.Silence, x.SilentAtMS = Suspect, c.state.ClockMS
+	case !x.Leaving && !c.countAgents(x, c.state.ClockMS).mayTakeOut():
+		if x.Liveness != Suspect {
+			x.Liveness, x.SilentAtMS = Suspect, c.state.ClockMS
 		}
 		return c.outcome(Refused, fmt.Sprintf("agent %d is silent, but too much of its service is; it stays in", x.Number))
 	}
-	x.Silence, x.SilentAtMS = Out, c.state.ClockMS
-	c.altered = true
+	x.Liveness, x.SilentAtMS = OutOfService, c.state.ClockMS
+	c.tableChanged = true
 	if x.Leaving {
 		return c.outcome(Done, fmt.Sprintf("agent %d left as planned", x.Number))
 	}
 	return c.outcome(Done, fmt.Sprintf("agent %d is out of new work", x.Number))
 }
 
-// works tells whether an agent that is in touch would get new work.
-func (c *Catalogue) works(x *Agent) bool {
-	return x.Weight > 0 && !x.Leaving && !c.drains[x.Host]
+// takesNewWork reports whether the agent gets new work while it is live.
+func (c *Catalogue) takesNewWork(x *Agent) bool {
+	return x.Weight > 0 && !x.Leaving && !c.drained[x.Host]
 }
 
-// agentWave counts, at nowMS, the targets of x's service that are like x: those
-// that work, or those that don't under the present drains and weights. Idle ones
-// must not stand for a reserve in the count of those that work.
-func (c *Catalogue) agentWave(x *Agent, nowMS int64) wave {
-	w := wave{idle: !c.works(x)}
+// countAgents counts, at nowMS, the agents of x's service in x's group: those that take
+// new work, or those that don't because of drains and weights. The groups are counted
+// apart because idle agents are no spare capacity for the others.
+func (c *Catalogue) countAgents(x *Agent, nowMS int64) silenceCount {
+	n := silenceCount{idle: !c.takesNewWork(x)}
 	for i := range c.state.Agents {
 		y := &c.state.Agents[i]
-		if y.Service != x.Service || y.Replaced || y.Leaving || c.works(y) == w.idle {
+		if y.Service != x.Service || y.Replaced || y.Leaving || c.takesNewWork(y) == n.idle {
 			continue
 		}
 		switch {
-		case y.Silence == Out:
+		case y.Liveness == OutOfService:
 			if nowMS-y.SilentAtMS < silenceWindow.Milliseconds() {
-				w.out++
+				n.out++
 			}
 		case !y.Retired:
-			w.live++
+			n.live++
 		}
 	}
-	return w
+	return n
 }
 
-// expire takes the steps that the state's clock has made due.
+// expire retires agents that have been silent for long enough and drops agents and
+// balancers whose retention has ended, by the state's clock.
 func (c *Catalogue) expire() {
 	c.expireBalancers()
 	retired := 0
 	for i := range c.state.Agents {
 		x := &c.state.Agents[i]
-		if x.Silence == Out && !x.Retired && c.due(x.SilentAtMS, retireAfter(x).Milliseconds()) {
-			c.retire(x)
+		if x.Liveness == OutOfService && !x.Retired && c.elapsed(x.SilentAtMS, retireAfter(x).Milliseconds()) {
+			c.retireAgent(x)
 		}
 		if x.Retired {
 			retired++
@@ -235,44 +239,45 @@
 	if retired == 0 {
 		return
 	}
-	over := retired - maxRetired
+	excess := retired - maxRetiredAgents
 	c.dropAgents(func(x *Agent) bool {
 		if !x.Retired {
 			return false
 		}
-		over--
-		if c.due(x.RetiredAtMS, c.retiredKept[x.Service]) {
+		excess--
+		if c.elapsed(x.RetiredAtMS, c.retentionMS[x.Service]) {
 			return true
 		}
-		if over >= 0 {
-			c.stopKeys(x)
+		if excess >= 0 {
+			c.suspendKeys(x)
 		}
-		return over >= 0
+		return excess >= 0
 	})
 }
 
-// stopKeys keeps the service from claiming idempotency keys until a retired
-// agent that is dropped early would have been dropped in time. Agents look
-// retired keepers up in the table; with one missing, they could pass over the
-// only ones that know of a run, and run a resent submission again.
-func (c *Catalogue) stopKeys(x *Agent) {
+// suspendKeys stops the service from accepting idempotency keys until the normal end of
+// x's retention, because x is dropped early. Agents find the retired holders of keys in
+// the table. With one missing they could miss the only record of a request that ran, and
+// run it a second time when it is resent.
+func (c *Catalogue) suspendKeys(x *Agent) {
 	i := slices.IndexFunc(c.state.Services, func(s Service) bool { return s.ID == x.Service })
 	if i >= 0 {
 		s := &c.state.Services[i]
-		s.KeysFromMS = max(s.KeysFromMS, x.RetiredAtMS+s.retiredKeptMS())
+		s.KeysFromMS = max(s.KeysFromMS, x.RetiredAtMS+s.retiredRetentionMS())
 	}
 }
 
-func (c *Catalogue) due(sinceMS, afterMS int64) bool { return c.state.ClockMS-sinceMS >= afterMS }
+// elapsed reports whether afterMS have passed since sinceMS by the state's clock.
+func (c *Catalogue) elapsed(sinceMS, afterMS int64) bool { return c.state.ClockMS-sinceMS >= afterMS }
 
-// dropAgents forgets agents; their numbers stay used. It copies only once it has
-// found one: it runs at every command.
-func (c *Catalogue) dropAgents(gone func(*Agent) bool) {
+// dropAgents removes agents from the state; their numbers aren't used again. It runs for
+// every command, so it copies nothing until it finds an agent to drop.
+func (c *Catalogue) dropAgents(drop func(*Agent) bool) {
 	kept := 0
 	for i := range c.state.Agents {
 		x := &c.state.Agents[i]
-		if gone(x) {
-			c.unindex(x)
+		if drop(x) {
+			c.unindexAgent(x)
 			continue
 		}
 		if kept < i {
@@ -285,15 +290,15 @@
 	}
 	clear(c.state.Agents[kept:])
 	c.state.Agents = c.state.Agents[:kept]
-	c.altered = true
+	c.tableChanged = true
 }
 
-// unindex forgets a dropped agent where it still is its name's current one.
-func (c *Catalogue) unindex(x *Agent) {
-	if c.agents[x.Name] == x.Number {
-		delete(c.agents, x.Name)
+// unindexAgent removes a dropped agent from the indexes where it is the current one.
+func (c *Catalogue) unindexAgent(x *Agent) {
+	if c.agentByName[x.Name] == x.Number {
+		delete(c.agentByName, x.Name)
 	}
-	if at := (place{x.Service, x.Host}); c.hostOf[at] == x.Number {
-		delete(c.hostOf, at)
+	if at := (serviceHost{x.Service, x.Host}); c.agentByHost[at] == x.Number {
+		delete(c.agentByHost, at)
 	}
 }
--- a/internal/catalogue/balancers.go
+++ b/internal/catalogue/balancers.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// announceBalancer registers a balancer, brings it up to date, or takes it out
-// where it says that it leaves.
+// announceBalancer registers or updates a balancer, or removes one that announces its
+// stop.
 func (c *Catalogue) announceBalancer(cmd *Command) Outcome {
 	a := cmd.AnnounceBalancer.Announcement
 	if a.Name == "" || len(a.Name) > maxNameLength || len(a.DataCentre) > maxNameLength || !validAddress(a.Tunnel) {
@@ -20,7 +20,7 @@
 	if a.Draining {
 		if known {
 			c.state.Balancers = slices.Delete(c.state.Balancers, at, at+1)
-			c.altered = true
+			c.tableChanged = true
 		}
 		return c.outcome(Done, "balancer "+a.Name+" left as planned")
 	}
@@ -30,26 +30,26 @@
 	}
 	if !known {
 		c.state.Balancers = slices.Insert(c.state.Balancers, at, next)
-		c.altered = true
+		c.tableChanged = true
 		return c.outcome(Done, "balancer "+a.Name+" registered")
 	}
 	old := c.state.Balancers[at]
 	c.state.Balancers[at] = next
-	if old.Silence == Out || old.Tunnel != next.Tunnel || old.DataCentre != next.DataCentre {
-		c.altered = true
+	if old.Liveness == OutOfService || old.Tunnel != next.Tunnel || old.DataCentre != next.DataCentre {
+		c.tableChanged = true
 	}
 	return c.outcome(Done, "balancer "+a.Name+" announced again")
 }
 
+// balancerAt returns the index of the balancer, or the index to insert it at.
 func (c *Catalogue) balancerAt(name string) (int, bool) {
 	return slices.BinarySearchFunc(c.state.Balancers, name, func(b BalancerRecord, n string) int {
 		return cmp.Compare(b.Name, n)
 	})
 }
 
-// balancerSilent takes a silent balancer off the return path. The same share
-// holds as for targets: agents that are cut off from callers by a list of
-// balancers that control wrongly emptied would answer nobody.
+// balancerSilent takes a silent balancer off the return path. The limit for targets
+// applies to balancers too: without any listed balancer, agents couldn't answer callers.
 func (c *Catalogue) balancerSilent(cmd *Command) Outcome {
 	report := cmd.BalancerSilent
 	at, known := c.balancerAt(report.Name)
@@ -60,35 +60,35 @@
 	switch {
 	case b.Incarnation != report.Incarnation || b.Attachment > report.Attachment:
 		return c.outcome(Done, "heard since by "+b.Via)
-	case b.Silence == Out:
+	case b.Liveness == OutOfService:
 		return c.outcome(Done, "out already")
-	case !c.balancerWave(c.state.ClockMS).believe():
-		b.Silence, b.SilentAtMS = Suspect, c.state.ClockMS
+	case !c.countBalancers(c.state.ClockMS).mayTakeOut():
+		b.Liveness, b.SilentAtMS = Suspect, c.state.ClockMS
 		return c.outcome(Refused, fmt.Sprintf("balancer %s is silent, but too many are; it stays in", b.Name))
 	}
-	b.Silence, b.SilentAtMS = Out, c.state.ClockMS
-	c.altered = true
+	b.Liveness, b.SilentAtMS = OutOfService, c.state.ClockMS
+	c.tableChanged = true
 	return c.outcome(Done, "balancer "+b.Name+" is off the return path")
 }
 
-func (c *Catalogue) balancerWave(nowMS int64) wave {
-	var w wave
+func (c *Catalogue) countBalancers(nowMS int64) silenceCount {
+	var n silenceCount
 	for i := range c.state.Balancers {
 		b := &c.state.Balancers[i]
-		if b.Silence != Out {
-			w.live++
+		if b.Liveness != OutOfService {
+			n.live++
 			continue
 		}
 		if nowMS-b.SilentAtMS < silenceWindow.Milliseconds() {
-			w.out++
+			n.out++
 		}
 	}
-	return w
+	return n
 }
 
-// expireBalancers forgets balancers that have been out for the whole window.
+// expireBalancers removes balancers that have been out of service for silenceWindow.
 func (c *Catalogue) expireBalancers() {
 	c.state.Balancers = slices.DeleteFunc(c.state.Balancers, func(b BalancerRecord) bool {
-		return b.Silence == Out && c.due(b.SilentAtMS, silenceWindow.Milliseconds())
+		return b.Liveness == OutOfService && c.elapsed(b.SilentAtMS, silenceWindow.Milliseconds())
 	})
 }
--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -11,48 +11,48 @@
 	"bergamotstall/internal/table"
 )
 
-// ErrSnapshot is returned for a snapshot that can't be read.
+// ErrSnapshot is returned for a snapshot that can't be decoded.
 var ErrSnapshot = errors.New("catalogue: unreadable snapshot")
 
 // Catalogue is one replica's copy of the state. It implements
-// replica.StateMachine; its reading methods may run beside Apply.
+// replica.StateMachine. Its read methods are safe for use concurrently with Apply.
 type Catalogue struct {
 	mu    sync.RWMutex
-	state Stored
+	state State
 
-	// Found again from state by reindex.
-	outcomes map[string]*OutcomeRecord
-	agents   map[string]table.AgentNumber
-	drains   map[string]bool
-	// names are the services' by ID: looked up for every target at a switch.
-	names map[table.ServiceID]string
-	// retiredKept is retiredKeptMS by service.
-	retiredKept map[table.ServiceID]int64
-	// hostOf finds the current agent of a service's host.
-	hostOf map[place]table.AgentNumber
+	// Indexes, derived from state by rebuildIndexes.
+	outcomeByID map[string]*OutcomeRecord
+	agentByName map[string]table.AgentNumber
+	drained     map[string]bool
+	// serviceNames is read once per target when a preset is switched.
+	serviceNames map[table.ServiceID]string
+	// retentionMS holds retiredRetentionMS of each service.
+	retentionMS map[table.ServiceID]int64
+	// agentByHost holds the current agent of each service on each host.
+	agentByHost map[serviceHost]table.AgentNumber
 
-	// altered is set by a handler that changes what the table says.
-	altered bool
-	changed chan struct{}
-	// built is the table of built.Revision, made when asked for.
-	built *table.Table
+	// tableChanged is set by a command that changes the content of the table.
+	tableChanged bool
+	changed      chan struct{}
+	// cachedTable is the table of the current revision, built on the first read.
+	cachedTable *table.Table
 }
 
-// place is one host of one service.
-type place struct {
+// serviceHost identifies one host of one service.
+type serviceHost struct {
 	service table.ServiceID
 	host    string
 }
 
-// New returns an empty catalogue without services or preset. Its version is 1:
-// 0 in a command stands for any version, and the first change can race too.
+// New returns an empty catalogue without services or presets. Its version is 1, because
+// 0 in a command means any version and the first change needs a version check too.
 func New() *Catalogue {
-	c := &Catalogue{state: Stored{Version: 1}, changed: make(chan struct{})}
-	c.reindex()
+	c := &Catalogue{state: State{Version: 1}, changed: make(chan struct{})}
+	c.rebuildIndexes()
 	return c
 }
 
-// Apply runs one committed command. The returned bytes are an Outcome.
+// Apply runs one committed command and returns an encoded Outcome.
 func (c *Catalogue) Apply(index uint64, command []byte) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,73 +65,75 @@
 	}
 	data, err := out.MarshalMsg(nil)
 	if err != nil {
-		// Outcomes hold no value that the encoder refuses.
+		// An Outcome has no field that can fail to encode.
 		panic(fmt.Sprintf("catalogue: encode outcome: %v", err))
 	}
 	return data
 }
 
-// run applies a command once and remembers what came of it.
+// run applies a command and records its outcome. A resent command returns the recorded
+// outcome and changes nothing.
 func (c *Catalogue) run(index uint64, cmd *Command) Outcome {
 	fingerprint, err := cmd.fingerprint()
 	if err != nil {
 		return c.outcome(NotValid, "the command can't be encoded")
 	}
-	if first, ok := c.outcomes[cmd.ID]; ok && cmd.ID != "" {
-		if bytes.Equal(first.Fingerprint, fingerprint) {
-			return first.Outcome
+	if recorded, ok := c.outcomeByID[cmd.ID]; ok && cmd.ID != "" {
+		if bytes.Equal(recorded.Fingerprint, fingerprint) {
+			return recorded.Outcome
 		}
 		out := c.outcome(Reused, "the identity stands for another command")
 		out.Subject = cmd.ID
 		return out
 	}
-	c.tick(cmd)
-	c.altered = false
+	c.advanceClock(cmd)
+	c.tableChanged = false
 	c.expire()
 	out := c.dispatch(cmd)
-	if c.altered {
+	if c.tableChanged {
 		c.publish(table.Revision(index))
 	}
 	out.Version, out.Revision = c.state.Version, c.state.Revision
-	c.remember(index, cmd, fingerprint, out)
+	c.recordOutcome(index, cmd, fingerprint, out)
 	return out
 }
 
-// tick moves the state's clock. It is the leader's, set by its beats; between
-// two of them other VMs' stamps move it on by clockSlack at most. A control VM
-// whose clock is an hour ahead would else date changes of weight an hour into
-// the future, ramps would wait for that hour, and a preset that was accepted
-// would not be in force.
-func (c *Catalogue) tick(cmd *Command) {
+// advanceClock sets the state's clock. A sweep sets it to the leader's time; between
+// sweeps the timestamps of other VMs advance it by at most maxClockAdvance. Without this
+// limit a control VM whose clock is an hour ahead would date weight changes an hour into
+// the future, and an accepted preset would take effect only after that hour.
+func (c *Catalogue) advanceClock(cmd *Command) {
 	if cmd.Sweep != nil {
-		c.state.ClockMS, c.state.BeatMS = cmd.AtMS, cmd.AtMS
+		c.state.ClockMS, c.state.LastSweepMS = cmd.AtMS, cmd.AtMS
 		return
 	}
 	at := cmd.AtMS
-	if c.state.BeatMS != 0 {
-		at = min(at, c.state.BeatMS+clockSlack.Milliseconds())
+	if c.state.LastSweepMS != 0 {
+		at = min(at, c.state.LastSweepMS+maxClockAdvance.Milliseconds())
 	}
 	c.state.ClockMS = max(c.state.ClockMS, at)
 }
 
 const (
-	// BeatEvery is how often the leader sets the state's clock: 8,640 entries a
-	// day.
-	BeatEvery = 10 * time.Second
-	// clockSlack leaves a new leader the time of an election beyond that.
-	clockSlack = 15 * time.Second
+	// SweepInterval is how often the leader proposes a sweep, which sets the state's
+	// clock. It adds 8,640 log entries a day.
+	SweepInterval = 10 * time.Second
+	// maxClockAdvance limits how far the clock runs past the last sweep. It exceeds
+	// SweepInterval by the time that an election takes.
+	maxClockAdvance = 15 * time.Second
 )
 
-// publish gives the altered table its revision and wakes who waits for it.
+// publish gives the changed table its revision and wakes the readers that wait on
+// Changed.
 func (c *Catalogue) publish(revision table.Revision) {
 	c.state.Revision = revision
-	c.stampKeys()
-	c.built = nil
+	c.recordPreparedAt()
+	c.cachedTable = nil
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// dispatch runs the command's change.
+// dispatch calls the handler of the command.
 func (c *Catalogue) dispatch(cmd *Command) Outcome {
 	switch {
 	case cmd.AnnounceAgent != nil:
@@ -145,11 +147,12 @@
 	case cmd.Sweep != nil:
 		return c.outcome(Done, "swept")
 	}
-	return c.operate(cmd)
+	return c.runOperatorCommand(cmd)
 }
 
-// operate runs an operator's change: it needs an identity and the version.
-func (c *Catalogue) operate(cmd *Command) Outcome {
+// runOperatorCommand checks the ID and the expected version of an operator's command
+// and runs it.
+func (c *Catalogue) runOperatorCommand(cmd *Command) Outcome {
 	if cmd.ID == "" || len(cmd.ID) > maxIDLength || len(cmd.Operator) > maxIDLength {
 		return c.outcome(NotValid, fmt.Sprintf("a command identity has 1 to %d bytes, an operator's name at most as many", maxIDLength))
 	}
@@ -172,52 +175,54 @@
 		return c.outcome(NotValid, "this version of control doesn't know the command")
 	}
 	if out.Code == Done && cmd.RotateKeys == nil {
-		out.Text += c.starvation()
+		out.Text += c.noTargetWarning()
 	}
-	// The first keys are control's own doing; no operator's next command should
-	// conflict with them.
-	first := cmd.RotateKeys != nil && cmd.RotateKeys.Step == KeyFirst
-	if out.Code == Done && !first {
+	// Control itself proposes the first keys. They don't increase the version, so that
+	// they don't cause a conflict for an operator's next command.
+	firstKeys := cmd.RotateKeys != nil && cmd.RotateKeys.Step == KeyFirst
+	if out.Code == Done && !firstKeys {
 		c.state.Version++
 	}
 	return out
 }
 
+// maxIDLength limits a command ID and an operator's name, in bytes.
 const maxIDLength = 128
 
 func (c *Catalogue) outcome(code Code, text string) Outcome {
 	return Outcome{Code: code, Version: c.state.Version, Revision: c.state.Revision, Text: text}
 }
 
-// remember keeps an operator's outcome for resends and writes the audit record.
-func (c *Catalogue) remember(index uint64, cmd *Command, fingerprint []byte, out Outcome) {
+// recordOutcome adds a command to the audit or fleet record and keeps the outcome of an
+// operator's command for resends.
+func (c *Catalogue) recordOutcome(index uint64, cmd *Command, fingerprint []byte, out Outcome) {
 	record := Record{
-		Index: index, AtMS: cmd.AtMS, Who: cmd.who(), Via: cmd.Via, ID: cmd.ID,
+		Index: index, AtMS: cmd.AtMS, Who: cmd.actor(), Via: cmd.Via, ID: cmd.ID,
 		What: cmd.describe(), Code: out.Code, Outcome: out.Text, Version: out.Version,
 	}
-	if !cmd.Operators() {
+	if !cmd.FromOperator() {
 		if cmd.Sweep == nil {
-			c.state.Fleet = keepLast(append(c.state.Fleet, record), FleetKept)
+			c.state.Fleet = keepLast(append(c.state.Fleet, record), MaxFleetRecords)
 		}
 		return
 	}
-	c.state.Audit = keepLast(append(c.state.Audit, record), AuditKept)
+	c.state.Audit = keepLast(append(c.state.Audit, record), MaxAuditRecords)
 	if cmd.ID == "" || len(cmd.ID) > maxIDLength {
 		return
 	}
 	c.state.Outcomes = append(c.state.Outcomes, OutcomeRecord{ID: cmd.ID, Fingerprint: fingerprint, Outcome: out})
 	kept := &c.state.Outcomes[len(c.state.Outcomes)-1]
-	c.outcomes[cmd.ID] = &OutcomeRecord{ID: kept.ID, Fingerprint: kept.Fingerprint, Outcome: kept.Outcome}
-	for len(c.state.Outcomes) > OutcomesKept {
-		delete(c.outcomes, c.state.Outcomes[0].ID)
+	c.outcomeByID[cmd.ID] = &OutcomeRecord{ID: kept.ID, Fingerprint: kept.Fingerprint, Outcome: kept.Outcome}
+	for len(c.state.Outcomes) > MaxOutcomes {
+		delete(c.outcomeByID, c.state.Outcomes[0].ID)
 		c.state.Outcomes = c.state.Outcomes[1:]
 	}
 }
 
-// keepLast drops the oldest entries over the limit.
+// keepLast drops the oldest records beyond the limit.
 func keepLast(records []Record, limit int) []Record {
-	if over := len(records) - limit; over > 0 {
-		return records[over:]
+	if excess := len(records) - limit; excess > 0 {
+		return records[excess:]
 	}
 	return records
 }
@@ -235,7 +240,7 @@
 
 // Restore implements replica.StateMachine.
 func (c *Catalogue) Restore(snapshot []byte) error {
-	var next Stored
+	var next State
 	rest, err := next.UnmarshalMsg(snapshot)
 	if err != nil || len(rest) > 0 {
 		return errors.Wrapf(ErrSnapshot, "%d bytes, %d left over: %v", len(snapshot), len(rest), err)
@@ -243,48 +248,49 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state = next
-	c.built = nil
-	c.reindex()
+	c.cachedTable = nil
+	c.rebuildIndexes()
 	close(c.changed)
 	c.changed = make(chan struct{})
 	return nil
 }
 
-// reindex finds the lookups again from the state.
-func (c *Catalogue) reindex() {
-	c.outcomes = make(map[string]*OutcomeRecord, len(c.state.Outcomes))
+// rebuildIndexes derives all indexes from the state.
+func (c *Catalogue) rebuildIndexes() {
+	c.outcomeByID = make(map[string]*OutcomeRecord, len(c.state.Outcomes))
 	for _, o := range c.state.Outcomes {
-		c.outcomes[o.ID] = &o
+		c.outcomeByID[o.ID] = &o
 	}
-	c.drains = make(map[string]bool, len(c.state.Drains))
+	c.drained = make(map[string]bool, len(c.state.Drains))
 	for _, host := range c.state.Drains {
-		c.drains[host] = true
+		c.drained[host] = true
 	}
 	c.indexServices()
-	c.agents = make(map[string]table.AgentNumber, len(c.state.Agents))
-	c.hostOf = make(map[place]table.AgentNumber, len(c.state.Agents))
+	c.agentByName = make(map[string]table.AgentNumber, len(c.state.Agents))
+	c.agentByHost = make(map[serviceHost]table.AgentNumber, len(c.state.Agents))
 	for i := range c.state.Agents {
-		c.index(&c.state.Agents[i])
+		c.indexAgent(&c.state.Agents[i])
 	}
 }
 
 func (c *Catalogue) indexServices() {
-	c.names = make(map[table.ServiceID]string, len(c.state.Services))
-	c.retiredKept = make(map[table.ServiceID]int64, len(c.state.Services))
+	c.serviceNames = make(map[table.ServiceID]string, len(c.state.Services))
+	c.retentionMS = make(map[table.ServiceID]int64, len(c.state.Services))
 	for i := range c.state.Services {
 		s := &c.state.Services[i]
-		c.retiredKept[s.ID] = s.retiredKeptMS()
-		c.names[s.ID] = s.Spec.Name
+		c.retentionMS[s.ID] = s.retiredRetentionMS()
+		c.serviceNames[s.ID] = s.Spec.Name
 	}
 }
 
-// index makes a the current agent of its name and host, unless it was replaced.
-func (c *Catalogue) index(a *Agent) {
+// indexAgent makes a the current agent of its name and of its service's host, unless it
+// was replaced.
+func (c *Catalogue) indexAgent(a *Agent) {
 	if a.Replaced {
 		return
 	}
-	c.agents[a.Name] = a.Number
-	c.hostOf[place{a.Service, a.Host}] = a.Number
+	c.agentByName[a.Name] = a.Number
+	c.agentByHost[serviceHost{a.Service, a.Host}] = a.Number
 }
 
 // Changed returns a channel that is closed at the next change of the table.
--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -17,23 +17,23 @@
 	*Catalogue
 	index uint64
 	nowMS int64
-	// log and answers are what was applied and what came of it.
+	// log holds the applied commands, answers their encoded outcomes.
 	log     [][]byte
 	answers [][]byte
 }
 
 func newHarness() *harness { return &harness{Catalogue: New(), nowMS: 1_000_000} }
 
-// do applies one command at the harness's time and returns its outcome, after a
-// beat of the leader where one is due.
+// do applies a command at the harness's time and returns its outcome. It applies a sweep
+// first if one is due.
 func (h *harness) do(cmd Command) Outcome {
-	if h.nowMS-h.state.BeatMS >= BeatEvery.Milliseconds() && cmd.Sweep == nil {
-		h.put(Command{Sweep: &Sweep{}})
+	if h.nowMS-h.state.LastSweepMS >= SweepInterval.Milliseconds() && cmd.Sweep == nil {
+		h.propose(Command{Sweep: &Sweep{}})
 	}
-	return h.put(cmd)
+	return h.propose(cmd)
 }
 
-func (h *harness) put(cmd Command) Outcome {
+func (h *harness) propose(cmd Command) Outcome {
 	h.index++
 	if cmd.AtMS == 0 {
 		cmd.AtMS = h.nowMS
@@ -55,7 +55,7 @@
 	return out
 }
 
-func (h *harness) pass(d time.Duration) { h.nowMS += d.Milliseconds() }
+func (h *harness) advance(d time.Duration) { h.nowMS += d.Milliseconds() }
 
 func twoServices() Definition {
 	return Definition{
@@ -99,7 +99,7 @@
 	return Command{AgentSilent: &distribution.Silence{Name: a.Name, Agent: a.Number, Incarnation: a.Incarnation, Attachment: a.Attachment}}
 }
 
-// withTargets is a catalogue with n casework targets.
+// withTargets returns a catalogue with n targets of the service casework.
 func withTargets(n int) *harness {
 	h := newHarness()
 	h.do(apply("first", twoServices()))
@@ -109,10 +109,10 @@
 	return h
 }
 
-// Two operators look at version 2 and both switch. The faster one gets its
-// preset; the slower one is told the current version instead of silently
-// undoing the first. Afterwards the first preset is in force.
-func TestOfTwoOperatorsWithEqualVersionOneWins(t *testing.T) {
+// Guards against an operator who silently undoes another's change: two operators read the
+// same version and both switch. The first switch applies; the second gets a conflict with
+// the current version.
+func TestOneOfTwoConcurrentSwitchesWins(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(0)
 	version := h.Summary().Version
@@ -128,15 +128,15 @@
 	is.NoErr(new(Outcome).retry(h, conflict.Current)) // the current version is the one to retry with
 }
 
-// retry switches with the version that a conflict told.
+// retry switches with the version that a conflict returned.
 func (*Outcome) retry(h *harness, version uint64) error {
 	out := h.do(switchTo("kofi-2", "maintenance", version))
 	return out.Err()
 }
 
-// An operator's answer to "switch peak" is lost; a colleague then switches to
-// maintenance. The operator's tool sends the first command again. The operator
-// sees the first outcome, and maintenance stays in force.
+// Guards against a resend that applies a command twice: the reply to a switch is lost,
+// another operator switches to another preset, and the first command is sent again. It
+// returns its first outcome, and the later preset stays in force.
 func TestResendReturnsTheFirstOutcomeAndChangesNothing(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(3)
@@ -146,12 +146,12 @@
 
 	resent := switchTo("ama-1", "peak", 0)
 	resent.Via = "control-b"
-	h.pass(time.Minute)
+	h.advance(time.Minute)
 	is.Equal(h.do(resent), first)
 	is.Equal(h.Summary(), before)
 }
 
-func TestRefusedCommandsKeepTheirOutcomeToo(t *testing.T) {
+func TestResendOfARefusedCommandReturnsTheRefusal(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(0)
 	first := h.do(switchTo("ama-1", "holiday", 0))
@@ -160,10 +160,10 @@
 	d := twoServices()
 	d.Presets = append(d.Presets, Preset{Name: "holiday"})
 	h.do(apply("ama-2", d))
-	is.Equal(h.do(switchTo("ama-1", "holiday", 0)), first) // the operator was told no; it stays no
+	is.Equal(h.do(switchTo("ama-1", "holiday", 0)), first) // the first answer stays valid
 }
 
-func TestIdentityForAnotherCommandIsAnError(t *testing.T) {
+func TestReusedCommandIDIsAnError(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(0)
 	h.do(switchTo("ama-1", "peak", 0))
@@ -174,24 +174,24 @@
 	other := switchTo("ama-1", "peak", 0)
 	other.Operator = "kofi"
 	again := h.do(other)
-	is.True(errors.As(again.Err(), &reused)) // another operator's
+	is.True(errors.As(again.Err(), &reused)) // the same ID from another operator
 }
 
-func TestOutcomesAreForgottenByCountInLogOrder(t *testing.T) {
+func TestOldestOutcomesAreDroppedOverTheLimit(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(0)
 	h.do(switchTo("old", "peak", 0))
-	for i := range OutcomesKept {
+	for i := range MaxOutcomes {
 		h.do(switchTo(fmt.Sprint("n", i), "peak", 0))
 	}
-	is.Equal(len(h.state.Outcomes), OutcomesKept)
-	_, known := h.outcomes["old"]
+	is.Equal(len(h.state.Outcomes), MaxOutcomes)
+	_, known := h.outcomeByID["old"]
 	is.True(!known)
-	_, known = h.outcomes["n0"]
+	_, known = h.outcomeByID["n0"]
 	is.True(known)
 }
 
-func TestDefinitionsThatWouldLoseSomethingAreRefused(t *testing.T) {
+func TestDefinitionsThatRemoveWhatIsInUseAreRefused(t *testing.T) {
 	withoutService := twoServices()
 	withoutService.Services = withoutService.Services[1:]
 	withoutService.Presets[1].Services = nil
@@ -216,7 +216,7 @@
 			out := h.do(apply("second", c.d))
 			is.True(out.Err() != nil)
 			is.Equal(out.Err().Error(), c.want)
-			is.Equal(h.Summary(), before) // a bad file changes nothing
+			is.Equal(h.Summary(), before) // a refused file changes nothing
 		})
 	}
 }
@@ -233,9 +233,9 @@
 	is.Equal(maps.ID, table.ServiceID(3))
 }
 
-// An agent process restarts. Its host's target gets a new number, so that a
-// packet for the old process can't reach the new one, and the old number is
-// retired at once. A late announcement of the old process changes nothing.
+// Guards against packets of an old agent process that reach the new one: a restarted
+// agent gets a new number and the old number is retired at once. A delayed announcement
+// of the old process changes nothing.
 func TestRestartedAgentGetsANewNumber(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(2)
@@ -252,9 +252,9 @@
 	is.Equal(h.Summary(), before)
 }
 
-// A host's agent is set up anew under another name. The old name's target on
-// that host is retired; a host has one target for a service.
-func TestAgentUnderAnotherNameReplacesItsHosts(t *testing.T) {
+// Guards against two targets of one service on a host: an agent that registers under a
+// new name replaces the host's agent, also after a restore from a snapshot.
+func TestAgentWithANewNameReplacesTheHostsAgent(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(2)
 	renamed := announce("casework", 0, 7)
@@ -281,13 +281,13 @@
 	again.Via = "control-b"
 	out := h.do(again)
 	is.Equal(out.Agent, table.AgentNumber(2))
-	is.Equal(h.Summary(), before) // a reconnect is no change of the table
+	is.Equal(h.Summary(), before) // a reconnect doesn't change the table
 }
 
-func TestWeightsFollowThePresetAndStampRamps(t *testing.T) {
+func TestPresetSetsWeightsAndRampStart(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(3)
-	h.pass(time.Hour)
+	h.advance(time.Hour)
 	h.do(switchTo("p", "peak", 0))
 	var weights []uint32
 	for _, x := range h.Table().Targets {
@@ -301,7 +301,7 @@
 	is.True(third.ChangedAtMS < h.nowMS) // its weight didn't change
 }
 
-func TestDrainHoldsForAllOfAHostAndBeforeItComes(t *testing.T) {
+func TestDrainAppliesToAgentsThatRegisterLater(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(2)
 	out := h.do(Command{ID: "d", Operator: "ama", Drain: &DrainHost{Host: "casework-2"}})
@@ -314,8 +314,8 @@
 	is.Equal(x.State, table.Active)
 }
 
-// An operator drains the last host of a service that gets new work. It is done,
-// and the answer says what it means for callers.
+// Guards against an operator who drains the last host of a service unawares: the drain
+// is accepted with a warning.
 func TestDrainOfTheLastTargetWarns(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(2)
@@ -342,15 +342,15 @@
 	is.True(step("p0", RotateKeys{Step: KeyPrepare, Keys: someKeys()}) != nil) // no first generation yet
 	is.NoErr(step("f", RotateKeys{Step: KeyFirst, Keys: someKeys()}))
 	is.True(step("f2", RotateKeys{Step: KeyFirst, Keys: someKeys()}) != nil)
-	is.True(step("s0", RotateKeys{Step: KeySign}) != nil) // nothing prepared
+	is.True(step("s0", RotateKeys{Step: KeySign}) != nil) // no prepared generation
 	is.NoErr(step("p", RotateKeys{Step: KeyPrepare, Keys: someKeys()}))
-	is.Equal(signing(), uint8(1)) // known to all, used by none
+	is.Equal(signing(), uint8(1)) // the prepared generation doesn't sign
 	is.Equal(len(h.Table().Keys), 2)
 	is.True(step("d0", RotateKeys{Step: KeyDrop}) != nil)
 	is.NoErr(step("s", RotateKeys{Step: KeySign}))
 	is.Equal(signing(), uint8(2))
 	is.True(step("d1", RotateKeys{Step: KeyDrop}) != nil) // open flows carry generation 1
-	h.pass(MinAcceptance)
+	h.advance(MinAcceptance)
 	is.NoErr(step("d", RotateKeys{Step: KeyDrop}))
 	is.Equal(len(h.Table().Keys), 1)
 }
@@ -362,21 +362,21 @@
 	}
 }
 
-// One control VM's clock is an hour ahead. A switch that it proposes takes
-// effect within seconds all the same, and the next switch too.
-func TestClockOfOneVMDoesNotHoldAPresetUp(t *testing.T) {
+// Guards against a control VM whose clock is an hour ahead: a switch that it proposes
+// takes effect within seconds, and so does the next switch.
+func TestFastClockOfOneVMDoesNotDelayAPreset(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(1)
 	fast := switchTo("p", "peak", 0)
 	fast.AtMS = h.nowMS + time.Hour.Milliseconds()
 	h.do(fast)
 	changed := h.Table().Targets[0].ChangedAtMS
-	is.True(changed <= h.nowMS+clockSlack.Milliseconds())
-	h.pass(clockSlack)
+	is.True(changed <= h.nowMS+maxClockAdvance.Milliseconds())
+	h.advance(maxClockAdvance)
 	h.do(switchTo("o", "ordinary", 0))
 	is.Equal(h.Table().Targets[0].ChangedAtMS, h.nowMS)
 
-	late := announce("casework", 5, 1) // an agent never counts as older than it is
+	late := announce("casework", 5, 1) // an agent must never appear older than it is
 	late.AtMS = h.nowMS + time.Hour.Milliseconds()
 	h.do(late)
 	is.Equal(h.Table().Targets[1].JoinedAtMS, late.AtMS)
--- a/internal/catalogue/command.go
+++ b/internal/catalogue/command.go
@@ -11,20 +11,20 @@
 
 //go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/catalogue/command.go -o ../internal/catalogue/command_gen.go -tests=false -io=false
 
-// Command is one entry of the replicated log: who asks, under which identity
-// and against which version, and exactly one of the changes.
+// Command is one entry of the replicated log. It holds exactly one change, with its
+// origin, its ID and the version that it expects.
 type Command struct {
-	// ID is the command's identity. An operator's command that is sent again
-	// under its ID gets the first outcome. Processes' announcements are
-	// idempotent by incarnation and leave it empty.
+	// ID identifies an operator's command. If the command is sent again under its ID,
+	// it returns the first outcome. Announcements of processes are idempotent by
+	// incarnation and have no ID.
 	ID string `msg:"i,omitempty"`
 	// Operator is the name in the operator's certificate.
 	Operator string `msg:"o,omitempty"`
-	// Expected is the version the operator saw; 0 accepts any.
+	// Expected is the version that the operator has read; 0 accepts any.
 	Expected uint64 `msg:"e,omitempty"`
-	// Via names the control VM that proposes.
+	// Via names the control VM that proposes the command.
 	Via string `msg:"v,omitempty"`
-	// AtMS is the proposer's clock in Unix milliseconds.
+	// AtMS is the proposer's time in Unix milliseconds.
 	AtMS int64 `msg:"t"`
 
 	Apply            *ApplyCatalogue       `msg:"ap,omitempty"`
@@ -49,7 +49,7 @@
 	Preset string `msg:"p"`
 }
 
-// DrainHost takes a host out of new work for every service on it.
+// DrainHost stops new work for every service on a host.
 type DrainHost struct {
 	Host string `msg:"h"`
 }
@@ -63,22 +63,22 @@
 type KeyStep uint8
 
 const (
-	// KeyPrepare gives a new generation to every process; none signs with it.
+	// KeyPrepare distributes a new generation to every process; none signs with it yet.
 	KeyPrepare KeyStep = iota + 1
-	// KeySign makes the prepared generation sign; the older stays accepted.
+	// KeySign starts signing with the prepared generation; older ones stay accepted.
 	KeySign
-	// KeyDrop ends the acceptance of every generation but the signing one.
+	// KeyDrop ends the acceptance of all generations except the signing one.
 	KeyDrop
-	// KeyFirst hands out the cluster's first generation, which signs at once:
-	// nothing was signed before.
+	// KeyFirst distributes the cluster's first generation, which signs at once since
+	// there are no older signatures.
 	KeyFirst
 )
 
 // RotateKeys takes one step of a rotation.
 type RotateKeys struct {
 	Step KeyStep `msg:"s"`
-	// Keys is the new generation's, made by the proposer, for KeyPrepare and
-	// KeyFirst. The state machine sets its generation.
+	// Keys is the new generation for KeyPrepare and KeyFirst, made by the proposer. The
+	// state machine sets its generation number.
 	Keys *table.KeySet `msg:"k,omitempty"`
 	// Early lets KeyDrop run before MinAcceptance has passed.
 	Early bool `msg:"e,omitempty"`
@@ -89,22 +89,23 @@
 	Announcement distribution.Announcement `msg:"a"`
 }
 
-// AnnounceBalancer registers a balancer, or takes it out where Draining is set.
+// AnnounceBalancer registers a balancer, or removes it if Draining is set.
 type AnnounceBalancer struct {
 	Announcement distribution.Announcement `msg:"a"`
 }
 
-// Sweep is the leader's alone: it sets the state's clock, and steps that are due
-// are taken.
+// Sweep sets the state's clock and runs the steps that are due, such as retiring silent
+// agents. Only the leader proposes it.
 type Sweep struct{}
 
-// fingerprint identifies what a command asks for, so that one identity with
-// two contents is found out. The stamp and the VM differ between resends.
+// fingerprint returns a hash of the command's content, which detects an ID that is used
+// for two different commands. It leaves out the time and the control VM, since these
+// differ between resends.
 func (c *Command) fingerprint() ([]byte, error) {
 	content := *c
 	content.AtMS, content.Via = 0, ""
 	if r := content.RotateKeys; r != nil {
-		// Each resend may carry freshly made keys; the first ones count.
+		// Each resend may carry newly generated keys; the first ones are used.
 		step := *r
 		step.Keys = nil
 		content.RotateKeys = &step
--- a/internal/catalogue/definition.go
+++ b/internal/catalogue/definition.go
@@ -11,7 +11,7 @@
 
 //go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/catalogue/definition.go -o ../internal/catalogue/definition_gen.go -tests=false -io=false
 
-// Bounds of what operators may write.
+// Limits of the values in a definition.
 const (
 	maxWeight       = 1000
 	defaultWeight   = 100
@@ -22,52 +22,52 @@
 	maxNameLength   = 64
 )
 
-// Definition is what an operator writes and applies whole: every service and
-// every preset. What it leaves out is removed.
+// Definition is the file that an operator applies: all services and all presets.
+// Services and presets that are missing from it are removed.
 type Definition struct {
 	Services []ServiceSpec `yaml:"services" msg:"s"`
-	// Presets in the operator's order. The first one of the very first
+	// Presets are in the operator's order. The first preset of the cluster's first
 	// definition is in force until the first switch.
 	Presets []Preset `yaml:"presets" msg:"p"`
 }
 
-// ServiceSpec is one service as operators write it.
+// ServiceSpec is a service in a Definition.
 type ServiceSpec struct {
 	Name string `yaml:"name" msg:"n"`
-	// Address is the UDP address callers use, "ip:port".
+	// Address is the UDP address that callers send to, "ip:port".
 	Address string `yaml:"address" msg:"a"`
-	// FlowLimit bounds one target's open flows; 0 leaves it to the host's limit.
+	// FlowLimit limits the open flows of one target; 0 leaves it to the host's limit.
 	FlowLimit int `yaml:"flowLimit" msg:"f"`
-	// QueueLimit bounds the requests waiting at one agent.
+	// QueueLimit limits the requests that wait at one agent.
 	QueueLimit int `yaml:"queueLimit" msg:"q"`
-	// RetryPercent is the retry budget, in percent of fresh requests.
+	// RetryPercent is the retry budget, in percent of new requests.
 	RetryPercent int `yaml:"retryPercent" msg:"r"`
 	// KeyWindow is how long an idempotency key stays valid.
 	KeyWindow time.Duration `yaml:"keyWindow" msg:"k"`
 }
 
-// Preset is a named set of weights. A service, data centre or host that it
-// doesn't name has weight 100.
+// Preset is a named set of weights. Services, data centres and hosts that it doesn't name
+// have weight 100.
 type Preset struct {
 	Name     string          `yaml:"name" msg:"n"`
 	Services []PresetService `yaml:"services" msg:"s"`
 }
 
-// PresetService is a preset's weights for one service. A target's share of new
-// work is its data centre's weight times its host's.
+// PresetService holds a preset's weights for one service. A target's share of new work is
+// proportional to its data centre's weight times its host's weight.
 type PresetService struct {
 	Service     string             `yaml:"service" msg:"s"`
 	DataCentres []DataCentreWeight `yaml:"dataCentres" msg:"d"`
 	Hosts       []HostWeight       `yaml:"hosts" msg:"h"`
 }
 
-// DataCentreWeight weighs each target of one data centre, 0 to 1000.
+// DataCentreWeight is the weight of each target in a data centre, 0 to 1000.
 type DataCentreWeight struct {
 	Name   string `yaml:"name" msg:"n"`
 	Weight uint32 `yaml:"weight" msg:"w"`
 }
 
-// HostWeight weighs one host, 0 to 1000.
+// HostWeight is the weight of a host, 0 to 1000.
 type HostWeight struct {
 	Host   string `yaml:"host" msg:"h"`
 	Weight uint32 `yaml:"weight" msg:"w"`
@@ -87,7 +87,7 @@
 	return c.Problems()
 }
 
-// checkServices judges each service and returns the set of their names.
+// checkServices checks each service and returns the set of their names.
 func (d *Definition) checkServices(c *settings.Checker) map[string]bool {
 	names := make(map[string]bool, len(d.Services))
 	addresses := make(map[string]string, len(d.Services))
@@ -142,7 +142,8 @@
 	}
 }
 
-// checkName reports a name that is empty, too long or taken, and takes it.
+// checkName reports a name that is empty, too long or already taken, and adds it to
+// taken.
 func checkName(c *settings.Checker, at, name string, taken map[string]bool) {
 	c.Required(at, name)
 	if len(name) > maxNameLength {
@@ -154,8 +155,8 @@
 	taken[name] = true
 }
 
-// index finds a preset's weights by service.
-func (p *Preset) index() map[string]*PresetService {
+// byService returns the preset's weights by service name.
+func (p *Preset) byService() map[string]*PresetService {
 	out := make(map[string]*PresetService, len(p.Services))
 	for i := range p.Services {
 		out[p.Services[i].Service] = &p.Services[i]
@@ -163,7 +164,7 @@
 	return out
 }
 
-// service returns the preset's weights for a service, nil where it names none.
+// service returns the preset's weights for a service, nil if it has none.
 func (p *Preset) service(name string) *PresetService {
 	for i := range p.Services {
 		if p.Services[i].Service == name {
@@ -173,22 +174,21 @@
 	return nil
 }
 
-// weight is a target's share of new work for the service. A nil s weighs all
-// targets alike.
+// weight returns the weight of a target. A nil s gives all targets the same weight.
 func (s *PresetService) weight(dataCentre, host string) uint32 {
-	centre, own := uint32(defaultWeight), uint32(defaultWeight)
+	centreWeight, hostWeight := uint32(defaultWeight), uint32(defaultWeight)
 	if s == nil {
-		return centre * own
+		return centreWeight * hostWeight
 	}
 	for _, d := range s.DataCentres {
 		if d.Name == dataCentre {
-			centre = d.Weight
+			centreWeight = d.Weight
 		}
 	}
 	for _, h := range s.Hosts {
 		if h.Host == host {
-			own = h.Weight
+			hostWeight = h.Weight
 		}
 	}
-	return centre * own
+	return centreWeight * hostWeight
 }
--- a/internal/catalogue/derive.go
+++ b/internal/catalogue/derive.go
@@ -7,25 +7,25 @@
 	"bergamotstall/internal/table"
 )
 
-// reweigh brings every agent's weight in line with the preset in force. The
-// preset is indexed once: a preset that names each of 2,100 services would else
-// be searched for each of 12,000 targets.
-func (c *Catalogue) reweigh() {
-	preset, ok := c.preset(c.state.InForce)
+// updateWeights sets every agent's weight by the preset in force. It indexes the preset
+// once, because a search per agent would be quadratic: up to 12,000 agents times 2,100
+// services.
+func (c *Catalogue) updateWeights() {
+	preset, ok := c.presetNamed(c.state.InForce)
 	if !ok {
 		return
 	}
-	named := preset.index()
+	weights := preset.byService()
 	for i := range c.state.Agents {
 		a := &c.state.Agents[i]
-		c.setWeight(a, named[c.serviceName(a.Service)].weight(a.DataCentre, a.Host))
+		c.setWeight(a, weights[c.serviceName(a.Service)].weight(a.DataCentre, a.Host))
 	}
 }
 
-// weigh brings one agent's weight in line with the preset in force.
-func (c *Catalogue) weigh(a *Agent) { c.setWeight(a, c.effectiveWeight(a)) }
+// updateWeight sets one agent's weight by the preset in force.
+func (c *Catalogue) updateWeight(a *Agent) { c.setWeight(a, c.effectiveWeight(a)) }
 
-// setWeight sets an agent's weight and, where it changes, the start of its ramp.
+// setWeight sets an agent's weight and, if it changes, the start of its ramp.
 func (c *Catalogue) setWeight(a *Agent, weight uint32) {
 	if weight == a.Weight {
 		return
@@ -33,60 +33,60 @@
 	a.PreviousWeight = a.Weight
 	a.Weight = weight
 	a.ChangedAtMS = c.state.ClockMS
-	c.altered = true
+	c.tableChanged = true
 }
 
 func (c *Catalogue) effectiveWeight(a *Agent) uint32 {
-	preset, ok := c.preset(c.state.InForce)
+	preset, ok := c.presetNamed(c.state.InForce)
 	if !ok {
 		return 0
 	}
 	return preset.service(c.serviceName(a.Service)).weight(a.DataCentre, a.Host)
 }
 
-func (c *Catalogue) serviceName(id table.ServiceID) string { return c.names[id] }
+func (c *Catalogue) serviceName(id table.ServiceID) string { return c.serviceNames[id] }
 
-// starvedNamed bounds the services that a warning names.
-const starvedNamed = 5
+// maxWarnedServices limits the services that a warning names.
+const maxWarnedServices = 5
 
-// starvation warns of services whose targets are all drained, silent or without
-// weight: callers of such a service open no new flow. An operator may want that,
-// so it is no refusal.
-func (c *Catalogue) starvation() string {
-	// serves has the services with targets, and whether one of them works.
-	serves := make(map[table.ServiceID]bool, len(c.state.Services))
+// noTargetWarning returns a warning about services whose targets are all drained, out of
+// service or of weight 0: their callers can't open new flows. An operator may intend
+// this, so the command isn't refused.
+func (c *Catalogue) noTargetWarning() string {
+	// takesWork has an entry for each service with targets: whether one takes new work.
+	takesWork := make(map[table.ServiceID]bool, len(c.state.Services))
 	for i := range c.state.Agents {
 		a := &c.state.Agents[i]
-		if a.Retired || serves[a.Service] {
+		if a.Retired || takesWork[a.Service] {
 			continue
 		}
-		serves[a.Service] = c.works(a) && a.Silence != Out
+		takesWork[a.Service] = c.takesNewWork(a) && a.Liveness != OutOfService
 	}
-	var starved []string
+	var affected []string
 	for _, s := range c.state.Services {
-		if works, has := serves[s.ID]; has && !works {
-			starved = append(starved, s.Spec.Name)
+		if takes, has := takesWork[s.ID]; has && !takes {
+			affected = append(affected, s.Spec.Name)
 		}
 	}
-	if len(starved) == 0 {
+	if len(affected) == 0 {
 		return ""
 	}
-	names := strings.Join(starved[:min(len(starved), starvedNamed)], ", ")
-	return fmt.Sprintf("; WARNING: no target takes new work for %d services: %s", len(starved), names)
+	names := strings.Join(affected[:min(len(affected), maxWarnedServices)], ", ")
+	return fmt.Sprintf("; WARNING: no target takes new work for %d services: %s", len(affected), names)
 }
 
-// Table returns the table of the current revision. Callers don't change it.
+// Table returns the table of the current revision. Callers must not modify it.
 func (c *Catalogue) Table() *table.Table {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.built == nil {
-		c.built = c.derive()
+	if c.cachedTable == nil {
+		c.cachedTable = c.buildTable()
 	}
-	return c.built
+	return c.cachedTable
 }
 
-// derive builds the table from the state, in the state's order.
-func (c *Catalogue) derive() *table.Table {
+// buildTable builds the table from the state.
+func (c *Catalogue) buildTable() *table.Table {
 	t := &table.Table{
 		Revision: c.state.Revision,
 		Preset:   c.state.InForce,
@@ -94,13 +94,13 @@
 		Targets:  make([]table.Target, 0, len(c.state.Agents)),
 	}
 	for i := range c.state.Services {
-		t.Services = append(t.Services, c.state.Services[i].entry())
+		t.Services = append(t.Services, c.state.Services[i].tableEntry())
 	}
 	for i := range c.state.Agents {
-		t.Targets = append(t.Targets, c.target(&c.state.Agents[i]))
+		t.Targets = append(t.Targets, c.tableTarget(&c.state.Agents[i]))
 	}
 	for _, b := range c.state.Balancers {
-		if b.Silence != Out {
+		if b.Liveness != OutOfService {
 			t.Balancers = append(t.Balancers, table.Balancer{Name: b.Name, DataCentre: b.DataCentre, Tunnel: b.Tunnel})
 		}
 	}
@@ -108,7 +108,7 @@
 	return t
 }
 
-func (s *Service) entry() table.Service {
+func (s *Service) tableEntry() table.Service {
 	return table.Service{
 		ID: s.ID, Name: s.Spec.Name, Address: s.Spec.Address, FlowLimit: s.Spec.FlowLimit,
 		QueueLimit: s.Spec.QueueLimit, RetryPercent: s.Spec.RetryPercent,
@@ -116,7 +116,7 @@
 	}
 }
 
-func (c *Catalogue) target(a *Agent) table.Target {
+func (c *Catalogue) tableTarget(a *Agent) table.Target {
 	return table.Target{
 		Agent: a.Number, Service: a.Service, Host: a.Host, DataCentre: a.DataCentre,
 		Tunnel: a.Tunnel, Peer: a.Peer, Slots: a.Slots, Connections: a.Connections,
@@ -129,7 +129,7 @@
 	switch {
 	case a.Retired:
 		return table.Retired
-	case a.Leaving || a.Silence == Out || c.drains[a.Host]:
+	case a.Leaving || a.Liveness == OutOfService || c.drained[a.Host]:
 		return table.Draining
 	}
 	return table.Active
--- a/internal/catalogue/doc.go
+++ b/internal/catalogue/doc.go
@@ -2,15 +2,15 @@
 // presets and the one in force, announced targets and balancers, drains,
 // cluster keys, the outcomes of operators' commands and the audit record.
 //
-// The load pattern it answers is change itself: about 1,100 operators' changes
-// and 1,700 restarts a day, racing operators, and commands that are sent again
-// because their answer was lost. Without expected versions the slower of two
-// operators silently undoes the faster; without command identities a resent
-// switch could put an older preset back in force. Both checks run inside Apply,
-// in log order, so every replica reaches the same verdict.
+// It is designed for about 1,100 operator changes and 1,700 agent restarts a day,
+// concurrent operators, and commands that are sent again because their reply was
+// lost. The expected version of a command prevents one operator from silently
+// undoing another's change; the command ID prevents a resent switch from putting an
+// older preset back in force. Both checks run inside Apply, in log order, so that
+// every replica reaches the same result.
 //
-// Apply uses no clock and no randomness. Times are stamped into a command by
-// the control VM that proposes it; the state's clock follows the leader's
-// stamps. It paces ramps and the damped steps after silence; it decides nothing
-// that an operator was promised.
+// Apply is deterministic: it reads no clock and no random source. The control VM that
+// proposes a command adds the time to it, and the state's clock follows the leader's
+// timestamps. This clock times weight ramps and the steps after an agent falls silent;
+// no result that an operator has been given depends on it.
 package catalogue
--- a/internal/catalogue/fuzz_test.go
+++ b/internal/catalogue/fuzz_test.go
@@ -9,9 +9,9 @@
 	"bergamotstall/internal/distribution"
 )
 
-// A command that crashed Apply would crash every replica, and again at each
-// start, since it stands in the log. Whatever bytes come, Apply answers, and the
-// state can be restored from its snapshot.
+// Guards against a command that makes Apply panic: it would crash every replica, and
+// again at each start, since it is in the log. For any bytes Apply returns an outcome,
+// and the state can be restored from its snapshot.
 func FuzzApply(f *testing.F) {
 	agent := agentOf("casework", 0, 2)
 	for _, cmd := range []Command{
@@ -29,7 +29,7 @@
 		f.Add(data)
 	}
 	f.Add([]byte{0xc1})
-	f.Add(forged(f))
+	f.Add(commandWithForgedLength(f))
 	f.Fuzz(func(t *testing.T, command []byte) {
 		h := withTargets(3)
 		var out Outcome
@@ -52,8 +52,9 @@
 	})
 }
 
-// forged is a definition whose list of services claims four billion entries.
-func forged(f *testing.F) []byte {
+// commandWithForgedLength returns a command whose list of services claims four billion
+// entries.
+func commandWithForgedLength(f *testing.F) []byte {
 	cmd := apply("a", Definition{Services: []ServiceSpec{{}}})
 	data, err := cmd.MarshalMsg(nil)
 	if err != nil {
@@ -67,8 +68,8 @@
 	return bytes.Replace(data, one, many, 1)
 }
 
-// A snapshot comes from disk or from another replica. One that can't be read is
-// an error and leaves the state as it was.
+// Guards against a damaged snapshot from the disk or from another replica: Restore
+// returns an error and leaves the state unchanged.
 func FuzzRestore(f *testing.F) {
 	h := withTargets(2)
 	data, err := h.Snapshot()
--- a/internal/catalogue/keys.go
+++ b/internal/catalogue/keys.go
@@ -8,14 +8,14 @@
 	"bergamotstall/internal/table"
 )
 
-// Rotation takes three steps, each a command of its own, so that no process
-// ever meets a key it doesn't know: prepare hands the new generation to all,
-// sign starts its use, drop ends the acceptance of older ones. One step that
-// did all would break flows at every balancer whose table is a moment behind.
-// Package keys has the rules; the state adds when each step was taken.
-//
-// MinAcceptance is how long a generation is accepted after another signs: open
-// flows carry connection IDs of their generation for hours.
+// A rotation takes three steps, each a separate command, so that no process receives
+// packets signed with a key that it doesn't know: prepare distributes the new generation,
+// sign starts its use, drop ends the acceptance of older generations. A single step would
+// break flows at every balancer whose table is slightly behind. Package keys implements
+// the steps; the catalogue records when each was taken.
+
+// MinAcceptance is how long a generation is accepted after a newer one starts to sign:
+// open flows carry connection IDs of their generation for hours.
 const MinAcceptance = 24 * time.Hour
 
 // String returns the step as operators type it.
@@ -47,8 +47,8 @@
 	return c.outcome(NotValid, "a step of a rotation is prepare, sign or drop")
 }
 
-// whole tells whether a generation has every key at its size.
-func whole(k *table.KeySet) bool {
+// complete reports whether the generation has every key with its required size.
+func complete(k *table.KeySet) bool {
 	return k != nil && len(k.ConnID) == 16 && len(k.Envelope) > 0 && len(k.Reset) == 32 &&
 		len(k.Token) == 32 && len(k.Hash) == 16
 }
@@ -68,14 +68,14 @@
 }
 
 func (c *Catalogue) addKeys(set *table.KeySet) Outcome {
-	if !whole(set) {
+	if !complete(set) {
 		return c.outcome(NotValid, "the new generation lacks a key")
 	}
 	next, err := keys.Add(c.keySets(), *set)
 	if err != nil {
 		return c.outcome(Refused, err.Error())
 	}
-	c.takeKeys(next)
+	c.setKeys(next)
 	return c.outcome(Done, fmt.Sprintf("generation %d handed out", next[len(next)-1].Generation))
 }
 
@@ -84,7 +84,7 @@
 	if err != nil {
 		return c.outcome(Refused, err.Error())
 	}
-	c.takeKeys(next)
+	c.setKeys(next)
 	return c.outcome(Done, fmt.Sprintf("generation %d signs", next[len(next)-1].Generation))
 }
 
@@ -96,7 +96,7 @@
 		return c.outcome(Refused, "only one generation is accepted")
 	case sets[n-1].Pending:
 		return c.outcome(Refused, keys.ErrRotationRuns.Error())
-	case !early && !c.due(c.state.Keys[n-1].SignsSinceMS, MinAcceptance.Milliseconds()):
+	case !early && !c.elapsed(c.state.Keys[n-1].SignsSinceMS, MinAcceptance.Milliseconds()):
 		return c.outcome(Refused, fmt.Sprintf("generation %d has signed for less than %v; open flows still carry older ones", sets[n-1].Generation, MinAcceptance))
 	}
 	for _, old := range sets[:n-1] {
@@ -105,11 +105,11 @@
 			return c.outcome(Refused, err.Error())
 		}
 	}
-	c.takeKeys(sets)
+	c.setKeys(sets)
 	return c.outcome(Done, fmt.Sprintf("only generation %d is accepted", sets[0].Generation))
 }
 
-// keySets are the generations as the table has them, oldest first.
+// keySets returns the generations as the table has them, oldest first.
 func (c *Catalogue) keySets() []table.KeySet {
 	out := make([]table.KeySet, 0, len(c.state.Keys))
 	for _, k := range c.state.Keys {
@@ -118,14 +118,14 @@
 	return out
 }
 
-// takeKeys replaces the generations and notes when one began to sign.
-func (c *Catalogue) takeKeys(sets []table.KeySet) {
+// setKeys replaces the generations and records when a generation started to sign.
+func (c *Catalogue) setKeys(sets []table.KeySet) {
 	next := make([]KeyRecord, 0, len(sets))
 	for _, set := range sets {
 		record := KeyRecord{Set: set}
-		for _, old := range c.state.Keys {
-			if old.Set.Generation == set.Generation {
-				record.PreparedAt, record.SignsSinceMS = old.PreparedAt, old.SignsSinceMS
+		for _, previous := range c.state.Keys {
+			if previous.Set.Generation == set.Generation {
+				record.PreparedAt, record.SignsSinceMS = previous.PreparedAt, previous.SignsSinceMS
 			}
 		}
 		if !set.Pending && record.SignsSinceMS == 0 {
@@ -134,11 +134,11 @@
 		next = append(next, record)
 	}
 	c.state.Keys = next
-	c.altered = true
+	c.tableChanged = true
 }
 
-// stampKeys notes the revision that first carries a prepared generation.
-func (c *Catalogue) stampKeys() {
+// recordPreparedAt records the first revision that contains each generation.
+func (c *Catalogue) recordPreparedAt() {
 	for i := range c.state.Keys {
 		if k := &c.state.Keys[i]; k.PreparedAt == 0 {
 			k.PreparedAt = c.state.Revision
--- a/internal/catalogue/main_test.go
+++ b/internal/catalogue/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The property tests draw from a fixed seed, so that each run has one verdict;
-// -rapid.seed explores further.
+// TestMain sets a fixed seed for the property tests, so that runs are reproducible.
+// -rapid.seed sets another one.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
--- a/internal/catalogue/operators.go
+++ b/internal/catalogue/operators.go
@@ -7,26 +7,27 @@
 	"bergamotstall/internal/table"
 )
 
-// Operators tells commands of operators from those of processes.
-func (c *Command) Operators() bool {
+// FromOperator reports whether an operator sent the command, rather than a process.
+func (c *Command) FromOperator() bool {
 	return c.AnnounceAgent == nil && c.AnnounceBalancer == nil && c.AgentSilent == nil &&
 		c.BalancerSilent == nil && c.Sweep == nil
 }
 
-// who names the operator, or the process that a report is about.
-func (c *Command) who() string {
+// actor names the operator, the process that announces itself, or the control VM that
+// reports a silent process.
+func (c *Command) actor() string {
 	switch {
 	case c.AnnounceAgent != nil:
 		return c.AnnounceAgent.Announcement.Name
 	case c.AnnounceBalancer != nil:
 		return c.AnnounceBalancer.Announcement.Name
-	case !c.Operators():
+	case !c.FromOperator():
 		return c.Via
 	}
 	return c.Operator
 }
 
-// describe says in words what the command asks for.
+// describe describes the command for the audit record.
 func (c *Command) describe() string {
 	switch {
 	case c.Apply != nil:
@@ -52,7 +53,8 @@
 	return "unknown command"
 }
 
-// applyDefinition replaces services and presets, or changes nothing.
+// applyDefinition replaces all services and presets, or changes nothing if the
+// definition is refused.
 func (c *Catalogue) applyDefinition(d *Definition) Outcome {
 	if problems := d.Problems(); len(problems) > 0 {
 		p := problems[0]
@@ -65,20 +67,20 @@
 	if !slices.ContainsFunc(d.Presets, func(p Preset) bool { return p.Name == inForce }) {
 		return c.outcome(Refused, fmt.Sprintf("preset %q is in force and missing from the file; switch to another one first", inForce))
 	}
-	if name, targets := c.removedInUse(d); targets > 0 {
+	if name, targets := c.removedServiceInUse(d); targets > 0 {
 		return c.outcome(Refused, fmt.Sprintf("service %q has %d targets and is missing from the file; stop its agents first", name, targets))
 	}
 	c.replaceServices(d.Services)
-	c.altered = c.altered || inForce != c.state.InForce
+	c.tableChanged = c.tableChanged || inForce != c.state.InForce
 	c.state.Presets = d.Presets
 	c.state.InForce = inForce
-	c.reweigh()
+	c.updateWeights()
 	return c.outcome(Done, fmt.Sprintf("%d services, %d presets, %s in force", len(d.Services), len(d.Presets), inForce))
 }
 
-// removedInUse finds a service that the definition leaves out although targets
-// still serve it.
-func (c *Catalogue) removedInUse(d *Definition) (string, int) {
+// removedServiceInUse returns a service that is missing from the definition but still
+// has targets, and the number of its targets.
+func (c *Catalogue) removedServiceInUse(d *Definition) (string, int) {
 	for _, s := range c.state.Services {
 		if slices.ContainsFunc(d.Services, func(x ServiceSpec) bool { return x.Name == s.Spec.Name }) {
 			continue
@@ -96,8 +98,8 @@
 	return "", 0
 }
 
-// replaceServices keeps the IDs of services that stay and gives new ones out
-// in the operator's order.
+// replaceServices replaces the services. Those that remain keep their IDs; new ones get
+// IDs in the operator's order.
 func (c *Catalogue) replaceServices(specs []ServiceSpec) {
 	next := make([]Service, 0, len(specs))
 	kept := make(map[table.ServiceID]bool, len(specs))
@@ -112,7 +114,7 @@
 		next = append(next, service)
 	}
 	if !slices.Equal(next, c.state.Services) {
-		c.altered = true
+		c.tableChanged = true
 	}
 	c.state.Services = next
 	c.indexServices()
@@ -128,7 +130,7 @@
 }
 
 func (c *Catalogue) switchPreset(name string) Outcome {
-	if _, ok := c.preset(name); !ok {
+	if _, ok := c.presetNamed(name); !ok {
 		out := c.outcome(NoPreset, fmt.Sprintf("no preset %q", name))
 		out.Subject = name
 		return out
@@ -136,14 +138,14 @@
 	if name == c.state.InForce {
 		return c.outcome(Done, name+" was in force already")
 	}
-	old := c.state.InForce
+	previous := c.state.InForce
 	c.state.InForce = name
-	c.reweigh()
-	c.altered = true
-	return c.outcome(Done, fmt.Sprintf("%s in force, before it %s", name, old))
+	c.updateWeights()
+	c.tableChanged = true
+	return c.outcome(Done, fmt.Sprintf("%s in force, before it %s", name, previous))
 }
 
-func (c *Catalogue) preset(name string) (*Preset, bool) {
+func (c *Catalogue) presetNamed(name string) (*Preset, bool) {
 	i := slices.IndexFunc(c.state.Presets, func(p Preset) bool { return p.Name == name })
 	if i < 0 {
 		return nil, false
@@ -151,13 +153,13 @@
 	return &c.state.Presets[i], true
 }
 
-// drain takes a host out of new work. The host may be unknown as yet: a drain
-// set before a host announces itself holds from its first moment.
+// drain stops new work for a host. The host may be unknown: the drain then applies to
+// its agents as soon as they register.
 func (c *Catalogue) drain(host string) Outcome {
 	if host == "" || len(host) > maxNameLength {
 		return c.outcome(NotValid, fmt.Sprintf("a host's name has 1 to %d bytes", maxNameLength))
 	}
-	if c.drains[host] {
+	if c.drained[host] {
 		return c.outcome(Done, host+" was drained already")
 	}
 	if len(c.state.Drains) >= maxDrains {
@@ -165,10 +167,11 @@
 	}
 	at, _ := slices.BinarySearch(c.state.Drains, host)
 	c.state.Drains = slices.Insert(c.state.Drains, at, host)
-	c.drains[host] = true
+	c.drained[host] = true
 	return c.drainChanged(host, "drains")
 }
 
+// maxDrains limits the drained hosts.
 const maxDrains = 20_000
 
 func (c *Catalogue) undrain(host string) Outcome {
@@ -177,16 +180,16 @@
 		return c.outcome(Refused, fmt.Sprintf("%q isn't drained", host))
 	}
 	c.state.Drains = slices.Delete(c.state.Drains, at, at+1)
-	delete(c.drains, host)
+	delete(c.drained, host)
 	return c.drainChanged(host, "gets new work again")
 }
 
-// drainChanged ends a change of a host's drain; only a host with targets shows
-// in the table.
+// drainChanged returns the outcome of a changed drain. The table changes only if the
+// host has targets.
 func (c *Catalogue) drainChanged(host, what string) Outcome {
 	targets := c.targetsOn(host)
 	if targets > 0 {
-		c.altered = true
+		c.tableChanged = true
 	}
 	return c.outcome(Done, fmt.Sprintf("%s %s, %d targets on it", host, what, targets))
 }
--- a/internal/catalogue/outcome.go
+++ b/internal/catalogue/outcome.go
@@ -8,11 +8,11 @@
 
 //go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/catalogue/outcome.go -o ../internal/catalogue/outcome_gen.go -tests=false -io=false
 
-// Code says how a command ended.
+// Code is the result of a command.
 type Code uint8
 
 const (
-	// Done commands were accepted.
+	// Done: the command was accepted.
 	Done Code = iota + 1
 	// Conflict: the expected version isn't the current one.
 	Conflict
@@ -20,11 +20,11 @@
 	NoPreset
 	// NoService: the catalogue has no service of that name.
 	NoService
-	// NotValid commands ask for what can't be.
+	// NotValid: the command is malformed, or has a value that isn't allowed.
 	NotValid
-	// Refused commands could be, but not in the present state.
+	// Refused: the command is valid, but not allowed in the current state.
 	Refused
-	// Reused: the identity was used for another command.
+	// Reused: the command ID was used for another command.
 	Reused
 	// Superseded: a later incarnation of the agent has announced itself.
 	Superseded
@@ -35,7 +35,7 @@
 	NotValid: "invalid", Refused: "refused", Reused: "identity_reused", Superseded: "superseded",
 }
 
-// String returns the word that counters use for the code.
+// String returns the name of the code in metrics.
 func (c Code) String() string {
 	if name, ok := codeNames[c]; ok {
 		return name
@@ -43,25 +43,26 @@
 	return "other"
 }
 
-// Outcome is what Apply returns for a command. It is kept with the command's
-// identity, so that a resend gets the same bytes.
+// Outcome is the result of a command. It is recorded under the command's ID, so that a
+// resend returns the same bytes.
 type Outcome struct {
 	Code Code `msg:"c"`
-	// Version of the catalogue after the command; for Conflict the current one.
+	// Version is the catalogue's version after the command; for Conflict the current one.
 	Version uint64 `msg:"v"`
-	// Revision of the table after the command.
+	// Revision is the table's revision after the command.
 	Revision table.Revision `msg:"r"`
-	// Text says in words what was done or why not.
+	// Text describes the result for people. It is stored, so a changed wording makes
+	// the states of replicas with different versions differ.
 	Text string `msg:"t"`
-	// Subject is the name that the code is about, such as the unknown preset.
+	// Subject is the name that the code refers to, such as the unknown preset.
 	Subject string `msg:"s,omitempty"`
-	// Agent is the number given to an announced agent.
+	// Agent is the number of the announced agent.
 	Agent table.AgentNumber `msg:"g,omitempty"`
 }
 
-// VersionConflict tells an operator that another change came first.
+// VersionConflict is returned to an operator if another change was applied first.
 type VersionConflict struct {
-	// Current is the version that the next attempt must expect.
+	// Current is the version to expect in the next attempt.
 	Current uint64
 }
 
@@ -69,34 +70,34 @@
 	return fmt.Sprintf("catalogue: version conflict: the current version is %d", e.Current)
 }
 
-// UnknownPreset names a preset that the catalogue doesn't have.
+// UnknownPreset is returned for a preset that the catalogue doesn't have.
 type UnknownPreset struct{ Preset string }
 
 func (e *UnknownPreset) Error() string { return fmt.Sprintf("catalogue: no preset %q", e.Preset) }
 
-// UnknownService names a service that the catalogue doesn't have.
+// UnknownService is returned for a service that the catalogue doesn't have.
 type UnknownService struct{ Service string }
 
 func (e *UnknownService) Error() string { return fmt.Sprintf("catalogue: no service %q", e.Service) }
 
-// Invalid is a command that asks for what can't be.
+// Invalid is returned for a command that is malformed or has a value that isn't allowed.
 type Invalid struct{ Why string }
 
 func (e *Invalid) Error() string { return "catalogue: invalid: " + e.Why }
 
-// Refusal is a command that the present state doesn't allow.
+// Refusal is returned for a command that the current state doesn't allow.
 type Refusal struct{ Why string }
 
 func (e *Refusal) Error() string { return "catalogue: refused: " + e.Why }
 
-// IdentityReused is an identity that stands for another command already.
+// IdentityReused is returned for a command ID that was used for another command.
 type IdentityReused struct{ ID string }
 
 func (e *IdentityReused) Error() string {
 	return fmt.Sprintf("catalogue: command identity %q was used for another command", e.ID)
 }
 
-// SupersededError tells an old incarnation that a newer one has its place.
+// SupersededError is returned to an incarnation that a later one has replaced.
 type SupersededError struct{ Agent table.AgentNumber }
 
 func (e *SupersededError) Error() string {
--- a/internal/catalogue/property_test.go
+++ b/internal/catalogue/property_test.go
@@ -12,7 +12,7 @@
 	"bergamotstall/internal/table"
 )
 
-// randomCommand draws one command among few names, so that they collide.
+// randomCommand draws a command. It uses few names, so that commands collide.
 func randomCommand(t *rapid.T, h *harness) Command {
 	id := fmt.Sprint("id-", rapid.IntRange(0, 60).Draw(t, "id"))
 	host := rapid.IntRange(0, 5).Draw(t, "host")
@@ -63,70 +63,69 @@
 	return d
 }
 
-// invariants are what must hold after each command, whatever it was.
+// invariants checks what must hold after every command.
 type invariants struct {
-	last    Summary
-	bound   map[table.AgentNumber]string
-	highest table.AgentNumber
+	last          Summary
+	incarnationOf map[table.AgentNumber]string
+	highest       table.AgentNumber
 }
 
 func (v *invariants) check(t *rapid.T, h *harness) {
-	now := h.Summary()
-	if now.Version < v.last.Version || now.Revision < v.last.Revision {
-		t.Fatalf("fell from %+v to %+v", v.last, now)
+	summary := h.Summary()
+	if summary.Version < v.last.Version || summary.Revision < v.last.Revision {
+		t.Fatalf("version or revision went back from %+v to %+v", v.last, summary)
 	}
 	if len(h.Services()) > 0 {
-		in := 0
+		matches := 0
 		for _, p := range h.Presets() {
-			if p.Name == now.InForce {
-				in++
+			if p.Name == summary.InForce {
+				matches++
 			}
 		}
-		if in != 1 {
-			t.Fatalf("%d presets named %q in force", in, now.InForce)
+		if matches != 1 {
+			t.Fatalf("%d presets have the name in force, %q; expected 1", matches, summary.InForce)
 		}
 	}
 	for _, a := range h.Agents() {
 		who := fmt.Sprint(a.Service, a.Host, a.Name, a.Incarnation)
-		if was, ok := v.bound[a.Number]; ok && was != who {
-			t.Fatalf("agent %d was %s and is %s", a.Number, was, who)
+		if was, ok := v.incarnationOf[a.Number]; ok && was != who {
+			t.Fatalf("agent number %d was bound to %s and is now bound to %s", a.Number, was, who)
 		}
-		if _, ok := v.bound[a.Number]; !ok && a.Number <= v.highest {
-			t.Fatalf("agent number %d given out late", a.Number)
+		if _, ok := v.incarnationOf[a.Number]; !ok && a.Number <= v.highest {
+			t.Fatalf("agent number %d was assigned after a higher one", a.Number)
 		}
-		v.bound[a.Number] = who
+		v.incarnationOf[a.Number] = who
 		v.highest = max(v.highest, a.Number)
 	}
-	v.last = now
+	v.last = summary
 }
 
-// Replicas that took the log by different ways must hold the same state, byte
-// by byte: one applied every command, one was restored from a snapshot in the
-// middle and applied the rest.
+// Guards against replicas that diverge: a replica that applied every command and one that
+// was restored from a snapshot and applied the rest have the same state, byte by byte.
 func TestReplayEqualsSnapshotAndRest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness()
 		h.do(apply("first", twoServices()))
-		v := &invariants{bound: map[table.AgentNumber]string{}}
+		v := &invariants{incarnationOf: map[table.AgentNumber]string{}}
 		n := rapid.IntRange(1, 120).Draw(t, "commands")
-		cut := rapid.IntRange(1, n).Draw(t, "snapshot after")
-		var middle []byte
-		at := 0
+		snapshotAfter := rapid.IntRange(1, n).Draw(t, "snapshot after")
+		var snapshot []byte
+		applied := 0
 		for i := range n {
-			h.pass(time.Duration(rapid.IntRange(0, 400).Draw(t, "seconds")) * time.Second)
+			h.advance(time.Duration(rapid.IntRange(0, 400).Draw(t, "seconds")) * time.Second)
 			h.do(randomCommand(t, h))
 			v.check(t, h)
-			if i+1 == cut {
-				middle, at = snapshotOf(t, h.Catalogue), len(h.log)
+			if i+1 == snapshotAfter {
+				snapshot, applied = snapshotOf(t, h.Catalogue), len(h.log)
 			}
 		}
 		other := New()
-		if err := other.Restore(middle); err != nil {
+		if err := other.Restore(snapshot); err != nil {
 			t.Fatal(err)
 		}
-		for i := at; i < len(h.log); i++ {
+		for i := applied; i < len(h.log); i++ {
 			if !slices.Equal(other.Apply(uint64(i+1), h.log[i]), h.answers[i]) {
-				t.Fatalf("command %d has another outcome after a restore", i)
+				t.Fatalf("command %d has a different outcome after a restore", i)
 			}
 		}
 		if !slices.Equal(snapshotOf(t, other), snapshotOf(t, h.Catalogue)) {
@@ -140,20 +139,20 @@
 	})
 }
 
-// One revision must stand for one table on every replica, also where a command
-// was refused or changed nothing in it.
-func TestOneRevisionOneTable(t *testing.T) {
+// Guards against one revision that stands for two tables, also after a command that was
+// refused or changed nothing in the table.
+func TestRevisionIdentifiesOneTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness()
 		h.do(apply("first", twoServices()))
 		seen := map[table.Revision][]byte{}
 		for range rapid.IntRange(1, 80).Draw(t, "commands") {
-			h.pass(time.Duration(rapid.IntRange(0, 400).Draw(t, "seconds")) * time.Second)
+			h.advance(time.Duration(rapid.IntRange(0, 400).Draw(t, "seconds")) * time.Second)
 			h.do(randomCommand(t, h))
-			h.built = nil // built anew, not remembered
+			h.cachedTable = nil // forces a rebuild
 			x, _ := h.Table().MarshalMsg(nil)
 			if was, ok := seen[h.Table().Revision]; ok && !slices.Equal(was, x) {
-				t.Fatalf("revision %d has two tables", h.Table().Revision)
+				t.Fatalf("revision %d has two different tables", h.Table().Revision)
 			}
 			seen[h.Table().Revision] = x
 		}
--- a/internal/catalogue/read.go
+++ b/internal/catalogue/read.go
@@ -8,14 +8,14 @@
 	"bergamotstall/internal/table"
 )
 
-// Summary is the catalogue at a glance.
+// Summary holds the version, the table revision and the preset in force.
 type Summary struct {
 	Version  uint64
 	Revision table.Revision
 	InForce  string
 }
 
-// Summary returns version, revision and the preset in force.
+// Summary returns the summary of the current state.
 func (c *Catalogue) Summary() Summary {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -36,14 +36,14 @@
 	return slices.Clone(c.state.Presets)
 }
 
-// Agents returns every agent that is remembered, by number.
+// Agents returns all agents in the state, including retired ones, by number.
 func (c *Catalogue) Agents() []Agent {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return slices.Clone(c.state.Agents)
 }
 
-// Balancers returns the balancers by name, silent ones among them.
+// Balancers returns all balancers by name, including those out of service.
 func (c *Catalogue) Balancers() []BalancerRecord {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -64,22 +64,22 @@
 	return slices.Clone(c.state.Keys)
 }
 
-// Audit returns the last records of operators' commands, oldest first.
+// Audit returns the latest records of operators' commands, oldest first.
 func (c *Catalogue) Audit() []Record {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return slices.Clone(c.state.Audit)
 }
 
-// Fleet returns the last records of announcements and silences, oldest first.
+// Fleet returns the latest records of announcements and silence reports, oldest first.
 func (c *Catalogue) Fleet() []Record {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return slices.Clone(c.state.Fleet)
 }
 
-// ClockAhead is how far the state's clock is ahead of now; 0 before the first
-// command.
+// ClockAhead returns how far the state's clock is ahead of now; negative if it is
+// behind, 0 before the first command.
 func (c *Catalogue) ClockAhead(now time.Time) time.Duration {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -89,84 +89,86 @@
 	return time.Duration(c.state.ClockMS-now.UnixMilli()) * time.Millisecond
 }
 
-// SweepDue tells whether the leader's next beat is due at now, or time alone
-// makes a step due. Without it, a quiet cluster would never retire an agent.
+// SweepDue reports whether the leader should propose a sweep at now: SweepInterval has
+// passed, or an agent or balancer has to be retired or dropped. Without sweeps a cluster
+// without other commands would never retire an agent.
 func (c *Catalogue) SweepDue(now time.Time) bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	nowMS := now.UnixMilli()
-	if since := nowMS - c.state.BeatMS; since >= BeatEvery.Milliseconds() || since < 0 {
+	if since := nowMS - c.state.LastSweepMS; since >= SweepInterval.Milliseconds() || since < 0 {
 		return true
 	}
 	for i := range c.state.Agents {
 		a := &c.state.Agents[i]
 		switch {
-		case a.Retired && nowMS-a.RetiredAtMS >= c.retiredKept[a.Service]:
+		case a.Retired && nowMS-a.RetiredAtMS >= c.retentionMS[a.Service]:
 			return true
-		case a.Silence == Out && !a.Retired && nowMS-a.SilentAtMS >= retireAfter(a).Milliseconds():
+		case a.Liveness == OutOfService && !a.Retired && nowMS-a.SilentAtMS >= retireAfter(a).Milliseconds():
 			return true
 		}
 	}
 	return slices.ContainsFunc(c.state.Balancers, func(b BalancerRecord) bool {
-		return b.Silence == Out && nowMS-b.SilentAtMS >= silenceWindow.Milliseconds()
+		return b.Liveness == OutOfService && nowMS-b.SilentAtMS >= silenceWindow.Milliseconds()
 	})
 }
 
-// HeardVia returns the subscribers that are in touch, as far as the state knows,
-// via one of the control VMs that the function picks.
-func (c *Catalogue) HeardVia(vm func(string) bool) (agents, balancers []distribution.Silence) {
+// LiveVia returns the subscribers that are live by the state and connected to a control
+// VM for which vm returns true.
+func (c *Catalogue) LiveVia(vm func(string) bool) (agents, balancers []distribution.Silence) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	for i := range c.state.Agents {
-		if a := &c.state.Agents[i]; !a.Retired && a.Silence == Heard && vm(a.Via) {
-			agents = append(agents, a.report())
+		if a := &c.state.Agents[i]; !a.Retired && a.Liveness == Live && vm(a.Via) {
+			agents = append(agents, a.silenceReport())
 		}
 	}
 	for i := range c.state.Balancers {
-		if b := &c.state.Balancers[i]; b.Silence == Heard && vm(b.Via) {
-			balancers = append(balancers, b.report())
+		if b := &c.state.Balancers[i]; b.Liveness == Live && vm(b.Via) {
+			balancers = append(balancers, b.silenceReport())
 		}
 	}
 	return agents, balancers
 }
 
-func (a *Agent) report() distribution.Silence {
+func (a *Agent) silenceReport() distribution.Silence {
 	return distribution.Silence{Name: a.Name, Agent: a.Number, Incarnation: a.Incarnation, Attachment: a.Attachment}
 }
 
-func (b *BalancerRecord) report() distribution.Silence {
+func (b *BalancerRecord) silenceReport() distribution.Silence {
 	return distribution.Silence{Name: b.Name, Incarnation: b.Incarnation, Attachment: b.Attachment}
 }
 
-// suspected is a service's targets that work, or those that don't.
-type suspected struct {
-	service table.ServiceID
-	works   bool
+// suspectGroup identifies the targets of a service that take new work, or those that
+// don't.
+type suspectGroup struct {
+	service      table.ServiceID
+	takesNewWork bool
 }
 
-// BelievableSuspects returns, as new reports, the silences that weren't believed
-// and would be at now: at most one of each kind for each service, and one
-// balancer's, since each that goes out changes the count. A suspicion ends when its process
-// announces itself anywhere, so what is left has been silent ever since.
-func (c *Catalogue) BelievableSuspects(now time.Time) (agents, balancers []distribution.Silence) {
+// RemovableSuspects returns, as silence reports, the suspects that may be taken out of
+// service at now: at most one for each group of targets and one balancer, since each
+// removal changes the count. A process that announces itself to any control VM is no
+// longer a suspect, so those that remain have been silent since they were reported.
+func (c *Catalogue) RemovableSuspects(now time.Time) (agents, balancers []distribution.Silence) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	nowMS := max(now.UnixMilli(), c.state.ClockMS)
-	seen := make(map[suspected]bool)
+	seen := make(map[suspectGroup]bool)
 	for i := range c.state.Agents {
 		a := &c.state.Agents[i]
-		kind := suspected{a.Service, c.works(a)}
-		if a.Silence != Suspect || a.Retired || seen[kind] {
+		group := suspectGroup{a.Service, c.takesNewWork(a)}
+		if a.Liveness != Suspect || a.Retired || seen[group] {
 			continue
 		}
-		seen[kind] = true
-		if c.agentWave(a, nowMS).believe() {
-			agents = append(agents, a.report())
+		seen[group] = true
+		if c.countAgents(a, nowMS).mayTakeOut() {
+			agents = append(agents, a.silenceReport())
 		}
 	}
 	for _, b := range c.state.Balancers {
-		if b.Silence == Suspect && c.balancerWave(nowMS).believe() {
-			balancers = append(balancers, b.report())
+		if b.Liveness == Suspect && c.countBalancers(nowMS).mayTakeOut() {
+			balancers = append(balancers, b.silenceReport())
 			break
 		}
 	}
--- a/internal/catalogue/silence_test.go
+++ b/internal/catalogue/silence_test.go
@@ -11,40 +11,40 @@
 	"bergamotstall/internal/table"
 )
 
-func TestShareThatSilenceAloneMayTakeOut(t *testing.T) {
+func TestShareOfSilentTargetsTakenOut(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		live, out int
 		want      bool
 	}{
 		{"one of seven", 7, 0, true},
-		{"third of seven: a data centre", 5, 2, true},
-		{"fourth of seven: a wave", 4, 3, false},
+		{"third of seven: the loss of a data centre", 5, 2, true},
+		{"fourth of seven: more than a data centre", 4, 3, false},
 		{"one of three", 3, 0, true},
 		{"second of three", 2, 1, false},
 		{"one of two", 2, 0, true},
 		{"the last one", 1, 0, false},
-		{"the last one, others long gone", 1, 1, false},
-		{"large service, a third", 667, 333, true},
-		{"large service, more", 666, 334, false},
+		{"the last one, another out", 1, 1, false},
+		{"last within a third of 1,000", 667, 333, true},
+		{"first over a third of 1,000", 666, 334, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(wave{live: c.live, out: c.out}.believe(), c.want)
+			is.Equal(silenceCount{live: c.live, out: c.out}.mayTakeOut(), c.want)
 		})
 	}
 }
 
-func TestLastIdleTargetMayGoOut(t *testing.T) {
+func TestLastIdleTargetMayBeTakenOut(t *testing.T) {
 	is := is.New(t)
-	is.True(wave{live: 1, idle: true}.believe())
-	is.True(!wave{live: 2, out: 1, idle: true}.believe())
+	is.True(silenceCount{live: 1, idle: true}.mayTakeOut())
+	is.True(!silenceCount{live: 2, out: 1, idle: true}.mayTakeOut())
 }
 
-// A control VM loses its link to the agents, though not to the other control
-// VMs, and reports one agent after another as silent. Callers see nothing: a
-// third of the targets drain at most, the others stay in, marked as suspects.
-func TestWaveOfSilenceDoesNotEmptyAService(t *testing.T) {
+// Guards against a service without targets after a control VM loses its link to the
+// agents but not to the other control VMs, and reports every agent as silent. At most a
+// third of the targets is taken out; the others stay in service as suspects.
+func TestSimultaneousSilenceDoesNotEmptyAService(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(7)
 	for _, a := range h.Agents() {
@@ -53,25 +53,25 @@
 	is.Equal(countState(h, table.Active), 4)
 	is.Equal(countState(h, table.Draining), 3)
 
-	h.pass(time.Minute)
+	h.advance(time.Minute)
 	for _, a := range h.Agents() {
-		h.do(silent(&a)) // reported again and again
+		h.do(silent(&a)) // reported repeatedly
 	}
 	is.Equal(countState(h, table.Active), 4)
 
-	for i := range 7 { // the link is back
+	for i := range 7 { // the agents reconnect
 		again := announce("casework", i, 1)
 		again.AnnounceAgent.Announcement.Attachment = 2
 		h.do(again)
 	}
 	is.Equal(countState(h, table.Active), 7)
-	is.Equal(h.Table().Targets[0].Agent, table.AgentNumber(1)) // open flows kept their number
+	is.Equal(h.Table().Targets[0].Agent, table.AgentNumber(1)) // the numbers of open flows stay valid
 }
 
-// All seven targets of a service really die at once. A third goes out, and
-// another third of the rest once the window is over, each as its suspicion is
-// reported again; the last one stays in whatever happens.
-func TestSuspectsGoOutWindowByWindow(t *testing.T) {
+// Guards against dead targets that stay in service: all seven targets of a service die.
+// In each silenceWindow a third of the rest is taken out as its silence is reported
+// again. The last one always stays in service.
+func TestSuspectsAreTakenOutOneWindowAtATime(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(7)
 	for _, a := range h.Agents() {
@@ -80,14 +80,14 @@
 	var active []int
 	for range 5 {
 		for {
-			suspects, _ := h.BelievableSuspects(time.UnixMilli(h.nowMS))
+			suspects, _ := h.RemovableSuspects(time.UnixMilli(h.nowMS))
 			if len(suspects) == 0 {
 				break
 			}
 			h.do(Command{AgentSilent: &suspects[0]})
 		}
 		active = append(active, countState(h, table.Active))
-		h.pass(silenceWindow)
+		h.advance(silenceWindow)
 		h.do(Command{Sweep: &Sweep{}})
 	}
 	is.Equal(active, []int{4, 2, 1, 1, 1})
@@ -103,9 +103,8 @@
 	return n
 }
 
-// An agent dies. Its target gets no new work at once, its number is retired
-// after a further wait, and is dropped when no caller can still use it. The
-// number is never given out again.
+// A dead agent's target gets no new work at once. Its number is retired after
+// retireSilentAfter, dropped after RetiredRetention, and never assigned again.
 func TestSilentAgentIsRetiredAndDropped(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(3)
@@ -115,13 +114,13 @@
 	is.Equal(x.State, table.Draining)
 	is.True(!h.SweepDue(time.UnixMilli(h.nowMS)))
 
-	h.pass(retireSilent)
+	h.advance(retireSilentAfter)
 	is.True(h.SweepDue(time.UnixMilli(h.nowMS)))
 	h.do(Command{Sweep: &Sweep{}})
 	x, _ = h.Table().Target(1)
 	is.Equal(x.State, table.Retired)
 
-	h.pass(RetiredKept)
+	h.advance(RetiredRetention)
 	h.do(Command{Sweep: &Sweep{}})
 	_, known := h.Table().Target(1)
 	is.True(!known)
@@ -129,10 +128,9 @@
 	is.Equal(out.Agent, table.AgentNumber(4))
 }
 
-// An agent moves to another control VM. The VM that it left reports it silent
-// a moment later, as does a VM that was partitioned for a minute. Callers see
-// nothing: the agent stays in.
-func TestSilenceOfAStreamThatWasLeftIsVoid(t *testing.T) {
+// Guards against an agent that is taken out of service after it moves to another control
+// VM: reports and announcements of the control VM that it left come late and are ignored.
+func TestSilenceOfAnOldStreamIsIgnored(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(3)
 	left := h.Agents()[0]
@@ -140,21 +138,21 @@
 	moved.AnnounceAgent.Announcement.Attachment = 2
 	moved.Via = "control-b"
 	h.do(moved)
-	h.pass(time.Minute)
+	h.advance(time.Minute)
 	h.do(silent(&left))
 	x, _ := h.Table().Target(1)
 	is.Equal(x.State, table.Active)
 
-	stale := announce("casework", 0, 1) // nor does the VM that it left speak for it
+	stale := announce("casework", 0, 1) // a late announcement through the VM that it left
 	stale.AnnounceAgent.Announcement.Draining = true
 	h.do(stale)
 	x, _ = h.Table().Target(1)
 	is.Equal(x.State, table.Active)
 }
 
-// An agent dies right after its announcement was committed, before its control
-// VM learned the number. The report names it by name only and still counts.
-func TestSilenceOfAnAgentWhoseNumberWasLost(t *testing.T) {
+// Guards against a dead agent that stays in service: it dies after its announcement was
+// committed but before its control VM learns the number, so the report has only a name.
+func TestSilenceReportWithoutAgentNumber(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(3)
 	a := h.Agents()[1]
@@ -165,7 +163,7 @@
 	is.Equal(x.State, table.Draining)
 }
 
-func TestPlannedLeaversDontCount(t *testing.T) {
+func TestLeavingAgentsAreNotCountedAsSilent(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(3)
 	for i := range 2 {
@@ -178,31 +176,30 @@
 		out := h.do(silent(&a))
 		is.NoErr(out.Err())
 	}
-	is.Equal(countState(h, table.Draining), 2) // their last flows may still end
-	h.pass(retireLeaver)
+	is.Equal(countState(h, table.Draining), 2) // open flows may still end
+	h.advance(retireLeavingAfter)
 	h.do(Command{Sweep: &Sweep{}})
 	is.Equal(countState(h, table.Retired), 2)
 	is.Equal(countState(h, table.Active), 1)
-	is.Equal(h.agentWave(&h.state.Agents[2], h.nowMS), wave{live: 1})
+	is.Equal(h.countAgents(&h.state.Agents[2], h.nowMS), silenceCount{live: 1})
 }
 
-// An operator drains a host for the evening; its feeds stay open for hours. Its
-// control stream is cut for a moment. The host's flows go on: it isn't retired,
-// and once it is heard again it is what it was.
-func TestDrainedHostKeepsItsFlowsThroughASilence(t *testing.T) {
+// Guards against the reset of long flows on a drained host: its control stream is cut
+// for a short time. The host isn't retired, and after it reconnects it is still drained.
+func TestDrainedHostIsNotRetiredDuringAShortSilence(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(3)
 	h.do(Command{ID: "d", Operator: "ama", Drain: &DrainHost{Host: "casework-1"}})
 	a := h.Agents()[1]
 	h.do(silent(&a))
-	h.pass(retireSilent / 2)
+	h.advance(retireSilentAfter / 2)
 	h.do(Command{Sweep: &Sweep{}})
 	x, _ := h.Table().Target(a.Number)
 	is.Equal(x.State, table.Draining)
 	again := announce("casework", 1, 1)
 	again.AnnounceAgent.Announcement.Attachment = 2
 	h.do(again)
-	h.pass(retireSilent)
+	h.advance(retireSilentAfter)
 	h.do(Command{Sweep: &Sweep{}})
 	x, _ = h.Table().Target(a.Number)
 	is.Equal(x.State, table.Draining)
@@ -210,9 +207,9 @@
 	is.Equal(countState(h, table.Active), 3)
 }
 
-// Under the maintenance preset only two of five targets get new work. Both fall
-// silent. One stays in: the three idle ones are no reserve.
-func TestIdleTargetsAreNoReserveInAWave(t *testing.T) {
+// Guards against idle targets that count as spare capacity: only two of five targets get
+// new work by the preset, and both fall silent. One of the two stays in service.
+func TestIdleTargetsDoNotCountAsCapacity(t *testing.T) {
 	is := is.New(t)
 	d := twoServices()
 	d.Presets[0].Services = []PresetService{{Service: "casework", Hosts: []HostWeight{{"casework-0", 0}, {"casework-1", 0}, {"casework-2", 0}}}}
@@ -233,9 +230,9 @@
 	is.Equal(working, 1)
 }
 
-// Two of four agents say that they stop; then both others fall silent. The one
-// that is silent last stays in: those that leave are no reserve.
-func TestLeaversAreNoReserveInAWave(t *testing.T) {
+// Guards against leaving targets that count as spare capacity: two of four agents
+// announce their stop and the other two fall silent. The last of these stays in service.
+func TestLeavingTargetsDoNotCountAsCapacity(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(4)
 	for i := range 2 {
@@ -249,36 +246,36 @@
 	is.Equal(countState(h, table.Active), 1)
 }
 
-func TestMassRestartBoundsRetiredNumbers(t *testing.T) {
+func TestRetiredNumbersAreBounded(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(1)
 	current := h.state.Agents[0]
 	var agents []Agent
-	for i := range maxRetired { // as after as many restarts of the host's agent
+	for i := range maxRetiredAgents { // the state after maxRetiredAgents restarts of one agent
 		old := current
 		old.Number, old.Incarnation = table.AgentNumber(i+1), uint64(i+1)
 		old.Replaced, old.Retired, old.RetiredAtMS = true, true, h.nowMS
 		agents = append(agents, old)
 	}
-	current.Number, current.Incarnation = maxRetired+1, maxRetired+1
+	current.Number, current.Incarnation = maxRetiredAgents+1, maxRetiredAgents+1
 	h.state.Agents = append(agents, current)
 	h.state.LastAgent = current.Number
-	h.reindex()
+	h.rebuildIndexes()
 	for i := range 10 {
-		h.do(announce("casework", 0, uint64(maxRetired+i+2)))
+		h.do(announce("casework", 0, uint64(maxRetiredAgents+i+2)))
 	}
 	h.do(Command{Sweep: &Sweep{}})
-	is.Equal(countState(h, table.Retired), maxRetired)
+	is.Equal(countState(h, table.Retired), maxRetiredAgents)
 	is.Equal(countState(h, table.Active), 1)
-	// Keepers of idempotency keys went early: keys wait until their time is over.
+	// Holders of idempotency keys were dropped early: no keys until their retention ends.
 	service, _ := h.Table().ServiceNamed("casework")
 	is.True(service.KeysFromMS > h.nowMS)
-	is.True(service.KeysFromMS <= h.nowMS+RetiredKept.Milliseconds())
+	is.True(service.KeysFromMS <= h.nowMS+RetiredRetention.Milliseconds())
 }
 
-// All balancers fall silent for control at once. Agents keep a list of most of
-// them, so answers still find a way.
-func TestBalancersAreNotAllTakenOff(t *testing.T) {
+// Guards against agents without a return path: all balancers are reported silent at once,
+// and most of them stay in the table.
+func TestSomeBalancersStayOnTheReturnPath(t *testing.T) {
 	is := is.New(t)
 	h := newHarness()
 	for _, name := range []string{"b1", "b2", "b3"} {
@@ -290,21 +287,21 @@
 	is.Equal(len(h.Table().Balancers), 2)
 }
 
-// Two regions lose each other for twelve minutes. Control stays on one side; the
-// agents of the other are alive, and callers there have feeds open. Once the cut
-// is over each agent is what it was, under its number, and no feed was reset.
-func TestRegionCutOffForMinutesKeepsItsFlows(t *testing.T) {
+// Guards against flows that are reset by a partition: two regions lose contact for twelve
+// minutes and control is on one side. No agent of the other side is retired, and after
+// the partition each is active under the same number.
+func TestPartitionOfMinutesRetiresNoAgent(t *testing.T) {
 	is := is.New(t)
 	h := withTargets(6)
-	cut := slices.Clone(h.Agents()[:2]) // a third of the service
+	cut := slices.Clone(h.Agents()[:2]) // a third of the service's targets
 	for i := range cut {
 		h.do(silent(&cut[i]))
 	}
 	is.Equal(countState(h, table.Draining), 2)
 	for range 12 {
-		h.pass(time.Minute)
+		h.advance(time.Minute)
 		h.do(Command{Sweep: &Sweep{}})
-		is.Equal(countState(h, table.Retired), 0) // a retired number's flows are reset
+		is.Equal(countState(h, table.Retired), 0) // retiring a number resets its flows
 	}
 	for i, a := range cut {
 		back := announce("casework", i, 1)
--- a/internal/catalogue/size_test.go
+++ b/internal/catalogue/size_test.go
@@ -9,11 +9,12 @@
 	"bergamotstall/internal/distribution"
 )
 
-// sizes are hosts and services; the last is the letter's.
-var sizes = []struct{ hosts, services int }{{3_000, 525}, {6_000, 1_050}, {12_000, 2_100}}
+// clusterSizes are numbers of hosts and services; the last is the size that the system is
+// designed for.
+var clusterSizes = []struct{ hosts, services int }{{3_000, 525}, {6_000, 1_050}, {12_000, 2_100}}
 
-// fleet is a catalogue with hosts spread over services.
-func fleet(hosts, services int) *harness {
+// newFleet returns a catalogue with hosts spread evenly over services.
+func newFleet(hosts, services int) *harness {
 	var d Definition
 	for i := range services {
 		d.Services = append(d.Services, ServiceSpec{
@@ -40,20 +41,20 @@
 	return h
 }
 
-func forSizes(b *testing.B, run func(b *testing.B, h *harness)) {
-	for _, s := range sizes {
-		h := fleet(s.hosts, s.services)
+func forClusterSizes(b *testing.B, run func(b *testing.B, h *harness)) {
+	for _, s := range clusterSizes {
+		h := newFleet(s.hosts, s.services)
 		b.Run(fmt.Sprintf("hosts=%d", s.hosts), func(b *testing.B) { run(b, h) })
 	}
 }
 
-// BenchmarkTable measures building the table: time, allocations, encoded size
-// and the memory that it keeps.
+// BenchmarkTable measures building the table: time, allocations, encoded size and
+// retained memory.
 func BenchmarkTable(b *testing.B) {
-	forSizes(b, func(b *testing.B, h *harness) {
+	forClusterSizes(b, func(b *testing.B, h *harness) {
 		b.ReportAllocs()
 		for b.Loop() {
-			h.built = nil
+			h.cachedTable = nil
 			h.Table()
 		}
 		data, err := h.Table().MarshalMsg(nil)
@@ -61,18 +62,18 @@
 			b.Fatal(err)
 		}
 		b.ReportMetric(float64(len(data)), "encoded-B")
-		h.built = nil
-		before := heap()
+		h.cachedTable = nil
+		before := heapInUse()
 		kept := h.Table()
-		b.ReportMetric(float64(heap()-before), "kept-B")
+		b.ReportMetric(float64(heapInUse()-before), "kept-B")
 		runtime.KeepAlive(kept)
 	})
 }
 
-// BenchmarkTableAfterUpgrade measures the table after every agent was restarted
-// within one key window, as in a rolling upgrade: old numbers stay in it.
+// BenchmarkTableAfterUpgrade measures the table after a rolling upgrade that restarts
+// every agent within one key window, so that it also contains the old numbers.
 func BenchmarkTableAfterUpgrade(b *testing.B) {
-	forSizes(b, func(b *testing.B, h *harness) {
+	forClusterSizes(b, func(b *testing.B, h *harness) {
 		hosts := len(h.state.Agents)
 		for i := range hosts {
 			a := announcementOf(h, i)
@@ -81,7 +82,7 @@
 			h.log, h.answers = nil, nil
 		}
 		for b.Loop() {
-			h.built = nil
+			h.cachedTable = nil
 			h.Table()
 		}
 		data, err := h.Table().MarshalMsg(nil)
@@ -100,14 +101,14 @@
 	})
 }
 
-// BenchmarkState measures the memory that a replica's whole state keeps and the
-// size and cost of its snapshot.
+// BenchmarkState measures the memory of a replica's state, and the size and cost of its
+// snapshot.
 func BenchmarkState(b *testing.B) {
-	for _, s := range sizes {
+	for _, s := range clusterSizes {
 		b.Run(fmt.Sprintf("hosts=%d", s.hosts), func(b *testing.B) {
-			before := heap()
-			h := fleet(s.hosts, s.services)
-			kept := heap() - before
+			before := heapInUse()
+			h := newFleet(s.hosts, s.services)
+			kept := heapInUse() - before
 			var size int
 			for b.Loop() {
 				data, err := h.Snapshot()
@@ -123,16 +124,16 @@
 	}
 }
 
-func heap() int64 {
+func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkApply measures one command of each common kind.
+// BenchmarkApply measures a command of each common kind.
 func BenchmarkApply(b *testing.B) {
-	forSizes(b, func(b *testing.B, h *harness) {
+	forClusterSizes(b, func(b *testing.B, h *harness) {
 		n := 0
 		for _, k := range []struct {
 			name string
@@ -160,23 +161,23 @@
 	})
 }
 
-// BenchmarkLook measures what the control role asks of the state four times a
-// second, as the leader of nine VMs of which one has died.
-func BenchmarkLook(b *testing.B) {
-	forSizes(b, func(b *testing.B, h *harness) {
+// BenchmarkPeriodicReads measures the reads that the control role makes four times a
+// second, on a leader of nine control VMs that takes over the subscribers of another.
+func BenchmarkPeriodicReads(b *testing.B) {
+	forClusterSizes(b, func(b *testing.B, h *harness) {
 		for i := range h.state.Agents {
 			h.state.Agents[i].Via = fmt.Sprint("control-", i%9)
 		}
 		now := time.UnixMilli(h.nowMS)
 		for b.Loop() {
-			h.HeardVia(func(vm string) bool { return vm == "control-0" || vm == "control-1" })
-			h.BelievableSuspects(now)
+			h.LiveVia(func(vm string) bool { return vm == "control-0" || vm == "control-1" })
+			h.RemovableSuspects(now)
 			h.SweepDue(now)
 		}
 	})
 }
 
-// announcementOf repeats what one of the first agents announced.
+// announcementOf returns a new announcement of an existing agent.
 func announcementOf(h *harness, n int) distribution.Announcement {
 	a := &h.state.Agents[n%len(h.state.Agents)]
 	return distribution.Announcement{
--- a/internal/catalogue/state.go
+++ b/internal/catalogue/state.go
@@ -5,44 +5,44 @@
 	"bergamotstall/internal/table"
 )
 
-// The limits of decoding keep a forged length from claiming the memory of a
-// control VM; what the state may hold stays far under them.
+// The decoding limits prevent a forged length from exhausting the memory of a control
+// VM. The state's own limits are far lower.
 //
 //msgp:limit arrays:262144 maps:64
 
 //go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/catalogue/state.go -o ../internal/catalogue/state_gen.go -tests=false -io=false
 
-// Retention. Everything is bounded by count in log order, except that a retired
-// agent also goes by the state's clock.
+// Limits of the state. All apply by count in log order; retired agents also expire by
+// the state's clock.
 const (
-	// OutcomesKept bounds the outcomes kept for resends: more than three days
-	// of 1,100 changes a day, while a resend follows within minutes.
-	OutcomesKept = 4096
-	// AuditKept bounds the audit record of operators' commands: about a week.
-	// Control also logs each record as an event, for an archive of any length.
-	AuditKept = 8192
-	// maxAgents and maxBalancers bound what announces itself, at several times
-	// the size that the system is designed for.
+	// MaxOutcomes limits the outcomes kept for resends. It covers more than three days
+	// of 1,100 changes a day; a resend follows within minutes.
+	MaxOutcomes = 4096
+	// MaxAuditRecords limits the audit record of operators' commands to about a week.
+	// Control also logs each record as an event, which can be archived for longer.
+	MaxAuditRecords = 8192
+	// maxAgents and maxBalancers limit the registered processes, at several times the
+	// size that the system is designed for.
 	maxAgents    = 100_000
 	maxBalancers = 10_000
-	// FleetKept bounds the record of announcements and silences.
-	FleetKept = 2048
+	// MaxFleetRecords limits the record of announcements and silence reports.
+	MaxFleetRecords = 2048
 )
 
-// Stored is the whole state, as a snapshot holds it.
-type Stored struct {
+// State is the replicated state as a snapshot holds it.
+type State struct {
 	Version  uint64         `msg:"v"`
 	Revision table.Revision `msg:"r"`
-	// ClockMS is the state's clock, BeatMS the leader's last word on it.
+	// ClockMS is the state's clock, LastSweepMS its value at the last sweep.
 	ClockMS     int64             `msg:"t"`
-	BeatMS      int64             `msg:"tb"`
+	LastSweepMS int64             `msg:"tb"`
 	LastAgent   table.AgentNumber `msg:"la"`
 	LastService table.ServiceID   `msg:"ls"`
-	// Services in the operator's order.
+	// Services are in the operator's order.
 	Services []Service `msg:"s"`
 	Presets  []Preset  `msg:"p"`
 	InForce  string    `msg:"f"`
-	// Agents by number, so by age.
+	// Agents are ordered by number and so by age.
 	Agents    []Agent          `msg:"a"`
 	Balancers []BalancerRecord `msg:"b"`
 	// Drains are the drained hosts, sorted.
@@ -53,36 +53,36 @@
 	Fleet    []Record        `msg:"fl"`
 }
 
-// Service is a service with the ID that packets carry.
+// Service is a service and the ID by which packets name it.
 type Service struct {
 	ID   table.ServiceID `msg:"i"`
 	Spec ServiceSpec     `msg:"s"`
-	// KeysFromMS is the table's field of that name.
+	// KeysFromMS is table.Service.KeysFromMS.
 	KeysFromMS int64 `msg:"k,omitempty"`
 }
 
-// retiredKeptMS is how long the service's retired agents stay in the table, in
-// milliseconds: long enough for stateless resets and for package idempotency, whose
-// keepers they were.
-func (s *Service) retiredKeptMS() int64 {
+// retiredRetentionMS returns how long retired agents of the service stay in the table, in
+// milliseconds: long enough for stateless resets and for package idempotency, which asks
+// for the keys that they held.
+func (s *Service) retiredRetentionMS() int64 {
 	window := s.Spec.KeyWindow
 	if window <= 0 {
 		window = idempotency.DefaultWindow
 	}
-	return max(RetiredKept, window+idempotency.RowsKept).Milliseconds()
+	return max(RetiredRetention, window+idempotency.RowsKept).Milliseconds()
 }
 
-// Silence says what came of reports that a process is silent.
-type Silence uint8
+// Liveness is the state of a process after reports that it is silent.
+type Liveness uint8
 
 const (
-	// Heard processes are in touch.
-	Heard Silence = iota
-	// Suspect processes are silent, but too many are for silence to be believed;
-	// they stay in.
+	// Live processes are connected to a control VM.
+	Live Liveness = iota
+	// Suspect processes are silent but stay in service, because too many others of
+	// their group are silent too.
 	Suspect
-	// Out processes are silent and get no new work.
-	Out
+	// OutOfService processes are silent and get no new work.
+	OutOfService
 )
 
 // Agent is one incarnation of an agent.
@@ -91,7 +91,8 @@
 	Service     table.ServiceID   `msg:"s"`
 	Name        string            `msg:"n"`
 	Incarnation uint64            `msg:"i"`
-	// Attachment is the highest announced; what has a lower one is void.
+	// Attachment is the highest announced number of a stream; announcements and reports
+	// with a lower one are outdated.
 	Attachment  uint64 `msg:"at"`
 	Host        string `msg:"h"`
 	DataCentre  string `msg:"d"`
@@ -99,63 +100,64 @@
 	Peer        string `msg:"p"`
 	Slots       int    `msg:"l"`
 	Connections int    `msg:"c"`
-	// Leaving is set by an agent that is about to stop.
+	// Leaving is set once the agent announces its stop.
 	Leaving bool `msg:"x,omitempty"`
-	// Via is the control VM that the agent's stream ends at.
-	Via            string  `msg:"v"`
-	Weight         uint32  `msg:"w"`
-	PreviousWeight uint32  `msg:"pw"`
-	ChangedAtMS    int64   `msg:"m"`
-	JoinedAtMS     int64   `msg:"j"`
-	Silence        Silence `msg:"q,omitempty"`
-	SilentAtMS     int64   `msg:"qt,omitempty"`
-	// Retired agents keep their number and get nothing.
+	// Via is the control VM that the agent is connected to.
+	Via            string   `msg:"v"`
+	Weight         uint32   `msg:"w"`
+	PreviousWeight uint32   `msg:"pw"`
+	ChangedAtMS    int64    `msg:"m"`
+	JoinedAtMS     int64    `msg:"j"`
+	Liveness       Liveness `msg:"q,omitempty"`
+	SilentAtMS     int64    `msg:"qt,omitempty"`
+	// Retired agents keep their number and get no packets.
 	Retired     bool  `msg:"z,omitempty"`
 	RetiredAtMS int64 `msg:"zt,omitempty"`
-	// Replaced agents were retired by a later incarnation and can't come back.
+	// Replaced agents were retired for a later incarnation and can't return.
 	Replaced bool `msg:"y,omitempty"`
 }
 
-// BalancerRecord is one balancer as it announced itself.
+// BalancerRecord is a registered balancer.
 type BalancerRecord struct {
-	Name        string  `msg:"n"`
-	Incarnation uint64  `msg:"i"`
-	Attachment  uint64  `msg:"at"`
-	DataCentre  string  `msg:"d"`
-	Tunnel      string  `msg:"t"`
-	Via         string  `msg:"v"`
-	Silence     Silence `msg:"q,omitempty"`
-	SilentAtMS  int64   `msg:"qt,omitempty"`
+	Name        string   `msg:"n"`
+	Incarnation uint64   `msg:"i"`
+	Attachment  uint64   `msg:"at"`
+	DataCentre  string   `msg:"d"`
+	Tunnel      string   `msg:"t"`
+	Via         string   `msg:"v"`
+	Liveness    Liveness `msg:"q,omitempty"`
+	SilentAtMS  int64    `msg:"qt,omitempty"`
 }
 
 // KeyRecord is one generation of the cluster keys.
 type KeyRecord struct {
 	Set table.KeySet `msg:"s"`
-	// PreparedAt is the table's revision that first carried the generation.
+	// PreparedAt is the first table revision that contains the generation.
 	PreparedAt table.Revision `msg:"p"`
-	// SignsSinceMS is when the generation began to sign, 0 before.
+	// SignsSinceMS is when the generation started to sign; 0 if it hasn't yet.
 	SignsSinceMS int64 `msg:"m"`
 }
 
-// OutcomeRecord remembers a command by its identity.
+// OutcomeRecord is the recorded outcome of a command ID.
 type OutcomeRecord struct {
 	ID          string  `msg:"i"`
 	Fingerprint []byte  `msg:"f"`
 	Outcome     Outcome `msg:"o"`
 }
 
-// Record is one line of the audit record.
+// Record is one entry of the audit or fleet record.
 type Record struct {
-	// Index is the command's place in the log.
+	// Index is the command's index in the log.
 	Index uint64 `msg:"i"`
 	AtMS  int64  `msg:"t"`
-	// Who is the operator or the announcing process.
+	// Who is the operator, the process that announced itself, or the control VM that
+	// reported a silent process.
 	Who string `msg:"w"`
-	// Via is the control VM that took the command.
+	// Via is the control VM that proposed the command.
 	Via  string `msg:"v"`
 	ID   string `msg:"c,omitempty"`
 	What string `msg:"a"`
-	// Code and Outcome tell how it ended.
+	// Code and Outcome are the result of the command.
 	Code    Code   `msg:"r"`
 	Outcome string `msg:"o"`
 	Version uint64 `msg:"n"`
--- a/internal/catalogue/state_gen.go
+++ b/internal/catalogue/state_gen.go
@@ -23,7 +23,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x800
 	}
-	if z.Silence == 0 {
+	if z.Liveness == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x20000
 	}
@@ -112,7 +112,7 @@
 		if (zb0001Mask & 0x20000) == 0 { // if not omitted
 			// string "q"
 			o = append(o, 0xa1, 0x71)
-			o = msgp.AppendUint8(o, uint8(z.Silence))
+			o = msgp.AppendUint8(o, uint8(z.Liveness))
 		}
 		if (zb0001Mask & 0x40000) == 0 { // if not omitted
 			// string "qt"
@@ -267,10 +267,10 @@
 				var zb0002 uint8
 				zb0002, bts, err = msgp.ReadUint8Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Silence")
+					err = msgp.WrapError(err, "Liveness")
 					return
 				}
-				z.Silence = Silence(zb0002)
+				z.Liveness = Liveness(zb0002)
 			}
 		case "qt":
 			z.SilentAtMS, bts, err = msgp.ReadInt64Bytes(bts)
@@ -321,7 +321,7 @@
 	zb0001Len := uint32(8)
 	var zb0001Mask uint8 /* 8 bits */
 	_ = zb0001Mask
-	if z.Silence == 0 {
+	if z.Liveness == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x40
 	}
@@ -355,7 +355,7 @@
 		if (zb0001Mask & 0x40) == 0 { // if not omitted
 			// string "q"
 			o = append(o, 0xa1, 0x71)
-			o = msgp.AppendUint8(o, uint8(z.Silence))
+			o = msgp.AppendUint8(o, uint8(z.Liveness))
 		}
 		if (zb0001Mask & 0x80) == 0 { // if not omitted
 			// string "qt"
@@ -429,10 +429,10 @@
 				var zb0002 uint8
 				zb0002, bts, err = msgp.ReadUint8Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Silence")
+					err = msgp.WrapError(err, "Liveness")
 					return
 				}
-				z.Silence = Silence(zb0002)
+				z.Liveness = Liveness(zb0002)
 			}
 		case "qt":
 			z.SilentAtMS, bts, err = msgp.ReadInt64Bytes(bts)
@@ -540,6 +540,34 @@
 	return
 }
 
+// MarshalMsg implements msgp.Marshaler
+func (z Liveness) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	o = msgp.AppendUint8(o, uint8(z))
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Liveness) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	{
+		var zb0001 uint8
+		zb0001, bts, err = msgp.ReadUint8Bytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		(*z) = Liveness(zb0001)
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z Liveness) Msgsize() (s int) {
+	s = msgp.Uint8Size
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
 func (z *OutcomeRecord) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -879,35 +907,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Silence) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	o = msgp.AppendUint8(o, uint8(z))
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Silence) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	{
-		var zb0001 uint8
-		zb0001, bts, err = msgp.ReadUint8Bytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		(*z) = Silence(zb0001)
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Silence) Msgsize() (s int) {
-	s = msgp.Uint8Size
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Stored) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *State) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 16
 	// string "v"
@@ -925,7 +925,7 @@
 	o = msgp.AppendInt64(o, z.ClockMS)
 	// string "tb"
 	o = append(o, 0xa2, 0x74, 0x62)
-	o = msgp.AppendInt64(o, z.BeatMS)
+	o = msgp.AppendInt64(o, z.LastSweepMS)
 	// string "la"
 	o = append(o, 0xa2, 0x6c, 0x61)
 	o, err = z.LastAgent.MarshalMsg(o)
@@ -1083,7 +1083,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Stored) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *State) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1123,9 +1123,9 @@
 				return
 			}
 		case "tb":
-			z.BeatMS, bts, err = msgp.ReadInt64Bytes(bts)
+			z.LastSweepMS, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "BeatMS")
+				err = msgp.WrapError(err, "LastSweepMS")
 				return
 			}
 		case "la":
@@ -1499,7 +1499,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Stored) Msgsize() (s int) {
+func (z *State) Msgsize() (s int) {
 	s = 3 + 2 + msgp.Uint64Size + 2 + z.Revision.Msgsize() + 2 + msgp.Int64Size + 3 + msgp.Int64Size + 3 + z.LastAgent.Msgsize() + 3 + z.LastService.Msgsize() + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Services {
 		s += 1 + 2 + z.Services[za0001].ID.Msgsize() + 2 + z.Services[za0001].Spec.Msgsize() + 2 + msgp.Int64Size
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -191,7 +191,7 @@
 
 func (s *Server) command(ctx context.Context, frame framing.Frame, name string) (framing.Kind, msgp.Marshaler) {
 	var cmd catalogue.Command
-	if err := frame.Decode(&cmd); err != nil || !cmd.Operators() {
+	if err := frame.Decode(&cmd); err != nil || !cmd.FromOperator() {
 		return kindFailure, s.failure(Malformed, "the command can't be read, or isn't an operator's")
 	}
 	if name != "" {
--- a/internal/operator/view.go
+++ b/internal/operator/view.go
@@ -53,13 +53,13 @@
 		return "retired", "a later incarnation has its place"
 	case a.Retired:
 		return "retired", "silent"
-	case a.Silence == catalogue.Out:
+	case a.Liveness == catalogue.OutOfService:
 		return "draining", "silent"
 	case drained:
 		return "draining", "host drained"
 	case a.Leaving:
 		return "draining", "agent is stopping"
-	case a.Silence == catalogue.Suspect:
+	case a.Liveness == catalogue.Suspect:
 		return "active", "silent, but too much of the service is"
 	}
 	return "active", ""
@@ -72,10 +72,10 @@
 	var out []Balancer
 	for _, b := range c.Balancers() {
 		state := "live"
-		switch b.Silence {
+		switch b.Liveness {
 		case catalogue.Suspect:
 			state = "suspect"
-		case catalogue.Out:
+		case catalogue.OutOfService:
 			state = stateOut
 		}
 		out = append(out, Balancer{Name: b.Name, DataCentre: b.DataCentre, Tunnel: b.Tunnel, Via: b.Via, State: state})
