--- a/control/failure_test.go
+++ b/control/failure_test.go
@@ -116,7 +116,7 @@
 	_, err = client(leader).Read(t.Context(), operator.PartSummary)
 	is.True(errors.As(err, &lost))
 	var failure *operator.Failure
-	is.True(errors.As(lost.Tries[0].Err, &failure))
+	is.True(errors.As(lost.Attempts[0].Err, &failure))
 	is.Equal(failure.Code, operator.NoQuorum)
 
 	rest := c.others(leader)
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -20,26 +20,27 @@
 )
 
 const (
-	dialLimit = 2 * time.Second
-	// defaultPatience exceeds the server's answerLimit.
-	defaultPatience = answerLimit + 2*time.Second
+	dialTimeout = 2 * time.Second
+	// defaultAnswerTimeout exceeds the server's requestTimeout, so that a VM without a
+	// quorum can reply that it has none.
+	defaultAnswerTimeout = requestTimeout + 2*time.Second
 )
 
 // ErrNoAddress is returned by a client without any control address.
 var ErrNoAddress = errors.New("operator: no control address given")
 
-// Unreachable tells that no control VM answered. A command may still have been
-// accepted by one whose answer was lost: sent again under its identity, it
-// brings the first outcome.
+// Unreachable is returned if no control VM replied. A command may have been accepted
+// although its reply was lost; if it is sent again under its ID, it returns the first
+// outcome.
 type Unreachable struct {
-	// Tries has what happened at each address.
-	Tries []Try
-	// ID is the command's identity; empty for a read.
+	// Attempts has the error of each address.
+	Attempts []Attempt
+	// ID is the command's ID; empty for a read.
 	ID string
 }
 
-// Try is one address that gave no answer.
-type Try struct {
+// Attempt is a failed request to one address.
+type Attempt struct {
 	Address string
 	Err     error
 }
@@ -47,8 +48,8 @@
 func (e *Unreachable) Error() string {
 	var b strings.Builder
 	b.WriteString("no control VM answered")
-	for _, t := range e.Tries {
-		fmt.Fprintf(&b, "; %s: %v", t.Address, t.Err)
+	for _, a := range e.Attempts {
+		fmt.Fprintf(&b, "; %s: %v", a.Address, a.Err)
 	}
 	if e.ID != "" {
 		fmt.Fprintf(&b, "; the command may have been accepted: send it again with -command-id %s", e.ID)
@@ -56,69 +57,69 @@
 	return b.String()
 }
 
-// Client asks control VMs, each in turn until one answers.
+// Client sends requests to control VMs, one VM after the other until one replies.
 type Client struct {
 	// Addresses are the control VMs' operator addresses, "ip:port".
 	Addresses []string
-	// TLS is nil only in tests and the demo.
+	// TLS may be nil in tests and the demo only.
 	TLS *tls.Config
-	// Operator is the name used without TLS.
+	// Operator is the operator's name, used only without TLS.
 	Operator string
-	// Patience bounds the wait for one VM's answer; 0 means six seconds, so that
-	// a VM without a quorum gets to say so.
-	Patience time.Duration
+	// AnswerTimeout limits the wait for one VM's reply. 0 means 6 s, which lets a VM
+	// without a quorum reply that it has none.
+	AnswerTimeout time.Duration
 }
 
-// NewCommandID returns a fresh identity for a command.
+// NewCommandID returns a new random command ID.
 func NewCommandID() string {
 	var b [12]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// Command runs an operator's command. The error is the outcome's typed error,
-// or Unreachable.
+// Command runs an operator's command. The error is the outcome's typed error, an
+// *Unreachable, or the *Failure of a VM.
 func (c *Client) Command(ctx context.Context, cmd catalogue.Command) (catalogue.Outcome, error) {
 	if cmd.ID == "" {
 		cmd.ID = NewCommandID()
 	}
 	cmd.Operator = c.Operator
 	var out catalogue.Outcome
-	if err := c.anyOf(ctx, cmd.ID, kindCommand, &cmd, kindOutcome, &out); err != nil {
+	if err := c.askInTurn(ctx, cmd.ID, kindCommand, &cmd, kindOutcome, &out); err != nil {
 		return catalogue.Outcome{}, err
 	}
 	return out, out.Err()
 }
 
-// Read returns one part of the catalogue as of now.
+// Read returns one part of the current catalogue.
 func (c *Client) Read(ctx context.Context, part Part) (*View, error) {
 	var v View
-	err := c.anyOf(ctx, "", kindRead, &Read{Part: part}, kindView, &v)
+	err := c.askInTurn(ctx, "", kindRead, &Read{Part: part}, kindView, &v)
 	return &v, err
 }
 
-// ChangeMembers changes the control VMs.
+// ChangeMembers removes or replaces a control VM.
 func (c *Client) ChangeMembers(ctx context.Context, change MembersChange) (LocalStatus, error) {
 	change.Operator = c.Operator
 	var out LocalStatus
-	err := c.anyOf(ctx, "", kindMembers, &change, kindLocalStatus, &out)
+	err := c.askInTurn(ctx, "", kindMembers, &change, kindLocalStatus, &out)
 	return out, err
 }
 
-// Local asks one VM for what it knows by itself.
+// Local returns the local status of one VM.
 func (c *Client) Local(ctx context.Context, address string) (LocalStatus, error) {
 	var out LocalStatus
 	err := c.ask(ctx, address, kindLocal, &LocalRequest{}, kindLocalStatus, &out)
 	return out, err
 }
 
-// anyOf asks each address in turn. A VM that has no quorum or is busy is passed
-// over like one that is down; any other failure is the answer.
-func (c *Client) anyOf(ctx context.Context, id string, kind framing.Kind, request msgp.Marshaler, want framing.Kind, out msgp.Unmarshaler) error {
+// askInTurn sends the request to one address after the other. It skips a VM that is down,
+// busy or without a quorum; any other failure is returned.
+func (c *Client) askInTurn(ctx context.Context, id string, kind framing.Kind, request msgp.Marshaler, want framing.Kind, out msgp.Unmarshaler) error {
 	if len(c.Addresses) == 0 {
 		return ErrNoAddress
 	}
-	lost := &Unreachable{ID: id}
+	unreachable := &Unreachable{ID: id}
 	for _, address := range c.Addresses {
 		err := c.ask(ctx, address, kind, request, want, out)
 		if err == nil {
@@ -128,12 +129,12 @@
 		if errors.As(err, &failure) && failure.Code != NoQuorum && failure.Code != Busy {
 			return err
 		}
-		lost.Tries = append(lost.Tries, Try{Address: address, Err: err})
+		unreachable.Attempts = append(unreachable.Attempts, Attempt{Address: address, Err: err})
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return lost
+	return unreachable
 }
 
 // ask sends one request to one VM.
@@ -145,28 +146,29 @@
 	defer raw.Close()
 	stop := context.AfterFunc(ctx, func() { raw.Close() })
 	defer stop()
-	conn := framing.NewConn(raw, frameLimit, writeTimeout)
+	conn := framing.NewConn(raw, maxFrameSize, writeTimeout)
 	if _, err := conn.Write(kind, request); err != nil {
 		return errors.Wrap(err, "send")
 	}
-	if err := raw.SetReadDeadline(time.Now().Add(cmp.Or(c.Patience, defaultPatience))); err != nil {
+	if err := raw.SetReadDeadline(time.Now().Add(cmp.Or(c.AnswerTimeout, defaultAnswerTimeout))); err != nil {
 		return errors.Wrap(err, "deadline")
 	}
 	frame, err := conn.Read()
 	if err != nil {
-		return noAnswer(address, err)
+		return readError(address, err)
 	}
 	return decodeReply(frame, want, out)
 }
 
-// remoteError is the operation of a net.OpError that holds a peer's TLS alert.
-const remoteError = "remote error"
+// remoteErrorOp is the Op of a net.OpError that holds a peer's TLS alert.
+const remoteErrorOp = "remote error"
 
-// noAnswer tells a VM that refused the certificate from one that is silent: the
-// client's half of a TLS 1.3 handshake ends before the server has judged it.
-func noAnswer(address string, err error) error {
+// readError returns a Denied failure if the VM refused the certificate. In TLS 1.3 the
+// client's handshake ends before the server has verified the client's certificate, so the
+// refusal arrives with the first read.
+func readError(address string, err error) error {
 	var op *net.OpError
-	if errors.As(err, &op) && op.Op == remoteError {
+	if errors.As(err, &op) && op.Op == remoteErrorOp {
 		return &Failure{Code: Denied, Text: "the certificate was refused: " + err.Error(), VM: address}
 	}
 	return errors.Wrap(err, "no answer")
@@ -186,10 +188,10 @@
 	return errors.Errorf("operator: reply of kind %d, expected %d", frame.Kind, want)
 }
 
-// dial connects and, with TLS, checks that the VM's certificate is a control
-// VM's at that address.
+// dial connects to a VM. With TLS it checks that the certificate belongs to a control VM
+// at that address.
 func (c *Client) dial(ctx context.Context, address string) (net.Conn, error) {
-	within, cancel := context.WithTimeout(ctx, dialLimit)
+	within, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	raw, err := new(net.Dialer).DialContext(within, "tcp", address)
 	if err != nil || c.TLS == nil {
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -12,45 +12,44 @@
 	"bergamotstall/internal/table"
 )
 
-// Fleet is what the given control VMs know together. A VM learns the revision
-// of a subscriber only from the subscriber's own stream, and the streams are
-// spread over all VMs; so the operator's tool asks every VM and merges. The
-// ways weighed: acknowledgements through the log (13,200 subscribers would
-// write an entry each per change), and VMs that exchange summaries (one more
-// protocol, for an answer that is wanted a few times a day).
+// Fleet is the merged status of the given control VMs. A VM knows the acknowledged
+// revision only of its own subscribers, so the client asks every VM and merges the
+// replies. The alternatives cost more: acknowledgements through the log would write an
+// entry per change for each of 13,200 subscribers, and an exchange of summaries between
+// VMs would need another protocol for a query that is made a few times a day.
 type Fleet struct {
 	VMs []VMStatus `json:"vms"`
-	// Balancers are those that the catalogue knows, each with its newest word.
+	// Balancers are the registered balancers, each with its newest report.
 	Balancers []BalancerStatus `json:"balancers"`
-	// View is the catalogue's summary as of now; nil where no quorum answered.
+	// View is the catalogue's current summary; nil if no quorum answered.
 	View *View `json:"current,omitempty"`
-	// NoQuorum says why there is no View.
+	// NoQuorum is the reason why there is no View.
 	NoQuorum string `json:"noQuorum,omitempty"`
 }
 
-// VMStatus is one control VM's word, or why there is none.
+// VMStatus is the status of one control VM, or the error that it couldn't be read with.
 type VMStatus struct {
 	Address string       `json:"address"`
 	Local   *LocalStatus `json:"local,omitempty"`
 	Err     string       `json:"error,omitempty"`
 }
 
-// BalancerStatus is one balancer's place in the distribution.
+// BalancerStatus is a balancer with the table revision that it has acknowledged.
 type BalancerStatus struct {
 	Balancer
-	// Heard is false where no asked VM has the balancer's stream.
+	// Heard is false if the balancer is connected to none of the asked VMs.
 	Heard bool `json:"heard"`
-	// Revision is the newest that it acknowledged, AgeMS how old that word is.
+	// Revision is the newest revision that it acknowledged, AgeMS the age of this report.
 	Revision table.Revision `json:"revision"`
 	AgeMS    int64          `json:"ageMs"`
 }
 
-// Fleet asks every VM at once and merges their words.
+// Fleet asks all VMs in parallel and merges their replies.
 func (c *Client) Fleet(ctx context.Context) *Fleet {
 	f := &Fleet{VMs: make([]VMStatus, len(c.Addresses))}
-	var asked sync.WaitGroup
+	var running sync.WaitGroup
 	for i, address := range c.Addresses {
-		asked.Go(func() {
+		running.Go(func() {
 			f.VMs[i] = VMStatus{Address: address}
 			local, err := c.Local(ctx, address)
 			if err != nil {
@@ -60,34 +59,34 @@
 			f.VMs[i].Local = &local
 		})
 	}
-	asked.Wait()
+	running.Wait()
 	view, err := c.Read(ctx, PartFleetState)
 	if err != nil {
 		f.NoQuorum = err.Error()
 		return f
 	}
 	f.View = view
-	words := f.newest()
+	reports := f.newestReports()
 	for _, b := range view.Balancers {
-		word, heard := words[subject{distribution.RoleBalancer.String(), b.Name}]
-		f.Balancers = append(f.Balancers, BalancerStatus{Balancer: b, Heard: heard, Revision: word.Revision, AgeMS: word.AgeMS})
+		report, found := reports[subscriberKey{distribution.RoleBalancer.String(), b.Name}]
+		f.Balancers = append(f.Balancers, BalancerStatus{Balancer: b, Heard: found, Revision: report.Revision, AgeMS: report.AgeMS})
 	}
 	return f
 }
 
-// subject is a subscriber, whichever VM its stream ends at.
-type subject struct{ role, name string }
+// subscriberKey identifies a subscriber on any control VM.
+type subscriberKey struct{ role, name string }
 
-// newest finds each subscriber's newest word among the VMs'. One that moved may
-// still stand in its old VM's list for a while.
-func (f *Fleet) newest() map[subject]Subscriber {
-	out := make(map[subject]Subscriber)
+// newestReports returns each subscriber's newest report. A subscriber that moved to
+// another VM may stay in its old VM's list for a while.
+func (f *Fleet) newestReports() map[subscriberKey]Subscriber {
+	out := make(map[subscriberKey]Subscriber)
 	for _, vm := range f.VMs {
 		if vm.Local == nil {
 			continue
 		}
 		for _, s := range vm.Local.Subscribers {
-			k := subject{s.Role, s.Name}
+			k := subscriberKey{s.Role, s.Name}
 			if known, ok := out[k]; !ok || s.AgeMS < known.AgeMS {
 				out[k] = s
 			}
@@ -96,14 +95,14 @@
 	return out
 }
 
-// Behind names everyone who may not have the revision: live balancers, attached
-// agents, and control VMs that gave no word, whose subscribers aren't known.
+// Behind names all processes that may not have the revision yet: live balancers, connected
+// agents, and control VMs that didn't reply, since their subscribers are unknown.
 func (f *Fleet) Behind(revision table.Revision) []string {
 	var out []string
 	for _, b := range f.Lagging(revision) {
 		out = append(out, "balancer "+b.Name)
 	}
-	for k, s := range f.newest() {
+	for k, s := range f.newestReports() {
 		if k.role == distribution.RoleAgent.String() && s.Revision < revision {
 			out = append(out, "agent "+k.name)
 		}
@@ -118,7 +117,7 @@
 }
 
 // Prepared returns the revision that first carried the prepared generation of
-// the cluster keys; false where none is prepared.
+// the cluster keys; false if none is prepared.
 func (f *Fleet) Prepared() (table.Revision, bool) {
 	if f.View == nil {
 		return 0, false
@@ -142,7 +141,7 @@
 	return out
 }
 
-// Live counts the balancers that control takes to be alive.
+// Live returns the number of balancers that control considers live.
 func (f *Fleet) Live() int {
 	n := 0
 	for _, b := range f.Balancers {
@@ -153,28 +152,28 @@
 	return n
 }
 
-// ErrLagging is returned where balancers haven't acknowledged a revision in time.
+// ErrLagging is returned if balancers haven't acknowledged a revision in time.
 var ErrLagging = errors.New("operator: not in force on every balancer yet")
 
-// waitStep is the pause between two looks at the fleet.
-const waitStep = 50 * time.Millisecond
+// fleetPollInterval is the pause between two reads of the fleet's status.
+const fleetPollInterval = 50 * time.Millisecond
 
 // WaitInForce returns once every live balancer has acknowledged the revision.
-// When ctx ends first, it returns ErrLagging and the last look at the fleet.
+// If ctx ends first, it returns ErrLagging and the last status of the fleet.
 func (c *Client) WaitInForce(ctx context.Context, revision table.Revision) (*Fleet, error) {
 	last := &Fleet{NoQuorum: "not asked"}
 	for {
-		f := c.Fleet(ctx)
-		if f.View != nil {
-			last = f
-			if len(f.Lagging(revision)) == 0 {
-				return f, nil
+		fleet := c.Fleet(ctx)
+		if fleet.View != nil {
+			last = fleet
+			if len(fleet.Lagging(revision)) == 0 {
+				return fleet, nil
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return last, ErrLagging
-		case <-time.After(waitStep):
+		case <-time.After(fleetPollInterval):
 		}
 	}
 }
--- a/internal/operator/messages.go
+++ b/internal/operator/messages.go
@@ -1,9 +1,9 @@
-// Package operator is the protocol between bergamotctl and control VMs: framed
-// msgpack over TCP, one request at a time on a connection. Changes go through
-// the replicated log under a command identity, so that a client that lost the
-// answer asks another VM for it. Reads go through the log's barrier; a VM that
-// can't reach a quorum says so and answers nothing as current. Only the local
-// status is answered without a quorum, and says how old its word is.
+// Package operator implements the protocol between bergamotctl and control VMs: framed
+// msgpack over TCP, with one request at a time on a connection. Changes go through the
+// replicated log under a command ID, so that a client that lost the reply can ask another
+// VM for the outcome. Reads wait for the log's barrier; a VM without a quorum returns an
+// error instead of outdated state. Only the local status is available without a quorum;
+// it contains the time since the last contact with one.
 package operator
 
 import (
@@ -16,7 +16,7 @@
 
 //go:generate env GOWORK=off go -C ../../tools tool msgp -file ../internal/operator/messages.go -o ../internal/operator/messages_gen.go -tests=false -io=false
 
-// Requests and replies.
+// Frame kinds of requests and replies.
 const (
 	kindCommand framing.Kind = iota + 1
 	kindRead
@@ -29,56 +29,58 @@
 )
 
 const (
-	// frameLimit bounds a reply. The targets of 12,000 hosts take 3 MiB.
-	frameLimit = 16 << 20
-	// requestLimit bounds a request: the log's bound on a command and a little.
-	requestLimit = 4<<20 + 4<<10
+	// maxFrameSize limits a reply, in bytes. The targets of 12,000 hosts take 3 MiB.
+	maxFrameSize = 16 << 20
+	// maxRequestSize limits a request, in bytes: the log's limit for a command, plus the
+	// rest of the request.
+	maxRequestSize = 4<<20 + 4<<10
 )
 
-// FailureCode says why a VM gave no answer.
+// FailureCode is the reason why a VM didn't run a request.
 type FailureCode uint8
 
 const (
-	// NoQuorum: the VM couldn't reach a majority in time. Another may.
+	// NoQuorum: the VM couldn't reach a majority in time. Another VM may.
 	NoQuorum FailureCode = iota + 1
 	// Denied: the certificate's role doesn't allow the request.
 	Denied
-	// Malformed: the VM couldn't read the request.
+	// Malformed: the VM couldn't decode the request.
 	Malformed
-	// MembersRefused: the change of members isn't possible now.
+	// MembersRefused: the change of the control VMs isn't possible now.
 	MembersRefused
-	// Busy: the VM has too much to do; another may have less.
+	// Busy: too many requests wait at the VM; another VM may accept the request.
 	Busy
-	// TooLarge: the command is over the log's bound.
+	// TooLarge: the command exceeds the log's limit.
 	TooLarge
 )
 
-// Failure is a VM's reply in place of an answer.
+// Failure is a VM's reply to a request that it didn't run.
 type Failure struct {
 	Code FailureCode `msg:"c"`
 	Text string      `msg:"t"`
-	// VM names who replies.
+	// VM names the control VM that replies.
 	VM string `msg:"v"`
 }
 
 // Error implements error.
 func (f *Failure) Error() string { return "control VM " + f.VM + ": " + f.Text }
 
-// Part picks what a read returns.
+// Part selects what a read returns.
 type Part uint8
 
 const (
-	// PartSummary is version, revision and preset in force; always there.
+	// PartSummary is the version, the revision and the preset in force, which every view
+	// contains.
 	PartSummary Part = iota + 1
-	// PartServices are services and presets.
+	// PartServices adds the services and presets.
 	PartServices
-	// PartTargets are targets and drained hosts.
+	// PartTargets adds the targets and drained hosts.
 	PartTargets
-	// PartAudit is the audit record of operators' commands.
+	// PartAudit adds the audit record of operators' commands.
 	PartAudit
-	// PartFleet is the record of announcements and silences.
+	// PartFleet adds the record of announcements and silence reports.
 	PartFleet
-	// PartFleetState are balancers and key generations.
+	// PartFleetState adds the balancers and key generations.
 	PartFleetState
 )
 
@@ -87,7 +89,7 @@
 	Part Part `msg:"p"`
 }
 
-// View is the answer to a Read: what the catalogue held at the barrier.
+// View is the reply to a Read: the catalogue's state after the barrier.
 type View struct {
 	VM       string              `msg:"vm" json:"vm"`
 	Version  uint64              `msg:"v" json:"version"`
@@ -97,7 +99,7 @@
 	Presets  []catalogue.Preset  `msg:"p,omitempty" json:"presets,omitempty"`
 	Targets  []Target            `msg:"t,omitempty" json:"targets,omitempty"`
 	Drains   []string            `msg:"d,omitempty" json:"drains,omitempty"`
-	// Records are the audit record's or the fleet's, oldest first.
+	// Records are the entries of the audit record or the fleet record, oldest first.
 	Records   []catalogue.Record `msg:"a,omitempty" json:"records,omitempty"`
 	Balancers []Balancer         `msg:"b,omitempty" json:"balancers,omitempty"`
 	Keys      []KeyGeneration    `msg:"k,omitempty" json:"keys,omitempty"`
@@ -109,7 +111,7 @@
 	Host       string            `msg:"h" json:"host"`
 	DataCentre string            `msg:"d" json:"dataCentre"`
 	Agent      table.AgentNumber `msg:"g" json:"agent"`
-	// State is active, draining or retired; Why says what made it so.
+	// State is active, draining or retired; Why is the reason.
 	State       string `msg:"x" json:"state"`
 	Why         string `msg:"y,omitempty" json:"why,omitempty"`
 	Weight      uint32 `msg:"w" json:"weight"`
@@ -142,10 +144,10 @@
 type MemberAction uint8
 
 const (
-	// RemoveMember takes a VM out for good.
+	// RemoveMember removes a VM permanently.
 	RemoveMember MemberAction = iota + 1
-	// ReplaceMember lets the fresh replica that waits under a VM's name take the
-	// place of the one whose disk was lost.
+	// ReplaceMember replaces a VM whose disk was lost by the new replica that waits to
+	// join under the same name.
 	ReplaceMember
 )
 
@@ -160,25 +162,25 @@
 	return "unknown"
 }
 
-// MembersChange asks for one change of the control VMs. A new VM needs none: it
-// asks its peers to be taken in.
+// MembersChange requests a change of the control VMs. A new VM needs no such request: it
+// asks its peers to join.
 type MembersChange struct {
 	Action MemberAction `msg:"a"`
-	// Name is the VM's.
+	// Name is the name of the VM to change.
 	Name     string `msg:"n"`
 	Operator string `msg:"w,omitempty"`
 }
 
-// LocalRequest asks a VM what it knows by itself.
+// LocalRequest asks for a VM's local status.
 type LocalRequest struct{}
 
-// LocalStatus is what one control VM knows without asking the others.
+// LocalStatus is what a control VM knows without contacting the others.
 type LocalStatus struct {
 	VM         string `msg:"vm" json:"vm"`
 	DataCentre string `msg:"d" json:"dataCentre"`
-	// Leader names the VM that this one follows; empty where it knows none.
+	// Leader names the VM that this one follows; empty if it knows no leader.
 	Leader string `msg:"l" json:"leader"`
-	// ContactAgeMS is how long ago this VM was in touch with a quorum.
+	// ContactAgeMS is the time since this VM's last contact with a quorum.
 	ContactAgeMS int64          `msg:"c" json:"contactAgeMs"`
 	Version      uint64         `msg:"v" json:"version"`
 	Revision     table.Revision `msg:"r" json:"revision"`
@@ -190,28 +192,29 @@
 // Replica is one control VM as another sees it.
 type Replica struct {
 	Name string `msg:"n" json:"name"`
-	// ID is the identity that the data folder carries.
+	// ID is the replica's identity, stored in its data folder.
 	ID      string `msg:"i" json:"id"`
 	Address string `msg:"a" json:"address"`
 	// Role is voter or learner.
 	Role string `msg:"r" json:"role"`
-	// Lag is how many log entries it is behind; only the leader knows, others
+	// Lag is how many log entries it is behind. Only the leader knows this; other VMs
 	// report -1.
 	Lag int64 `msg:"l" json:"lag"`
-	// SilentMS is how long the leader has heard nothing of it; -1 if unknown.
+	// SilentMS is the time since the leader last received a message from it; -1 if
+	// unknown.
 	SilentMS int64 `msg:"s" json:"silentMs"`
 }
 
-// RoleVoter is the role of replicas that count for the quorum.
+// RoleVoter is the role of the replicas that count towards the quorum.
 const RoleVoter = "voter"
 
-// Subscriber is a balancer or agent whose stream ends at a control VM.
+// Subscriber is a balancer or agent that is connected to a control VM.
 type Subscriber struct {
 	Name string `msg:"n" json:"name"`
 	// Role is balancer or agent.
 	Role string `msg:"r" json:"role"`
-	// Revision is the last one that it acknowledged.
+	// Revision is the last table revision that it acknowledged.
 	Revision table.Revision `msg:"v" json:"revision"`
-	// AgeMS is how long ago it was last heard.
+	// AgeMS is the time since its last message.
 	AgeMS int64 `msg:"a" json:"ageMs"`
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -19,7 +19,7 @@
 	"bergamotstall/internal/metrics"
 )
 
-// fakeLog is the replicated log that fake control VMs share.
+// fakeLog is the replicated log that the fake control VMs share.
 type fakeLog struct {
 	mu      sync.Mutex
 	index   uint64
@@ -31,8 +31,9 @@
 	log      *fakeLog
 	noQuorum bool
 	local    LocalStatus
-	// hold, where set, keeps Submit until it is closed; held tells of it.
-	hold, held chan struct{}
+	// blockSubmit, if set, blocks Submit until it is closed. Submit closes submitBlocked
+	// when it blocks.
+	blockSubmit, submitBlocked chan struct{}
 }
 
 func (v *fakeVM) Submit(ctx context.Context, cmd *catalogue.Command) (catalogue.Outcome, error) {
@@ -40,9 +41,9 @@
 	if v.noQuorum {
 		return out, ErrNoQuorum
 	}
-	if v.hold != nil {
-		close(v.held)
-		<-v.hold
+	if v.blockSubmit != nil {
+		close(v.submitBlocked)
+		<-v.blockSubmit
 	}
 	v.log.mu.Lock()
 	defer v.log.mu.Unlock()
@@ -109,7 +110,7 @@
 	return l
 }
 
-func (l *fakeLog) balancer(name string) {
+func (l *fakeLog) announceBalancer(name string) {
 	v := &fakeVM{log: l}
 	_, _ = v.Submit(context.Background(), &catalogue.Command{AnnounceBalancer: &catalogue.AnnounceBalancer{
 		Announcement: distribution.Announcement{Name: name, Incarnation: 1, Tunnel: "127.0.3.1:7000"},
@@ -122,10 +123,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A control VM takes a switch and dies before it answers. The tool asks the
-// next VM under the same identity; the operator reads one outcome, and the
-// switch is in the record once.
-func TestLostAnswerIsAskedForElsewhere(t *testing.T) {
+// Guards against a command that is lost or runs twice if a control VM applies it and
+// crashes before it replies. The client resends it to the next VM under the same ID.
+func TestCommandIsResentToAnotherVMAfterALostReply(t *testing.T) {
 	is := is.New(t)
 	l := newLog()
 	lossy, err := net.Listen("tcp", "127.0.0.1:0")
@@ -136,7 +136,7 @@
 		if err != nil {
 			return
 		}
-		frame, err := framing.NewConn(raw, frameLimit, 0).Read()
+		frame, err := framing.NewConn(raw, maxFrameSize, 0).Read()
 		var cmd catalogue.Command
 		if err == nil && frame.Decode(&cmd) == nil {
 			_, _ = (&fakeVM{log: l}).Submit(context.Background(), &cmd)
@@ -152,24 +152,24 @@
 	is.Equal(len(l.machine.Audit()), 2) // the definition and one switch
 }
 
-// A control VM accepts connections and never answers, as behind a half-open
-// link. The operator waits a bounded time, and the next VM answers.
-func TestSilentVMIsLeft(t *testing.T) {
+// Guards against a client that hangs on a control VM that accepts connections and never
+// replies. After AnswerTimeout it asks the next VM.
+func TestClientLeavesAVMThatDoesNotReply(t *testing.T) {
 	is := is.New(t)
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer silent.Close()
 	good, _ := serve(t, &fakeVM{log: newLog()})
-	c := &Client{Addresses: []string{silent.Addr().String(), good}, Patience: 50 * time.Millisecond}
+	c := &Client{Addresses: []string{silent.Addr().String(), good}, AnswerTimeout: 50 * time.Millisecond}
 	view, err := c.Read(t.Context(), PartSummary)
 	is.NoErr(err)
 	is.Equal(view.InForce, "ordinary")
 }
 
-// Every VM that answers has lost its quorum. The operator gets nothing that
-// looks current, but each VM's own word and its age, and for a command the
-// identity to send it again under.
-func TestWithoutQuorumNothingIsCurrent(t *testing.T) {
+// Guards against outdated state that looks current: every VM has lost its quorum. Reads
+// fail, a failed command returns the ID to resend it under, and Fleet returns each VM's
+// local status with its age.
+func TestWithoutQuorumNothingIsReportedAsCurrent(t *testing.T) {
 	is := is.New(t)
 	l := newLog()
 	address, _ := serve(t, &fakeVM{log: l, noQuorum: true, local: LocalStatus{VM: "control-a", InForce: "ordinary", ContactAgeMS: 9000}})
@@ -185,14 +185,14 @@
 	is.Equal(fleet.VMs[0].Local.ContactAgeMS, int64(9000))
 }
 
-// A switch is accepted. Two balancers have it; a third is heard with an old
-// revision and a fourth by no VM. The operator reads which of them lag, and the
-// wait ends once they have it.
-func TestWaitNamesWhoLags(t *testing.T) {
+// Guards against a switch that is reported as in force too early: of four balancers one
+// has acknowledged only an old revision and one isn't connected. WaitInForce names both,
+// and returns once they have acknowledged the revision.
+func TestWaitNamesLaggingBalancers(t *testing.T) {
 	is := is.New(t)
 	l := newLog()
 	for _, name := range []string{"b1", "b2", "b3", "b4"} {
-		l.balancer(name)
+		l.announceBalancer(name)
 	}
 	a := &fakeVM{log: l, local: LocalStatus{VM: "control-a", Subscribers: []Subscriber{
 		{Name: "b1", Role: "balancer", Revision: 100}, {Name: "b2", Role: "balancer", Revision: 2, AgeMS: 8000},
@@ -225,36 +225,35 @@
 	is.Equal(fleet.Live(), 4)
 }
 
-// A control VM is asked to stop while it waits for a switch to be committed.
-// The operator still gets the answer.
-func TestGracefulStopAnswersWhatIsInProgress(t *testing.T) {
+// Guards against a lost reply when a control VM is stopped while a command is in progress.
+func TestGracefulStopFinishesRequestsInProgress(t *testing.T) {
 	is := is.New(t)
-	v := &fakeVM{log: newLog(), hold: make(chan struct{}), held: make(chan struct{})}
+	v := &fakeVM{log: newLog(), blockSubmit: make(chan struct{}), submitBlocked: make(chan struct{})}
 	address, stop := serve(t, v)
 	answered := make(chan error, 1)
 	go func() {
 		_, err := (&Client{Addresses: []string{address}}).Command(context.Background(), toPeak())
 		answered <- err
 	}()
-	<-v.held
+	<-v.submitBlocked
 	stopped := make(chan struct{})
 	go func() { stop(); close(stopped) }()
 	select {
 	case <-stopped:
-		t.Error("stopped before the answer")
+		t.Error("the server stopped before it replied")
 	case <-time.After(50 * time.Millisecond):
 	}
-	close(v.hold)
+	close(v.blockSubmit)
 	is.NoErr(<-answered)
 	<-stopped
 }
 
-// Processes' commands don't pass the operators' door: an operator can't take
-// another's agent out of service in the control VM's name.
-func TestOnlyOperatorsCommandsPass(t *testing.T) {
+// Guards against an operator who sends a command of the processes, such as a silence
+// report that takes a balancer out of service.
+func TestCommandsOfProcessesAreRefused(t *testing.T) {
 	is := is.New(t)
 	l := newLog()
-	l.balancer("b1")
+	l.announceBalancer("b1")
 	address, _ := serve(t, &fakeVM{log: l})
 	_, err := (&Client{Addresses: []string{address}}).Command(t.Context(), catalogue.Command{BalancerSilent: &distribution.Silence{Name: "b1", Incarnation: 1}})
 	var failure *Failure
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -19,56 +19,56 @@
 )
 
 const (
-	// maxConnections bounds the operators served at once: each may hold a frame
-	// of frameLimit, and a script that leaks connections must not take the
-	// control VM's memory.
+	// maxConnections limits the connections served at once. Each may hold a frame of
+	// maxFrameSize, and a script that leaks connections must not exhaust the control
+	// VM's memory.
 	maxConnections = 32
-	// idleLimit closes a connection that asks nothing; half-open ones go so too.
-	idleLimit = time.Minute
-	// answerLimit bounds the wait for a quorum. An election takes a second or
-	// two; after that the operator's tool does better to ask another VM.
-	answerLimit  = 4 * time.Second
-	writeTimeout = 5 * time.Second
+	// idleTimeout closes a connection without requests, such as a half-open one.
+	idleTimeout = time.Minute
+	// requestTimeout limits the wait for a quorum. It covers an election of one to two
+	// seconds; after it the client should ask another VM.
+	requestTimeout = 4 * time.Second
+	writeTimeout   = 5 * time.Second
 )
 
 // Errors of a Backend.
 var (
-	// ErrNoQuorum: the VM can't reach a majority in time.
+	// ErrNoQuorum: the VM couldn't reach a majority in time.
 	ErrNoQuorum = errors.New("operator: no quorum")
 	// ErrBusy: too many requests wait at this VM.
 	ErrBusy = errors.New("operator: too many requests wait")
-	// ErrTooLarge: the command is over the log's bound.
+	// ErrTooLarge: the command exceeds the log's limit.
 	ErrTooLarge = errors.New("operator: command too large")
 )
 
-// Backend is what a server needs of its control VM.
+// Backend is the control VM behind a server.
 type Backend interface {
-	// Submit runs a command through the log.
+	// Submit runs a command through the replicated log.
 	Submit(ctx context.Context, cmd *catalogue.Command) (catalogue.Outcome, error)
-	// Barrier returns once this VM has applied all that was committed before the
+	// Barrier returns once this VM has applied everything that was committed before the
 	// call, or ErrNoQuorum.
 	Barrier(ctx context.Context) error
-	// Catalogue is this VM's copy of the state.
+	// Catalogue returns this VM's copy of the state.
 	Catalogue() *catalogue.Catalogue
-	// Local is what this VM knows by itself.
+	// Local returns the local status of this VM.
 	Local() LocalStatus
-	// ChangeMembers changes the control VMs and returns when it is committed.
+	// ChangeMembers changes the control VMs and returns once the change is committed.
 	ChangeMembers(ctx context.Context, change MembersChange) error
 }
 
-// Server answers operators at one control VM.
+// Server serves operators at one control VM.
 type Server struct {
-	// VM is the name that replies carry.
+	// VM is the control VM's name, which replies contain.
 	VM      string
 	Backend Backend
-	// TLS verifies certificates of any role; the server admits operators' only.
-	// It is nil only in tests and the demo; operators then name themselves.
+	// TLS verifies certificates of any role; the server then accepts operators' only. It
+	// may be nil in tests and the demo only; requests then carry the operator's name.
 	TLS     *tls.Config
 	Log     logrus.FieldLogger
 	Metrics *metrics.Set
 }
 
-// Serve answers on ln until ctx is done, lets requests in progress end, and
+// Serve accepts connections on ln until ctx is done, finishes the requests in progress and
 // closes ln.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	var running sync.WaitGroup
@@ -93,29 +93,30 @@
 		}
 		running.Go(func() {
 			defer func() { <-slots }()
-			s.connection(ctx, raw)
+			s.serveConnection(ctx, raw)
 		})
 	}
 }
 
-// connection serves one operator's requests in turn.
-func (s *Server) connection(ctx context.Context, raw net.Conn) {
+// serveConnection serves the requests of one connection in sequence.
+func (s *Server) serveConnection(ctx context.Context, raw net.Conn) {
 	defer raw.Close()
 	name, secured, err := s.identify(ctx, raw)
 	if err != nil {
 		s.Metrics.Counter("operator_denied").Add(1)
 		events.Log(s.Log, events.OperatorDenied, logrus.Fields{"from": raw.RemoteAddr().String(), "why": err.Error()})
 		if secured != nil {
-			s.deny(framing.NewConn(secured, frameLimit, writeTimeout), err)
+			s.deny(framing.NewConn(secured, maxFrameSize, writeTimeout), err)
 		}
 		return
 	}
-	conn := framing.NewConn(secured, frameLimit, writeTimeout)
-	// A graceful stop wakes the read between requests; one in progress ends.
+	conn := framing.NewConn(secured, maxFrameSize, writeTimeout)
+	// A graceful stop interrupts the read between requests; a request in progress is
+	// finished.
 	stop := context.AfterFunc(ctx, func() { _ = secured.SetReadDeadline(time.Unix(1, 0)) })
 	defer stop()
 	for ctx.Err() == nil {
-		if err := secured.SetReadDeadline(time.Now().Add(idleLimit)); err != nil {
+		if err := secured.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 			return
 		}
 		if ctx.Err() != nil {
@@ -125,15 +126,15 @@
 		if err != nil {
 			return
 		}
-		kind, reply := s.answer(frame, name)
+		kind, reply := s.handleRequest(frame, name)
 		if _, err := conn.Write(kind, reply); err != nil {
 			return
 		}
 	}
 }
 
-// deny says why. It reads the request first: closing a connection with unread
-// bytes resets it, and the reply might be lost.
+// deny replies with the reason. It reads the request first, because closing a connection
+// with unread bytes resets it and the reply could be lost.
 func (s *Server) deny(conn *framing.Conn, why error) {
 	if err := conn.Raw().SetReadDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return
@@ -144,8 +145,8 @@
 	_, _ = conn.Write(kindFailure, s.failure(Denied, why.Error()))
 }
 
-// identify completes TLS and finds the operator's name; without TLS the name
-// is empty and requests carry it.
+// identify completes the TLS handshake and returns the operator's name from the
+// certificate. Without TLS the name is empty and the request contains it.
 func (s *Server) identify(ctx context.Context, raw net.Conn) (string, net.Conn, error) {
 	if s.TLS == nil {
 		return "", raw, nil
@@ -166,22 +167,22 @@
 	return peer.Name, secured, nil
 }
 
-// answer runs one request.
-func (s *Server) answer(frame framing.Frame, name string) (framing.Kind, msgp.Marshaler) {
-	// Requests in progress outlive a graceful stop, so they have a bound of
-	// their own.
-	ctx, cancel := context.WithTimeout(context.Background(), answerLimit)
+// handleRequest runs one request and returns the reply.
+func (s *Server) handleRequest(frame framing.Frame, name string) (framing.Kind, msgp.Marshaler) {
+	// Requests in progress continue during a graceful stop, so they have their own
+	// timeout.
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	if len(frame.Body) > requestLimit {
+	if len(frame.Body) > maxRequestSize {
 		return kindFailure, s.failure(TooLarge, "the request is too large")
 	}
 	switch frame.Kind {
 	case kindCommand:
-		return s.command(ctx, frame, name)
+		return s.handleCommand(ctx, frame, name)
 	case kindRead:
-		return s.read(ctx, frame)
+		return s.handleRead(ctx, frame)
 	case kindMembers:
-		return s.members(ctx, frame, name)
+		return s.handleMembersChange(ctx, frame, name)
 	case kindLocal:
 		local := s.Backend.Local()
 		return kindLocalStatus, &local
@@ -189,7 +190,7 @@
 	return kindFailure, s.failure(Malformed, "this version of control doesn't know the request")
 }
 
-func (s *Server) command(ctx context.Context, frame framing.Frame, name string) (framing.Kind, msgp.Marshaler) {
+func (s *Server) handleCommand(ctx context.Context, frame framing.Frame, name string) (framing.Kind, msgp.Marshaler) {
 	var cmd catalogue.Command
 	if err := frame.Decode(&cmd); err != nil || !cmd.FromOperator() {
 		return kindFailure, s.failure(Malformed, "the command can't be read, or isn't an operator's")
@@ -199,25 +200,25 @@
 	}
 	out, err := s.Backend.Submit(ctx, &cmd)
 	if err != nil {
-		return kindFailure, s.explain(err)
+		return kindFailure, s.failureFor(err)
 	}
 	return kindOutcome, &out
 }
 
-func (s *Server) read(ctx context.Context, frame framing.Frame) (framing.Kind, msgp.Marshaler) {
-	var read Read
-	if err := frame.Decode(&read); err != nil {
+func (s *Server) handleRead(ctx context.Context, frame framing.Frame) (framing.Kind, msgp.Marshaler) {
+	var request Read
+	if err := frame.Decode(&request); err != nil {
 		return kindFailure, s.failure(Malformed, "the read can't be read")
 	}
 	if err := s.Backend.Barrier(ctx); err != nil {
-		return kindFailure, s.explain(err)
+		return kindFailure, s.failureFor(err)
 	}
-	view := viewOf(s.Backend.Catalogue(), read.Part)
+	view := newView(s.Backend.Catalogue(), request.Part)
 	view.VM = s.VM
 	return kindView, view
 }
 
-func (s *Server) members(ctx context.Context, frame framing.Frame, name string) (framing.Kind, msgp.Marshaler) {
+func (s *Server) handleMembersChange(ctx context.Context, frame framing.Frame, name string) (framing.Kind, msgp.Marshaler) {
 	var change MembersChange
 	if err := frame.Decode(&change); err != nil {
 		return kindFailure, s.failure(Malformed, "the change of members can't be read")
@@ -227,7 +228,7 @@
 	}
 	if err := s.Backend.ChangeMembers(ctx, change); err != nil {
 		if isNoQuorum(err) || errors.Is(err, ErrBusy) {
-			return kindFailure, s.explain(err)
+			return kindFailure, s.failureFor(err)
 		}
 		return kindFailure, s.failure(MembersRefused, err.Error())
 	}
@@ -239,8 +240,8 @@
 	return errors.Is(err, ErrNoQuorum) || errors.Is(err, context.DeadlineExceeded)
 }
 
-// explain turns a backend's error into the reply.
-func (s *Server) explain(err error) *Failure {
+// failureFor returns the reply to a backend's error.
+func (s *Server) failureFor(err error) *Failure {
 	switch {
 	case errors.Is(err, ErrBusy):
 		s.Metrics.Counter("operator_busy").Add(1)
--- a/internal/operator/view.go
+++ b/internal/operator/view.go
@@ -5,26 +5,26 @@
 	"bergamotstall/internal/table"
 )
 
-// viewOf reads one part of the catalogue.
-func viewOf(c *catalogue.Catalogue, part Part) *View {
-	sum := c.Summary()
-	v := &View{Version: sum.Version, Revision: sum.Revision, InForce: sum.InForce}
+// newView reads one part of the catalogue.
+func newView(c *catalogue.Catalogue, part Part) *View {
+	summary := c.Summary()
+	v := &View{Version: summary.Version, Revision: summary.Revision, InForce: summary.InForce}
 	switch part {
 	case PartServices:
 		v.Services, v.Presets = c.Services(), c.Presets()
 	case PartTargets:
-		v.Targets, v.Drains = targetsOf(c), c.Drains()
+		v.Targets, v.Drains = listTargets(c), c.Drains()
 	case PartAudit:
 		v.Records = c.Audit()
 	case PartFleet:
 		v.Records = c.Fleet()
 	case PartFleetState:
-		v.Balancers, v.Keys = balancersOf(c), keysOf(c)
+		v.Balancers, v.Keys = listBalancers(c), listKeys(c)
 	}
 	return v
 }
 
-func targetsOf(c *catalogue.Catalogue) []Target {
+func listTargets(c *catalogue.Catalogue) []Target {
 	names := make(map[table.ServiceID]string)
 	for _, s := range c.Services() {
 		names[s.ID] = s.Spec.Name
@@ -47,6 +47,7 @@
 	return out
 }
 
+// targetState returns the state of a target and its reason, as operators see them.
 func targetState(a *catalogue.Agent, drained bool) (state, why string) {
 	switch {
 	case a.Replaced:
@@ -65,10 +66,10 @@
 	return "active", ""
 }
 
-// stateOut is a balancer's that control took off the return path.
+// stateOut is the state of a balancer that control has taken off the return path.
 const stateOut = "out"
 
-func balancersOf(c *catalogue.Catalogue) []Balancer {
+func listBalancers(c *catalogue.Catalogue) []Balancer {
 	var out []Balancer
 	for _, b := range c.Balancers() {
 		state := "live"
@@ -83,10 +84,10 @@
 	return out
 }
 
-// statePrepared is a generation's that is known and doesn't sign yet.
+// statePrepared is the state of a key generation that is distributed but doesn't sign yet.
 const statePrepared = "prepared"
 
-func keysOf(c *catalogue.Catalogue) []KeyGeneration {
+func listKeys(c *catalogue.Catalogue) []KeyGeneration {
 	keys := c.Keys()
 	var out []KeyGeneration
 	for i, k := range keys {
