--- a/internal/catalogue/keys.go
+++ b/internal/catalogue/keys.go
@@ -71,7 +71,7 @@
 	if !complete(set) {
 		return c.outcome(NotValid, "the new generation lacks a key")
 	}
-	next, err := keys.Add(c.keySets(), *set)
+	next, err := keys.AddPending(c.keySets(), *set)
 	if err != nil {
 		return c.outcome(Refused, err.Error())
 	}
@@ -95,7 +95,7 @@
 	case n < 2:
 		return c.outcome(Refused, "only one generation is accepted")
 	case sets[n-1].Pending:
-		return c.outcome(Refused, keys.ErrRotationRuns.Error())
+		return c.outcome(Refused, keys.ErrRotationInProgress.Error())
 	case !early && !c.elapsed(c.state.Keys[n-1].SignsSinceMS, MinAcceptance.Milliseconds()):
 		return c.outcome(Refused, fmt.Sprintf("generation %d has signed for less than %v; open flows still carry older ones", sets[n-1].Generation, MinAcceptance))
 	}
--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -19,7 +19,7 @@
 	"github.com/google/renameio/v2"
 )
 
-// Role is what a certificate's holder may act as.
+// Role is the role of a process or operator in its certificate.
 type Role string
 
 // The roles of certificates.
@@ -34,10 +34,10 @@
 func Roles() []Role { return []Role{Balancer, Agent, Control, Operator} }
 
 const (
-	// authorityLife is long, because changing the authority touches every VM.
-	authorityLife = 10 * 365 * 24 * time.Hour
-	// certificateLife leaves room for a yearly renewal that comes late.
-	certificateLife = 400 * 24 * time.Hour
+	// authorityLifetime is long, because a new authority has to be installed on every VM.
+	authorityLifetime = 10 * 365 * 24 * time.Hour
+	// certificateLifetime allows for a yearly renewal that is a month late.
+	certificateLifetime = 400 * 24 * time.Hour
 
 	authorityCert = "ca.crt"
 	authorityKey  = "ca.key"
@@ -49,33 +49,33 @@
 	pemCertificate = "CERTIFICATE"
 	pemKey         = "PRIVATE KEY"
 
-	// identityScheme begins the URI in a certificate that holds role and name.
+	// identityScheme is the scheme of the certificate's URI that holds role and name.
 	identityScheme = "bergamotstall"
 )
 
-// Errors of making certificates.
+// Errors of Init and Issue.
 var (
-	ErrExists      = errors.New("keys: the folder holds an authority already")
-	ErrNoAuthority = errors.New("keys: the folder holds no authority; make one with keys init")
-	ErrRole        = errors.New("keys: no such role")
-	ErrName        = errors.New("keys: a name is 1 to 64 letters, digits, dots, dashes and underscores")
+	ErrExists      = errors.New("keys: the folder already contains an authority")
+	ErrNoAuthority = errors.New("keys: the folder contains no authority; create one with keys init")
+	ErrRole        = errors.New("keys: unknown role")
+	ErrName        = errors.New("keys: a name must have 1 to 64 letters, digits, dots, dashes and underscores, and start with a letter or digit")
 )
 
 var validName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// Files are the paths of a process's certificate and key and of the authority
-// that it trusts. The authority's file may hold several certificates.
+// Files holds the paths of a process's certificate and key and of the certificate
+// authorities that it trusts. The Authority file may hold several certificates.
 type Files struct {
 	Authority   string
 	Certificate string
 	Key         string
 }
 
-// Init makes a certificate authority in the folder. It never replaces one: all
-// certificates issued so far would be refused from then on.
+// Init creates a certificate authority in the folder. It returns ErrExists instead of
+// replacing one, since all certificates issued by the old one would become invalid.
 func Init(folder string) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return errors.Wrap(err, "keys: make folder")
+		return errors.Wrap(err, "keys: create folder")
 	}
 	for _, name := range []string{authorityCert, authorityKey} {
 		if _, err := os.Stat(filepath.Join(folder, name)); err == nil {
@@ -86,7 +86,7 @@
 	if err != nil {
 		return errors.Wrap(err, "keys: generate")
 	}
-	template, err := newTemplate("bergamotstall authority", time.Now(), authorityLife)
+	template, err := newTemplate("bergamotstall authority", time.Now(), authorityLifetime)
 	if err != nil {
 		return err
 	}
@@ -100,11 +100,11 @@
 	return writePair(filepath.Join(folder, authorityCert), filepath.Join(folder, authorityKey), der, key)
 }
 
-// Issue makes a certificate and key for a process or an operator, named
-// ROLE-NAME.crt and ROLE-NAME.key in the folder. One that exists is renewed.
-// The addresses are those that others reach the process by.
+// Issue creates a certificate and key for a process or an operator, named ROLE-NAME.crt
+// and ROLE-NAME.key in the folder. An existing one is renewed. The IPs are the addresses
+// at which others reach the process.
 func Issue(folder string, role Role, name string, ips ...net.IP) (Files, error) {
-	return issue(folder, role, name, ips, time.Now(), certificateLife)
+	return issue(folder, role, name, ips, time.Now(), certificateLifetime)
 }
 
 func issue(folder string, role Role, name string, ips []net.IP, from time.Time, life time.Duration) (Files, error) {
@@ -169,25 +169,25 @@
 	certBlock, _ := pem.Decode(certPEM)
 	keyBlock, _ := pem.Decode(keyPEM)
 	if certBlock == nil || keyBlock == nil {
-		return nil, nil, errors.New("keys: authority's files are no PEM")
+		return nil, nil, errors.New("keys: authority's files aren't PEM")
 	}
 	cert, err := x509.ParseCertificate(certBlock.Bytes)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "keys: authority")
+		return nil, nil, errors.Wrap(err, "keys: parse authority")
 	}
 	parsed, err := x509.ParsePKCS8PrivateKey(keyBlock.Bytes)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "keys: authority's key")
+		return nil, nil, errors.Wrap(err, "keys: parse authority's key")
 	}
 	key, ok := parsed.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, nil, errors.New("keys: authority's key is no ECDSA key")
+		return nil, nil, errors.New("keys: authority's key isn't an ECDSA key")
 	}
 	return cert, key, nil
 }
 
-// writePair writes the key first: a certificate without its key would be taken
-// for a finished renewal.
+// writePair writes the key first: a new certificate without its key would look like a
+// finished renewal.
 func writePair(certPath, keyPath string, der []byte, key *ecdsa.PrivateKey) error {
 	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
--- a/internal/keys/cluster.go
+++ b/internal/keys/cluster.go
@@ -8,29 +8,31 @@
 	"bergamotstall/internal/table"
 )
 
+// Sizes of the keys of a generation, in bytes.
 const (
 	connIDSize   = 16
 	envelopeSize = 32
 	resetSize    = 32
 	tokenSize    = 32
 	hashSize     = 16
-	// MaxGenerations is how many key sets may be valid at once: the generation
-	// travels in three bits of a connection ID, and two sets that share them
-	// couldn't be told apart.
+	// MaxGenerations limits the key sets that are valid at once. A connection ID holds
+	// three bits of the generation; two key sets with equal bits couldn't be
+	// distinguished.
 	MaxGenerations = 8
 )
 
-// Errors of a rotation step taken out of order.
+// Errors of a rotation step that isn't possible now. Control stores these texts in its
+// replicated state, so a changed wording makes replicas of different versions differ.
 var (
-	ErrRotationRuns = errors.New("keys: a rotation is under way: promote its pending key set first")
-	ErrNothingToDo  = errors.New("keys: no pending key set")
-	ErrTooMany      = errors.New("keys: eight generations are valid: retire the oldest first")
-	ErrSigning      = errors.New("keys: the generation signs; it can't be retired")
-	ErrUnknown      = errors.New("keys: no such generation")
+	ErrRotationInProgress = errors.New("keys: a rotation is under way: promote its pending key set first")
+	ErrNoPendingKeys      = errors.New("keys: no pending key set")
+	ErrTooManyGenerations = errors.New("keys: eight generations are valid: retire the oldest first")
+	ErrGenerationSigns    = errors.New("keys: the generation signs; it can't be retired")
+	ErrUnknownGeneration  = errors.New("keys: no such generation")
 )
 
-// NewKeySet makes one generation of the cluster keys from the given source of
-// randomness, which is crypto/rand.Reader but in tests.
+// NewKeySet creates a generation of the cluster keys from a source of randomness, which is
+// crypto/rand.Reader except in tests.
 func NewKeySet(generation uint8, random io.Reader) (table.KeySet, error) {
 	ks := table.KeySet{Generation: generation}
 	parts := []struct {
@@ -46,7 +48,7 @@
 	for _, p := range parts {
 		*p.key = make([]byte, p.size)
 		if _, err := io.ReadFull(random, *p.key); err != nil {
-			return table.KeySet{}, errors.Wrap(err, "keys: randomness")
+			return table.KeySet{}, errors.Wrap(err, "keys: read randomness")
 		}
 	}
 	return ks, nil
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,11 +1,11 @@
-// Package keys makes and checks what the system's processes trust: the
-// operator's own certificate authority, a certificate per process with its role
-// in it, TLS settings that admit only the roles a listener is for, and the
-// cluster keys that balancers and agents share. It holds no connection.
+// Package keys creates and verifies the system's keys and certificates: the certificate
+// authority, a certificate for each process that contains its role, TLS configurations
+// that accept only the allowed roles, and the cluster keys that balancers and agents
+// share.
 package keys
 
 import "time"
 
-// clockSkew backdates certificates, so that a VM whose clock is a little behind
-// accepts one made just now.
+// clockSkew backdates certificates, so that a VM whose clock is slightly behind accepts a
+// new one.
 const clockSkew = 5 * time.Minute
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -17,7 +17,7 @@
 
 var loopback = net.IPv4(127, 0, 0, 1)
 
-func authority(t *testing.T) string {
+func newAuthority(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
 	if err := Init(folder); err != nil {
@@ -26,7 +26,7 @@
 	return folder
 }
 
-func store(t *testing.T, files Files) *Store {
+func loadStore(t *testing.T, files Files) *Store {
 	t.Helper()
 	log := logrus.New()
 	log.SetLevel(logrus.PanicLevel)
@@ -37,7 +37,7 @@
 	return s
 }
 
-func issued(t *testing.T, folder string, role Role, name string) Files {
+func issueFiles(t *testing.T, folder string, role Role, name string) Files {
 	t.Helper()
 	files, err := Issue(folder, role, name, loopback)
 	if err != nil {
@@ -46,20 +46,20 @@
 	return files
 }
 
-// meet connects a client to a listener and returns each end's verdict. The
-// server's comes after its handshake, the client's after it read a byte.
-func meet(t *testing.T, server, client *tls.Config, host string) (atServer, atClient error) {
+// handshake connects a client to a listener and returns the error of each end: the
+// server's after its handshake, the client's after it has read a byte.
+func handshake(t *testing.T, server, client *tls.Config, host string) (atServer, atClient error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	verdict := make(chan error, 1)
+	serverResult := make(chan error, 1)
 	go func() {
 		raw, err := ln.Accept()
 		if err != nil {
-			verdict <- err
+			serverResult <- err
 			return
 		}
 		defer raw.Close()
@@ -68,7 +68,7 @@
 		if err == nil {
 			_, err = conn.Write([]byte{1})
 		}
-		verdict <- err
+		serverResult <- err
 	}()
 	raw, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -80,15 +80,15 @@
 		_, atClient = conn.Read(make([]byte, 1))
 	}
 	_ = raw.Close()
-	return <-verdict, atClient
+	return <-serverResult, atClient
 }
 
-// An intruder, or a process with the wrong file, connects to a listener. The
-// operator sees one counter per reason go up and event 670; the peer gets no
-// byte of service. Each end checks the other: role, authority, validity.
-func TestForgedOrWrongRolePeersAreRefused(t *testing.T) {
-	folder, foreign := authority(t), authority(t)
-	control := store(t, issued(t, folder, Control, "control-1"))
+// Guards against a listener that serves a peer with an invalid certificate: a wrong role,
+// an unknown authority, an expired or no certificate. The peer receives no byte, and the
+// counter of the reason increases.
+func TestServerRefusesInvalidPeers(t *testing.T) {
+	folder, foreign := newAuthority(t), newAuthority(t)
+	control := loadStore(t, issueFiles(t, folder, Control, "control-1"))
 	late, err := issue(folder, Agent, "late", []net.IP{loopback}, time.Now().Add(-48*time.Hour), 24*time.Hour)
 	if err != nil {
 		t.Fatal(err)
@@ -100,7 +100,7 @@
 	withCertificate := func(certs ...tls.Certificate) *tls.Config {
 		return &tls.Config{InsecureSkipVerify: true, Certificates: certs}
 	}
-	selfMade, _, err := SelfSigned("127.0.0.1")
+	selfSigned, _, err := SelfSigned("127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,21 +111,21 @@
 		want    error
 		reason  string
 	}{
-		{"agent on the agents' listener", store(t, issued(t, folder, Agent, "agent-1")).Client(Control), []Role{Agent, Balancer}, nil, ""},
-		{"agent on the operators' listener", store(t, issued(t, folder, Agent, "agent-1")).Client(Control), []Role{Operator}, ErrWrongRole, "role"},
-		{"certificate of another authority", store(t, issued(t, foreign, Agent, "agent-1")).Client(Control), []Role{Agent}, ErrAuthority, "authority"},
+		{"agent on the agents' listener", loadStore(t, issueFiles(t, folder, Agent, "agent-1")).Client(Control), []Role{Agent, Balancer}, nil, ""},
+		{"agent on the operators' listener", loadStore(t, issueFiles(t, folder, Agent, "agent-1")).Client(Control), []Role{Operator}, ErrWrongRole, "role"},
+		{"certificate of another authority", loadStore(t, issueFiles(t, foreign, Agent, "agent-1")).Client(Control), []Role{Agent}, ErrAuthority, "authority"},
 		{"expired certificate", withCertificate(expired), []Role{Agent}, ErrExpired, "expired"},
 		{"no certificate", withCertificate(), []Role{Agent}, ErrNoCertificate, ""},
-		{"self-made certificate", withCertificate(selfMade), []Role{Agent}, ErrAuthority, "authority"},
+		{"self-signed certificate", withCertificate(selfSigned), []Role{Agent}, ErrAuthority, "authority"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			// The client side must not refuse first where the server is judged.
+			// The client must not refuse the server before the server checks the client.
 			client := c.client.Clone()
 			client.VerifyConnection = nil
 			before := control.metrics.Value("tls_refused_" + c.reason)
-			atServer, atClient := meet(t, control.Server(c.listens...), client, "127.0.0.1")
+			atServer, atClient := handshake(t, control.Server(c.listens...), client, "127.0.0.1")
 			if c.want == nil {
 				is.NoErr(atServer)
 				is.NoErr(atClient)
@@ -141,13 +141,13 @@
 	}
 }
 
-// A subscriber is steered to a process that isn't control: one with an agent's
-// certificate, or one of another authority, or control's on another address.
-// The subscriber refuses it, with a counter, before it says a word.
-func TestClientRefusesWhatIsNotControl(t *testing.T) {
-	folder, foreign := authority(t), authority(t)
-	agent := store(t, issued(t, folder, Agent, "agent-1"))
-	control := store(t, issued(t, folder, Control, "control-1"))
+// Guards against a subscriber that trusts a server other than control: one with an agent's
+// certificate, with a certificate of another authority, or with a control VM's certificate
+// for another address.
+func TestClientRefusesInvalidServers(t *testing.T) {
+	folder, foreign := newAuthority(t), newAuthority(t)
+	agent := loadStore(t, issueFiles(t, folder, Agent, "agent-1"))
+	control := loadStore(t, issueFiles(t, folder, Control, "control-1"))
 	for _, c := range []struct {
 		name   string
 		server *Store
@@ -155,15 +155,15 @@
 		want   error
 	}{
 		{"control", control, "127.0.0.1", nil},
-		{"an agent", store(t, issued(t, folder, Agent, "agent-2")), "127.0.0.1", ErrWrongRole},
-		{"control of another authority", store(t, issued(t, foreign, Control, "control-1")), "127.0.0.1", ErrAuthority},
+		{"an agent", loadStore(t, issueFiles(t, folder, Agent, "agent-2")), "127.0.0.1", ErrWrongRole},
+		{"control of another authority", loadStore(t, issueFiles(t, foreign, Control, "control-1")), "127.0.0.1", ErrAuthority},
 		{"control on another address", control, "127.0.0.9", ErrAddress},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			server := c.server.Server(Agent)
 			server.VerifyConnection = nil
-			_, atClient := meet(t, server, agent.Client(Control), c.host)
+			_, atClient := handshake(t, server, agent.Client(Control), c.host)
 			if c.want == nil {
 				is.NoErr(atClient)
 				return
@@ -173,34 +173,35 @@
 	}
 }
 
-// An operator renews a certificate while the process runs. New connections show
-// the new one; a renewal that is half written, or expired, changes nothing.
-func TestRenewedCertificateNeedsNoRestart(t *testing.T) {
+// Guards against a restart for each renewal: a renewed certificate is used without one. A
+// renewal that is half written or expired leaves the current certificate in use.
+func TestRenewedCertificateIsReloaded(t *testing.T) {
 	is := is.New(t)
-	folder := authority(t)
-	files := issued(t, folder, Control, "control-1")
-	s := store(t, files)
+	folder := newAuthority(t)
+	files := issueFiles(t, folder, Control, "control-1")
+	s := loadStore(t, files)
 	first := s.current().Leaf.SerialNumber
 
-	issued(t, folder, Control, "control-1")
+	issueFiles(t, folder, Control, "control-1")
 	is.NoErr(os.Chtimes(files.Certificate, time.Now(), time.Now().Add(time.Minute)))
-	s.reloadChanged()
+	s.reloadIfChanged()
 	second := s.current().Leaf.SerialNumber
 	is.True(first.Cmp(second) != 0)
 	is.Equal(s.metrics.Value("tls_reloads"), int64(1))
 
 	_, err := issue(folder, Control, "control-1", nil, time.Now().Add(-48*time.Hour), time.Hour)
 	is.NoErr(err)
-	is.True(errors.Is(s.Reload(), ErrOwnStale))
+	is.True(errors.Is(s.Reload(), ErrOwnCertificateExpired))
 	is.NoErr(os.WriteFile(files.Key, []byte("half"), 0o600))
 	is.True(errors.Is(s.Reload(), ErrFiles))
-	is.Equal(s.current().Leaf.SerialNumber.Cmp(second), 0) // the good one stays in use
+	is.Equal(s.current().Leaf.SerialNumber.Cmp(second), 0) // the valid one stays in use
 }
 
-// An operator runs init again, or asks for a role that there isn't.
-func TestAuthorityIsNeverReplaced(t *testing.T) {
+// Guards against an authority that is replaced by a second Init, certificates with unknown
+// roles or with names that leave the folder, and keys that other users can read.
+func TestInitAndIssueRefuseInvalidRequests(t *testing.T) {
 	is := is.New(t)
-	folder := authority(t)
+	folder := newAuthority(t)
 	is.True(errors.Is(Init(folder), ErrExists))
 	_, err := Issue(folder, Role("root"), "x")
 	is.True(errors.Is(err, ErrRole))
@@ -208,7 +209,7 @@
 	is.True(errors.Is(err, ErrName))
 	_, err = Issue(t.TempDir(), Agent, "x")
 	is.True(errors.Is(err, ErrNoAuthority))
-	info, err := os.Stat(issued(t, folder, Agent, "a").Key)
+	info, err := os.Stat(issueFiles(t, folder, Agent, "a").Key)
 	is.NoErr(err)
 	is.Equal(info.Mode().Perm(), os.FileMode(0o600))
 }
--- a/internal/keys/peer.go
+++ b/internal/keys/peer.go
@@ -11,24 +11,23 @@
 	"github.com/go-faster/errors"
 )
 
-// Reasons to refuse a peer. Each has a counter, tls_refused_ and the word that
-// Reason gives.
+// Reasons to refuse a peer. Each has a counter, tls_refused_ followed by its Reason.
 var (
-	ErrNoCertificate = errors.New("keys: peer shows no certificate")
+	ErrNoCertificate = errors.New("keys: peer sent no certificate")
 	ErrExpired       = errors.New("keys: peer's certificate has expired or isn't valid yet")
-	ErrAuthority     = errors.New("keys: peer's certificate is of an authority that isn't trusted")
-	ErrIdentity      = errors.New("keys: peer's certificate names no role")
-	ErrWrongRole     = errors.New("keys: peer's role isn't served here")
+	ErrAuthority     = errors.New("keys: peer's certificate isn't signed by a trusted authority")
+	ErrIdentity      = errors.New("keys: peer's certificate contains no known role")
+	ErrWrongRole     = errors.New("keys: peer's role isn't allowed here")
 	ErrAddress       = errors.New("keys: peer's certificate is for another address")
 )
 
-// Peer is who holds a certificate.
+// Peer is the holder of a certificate.
 type Peer struct {
 	Role Role
 	Name string
 }
 
-// Reason returns the word that counters use for a refusal.
+// Reason returns the name of the error in the metric tls_refused_.
 func Reason(err error) string {
 	switch {
 	case errors.Is(err, ErrNoCertificate):
@@ -47,8 +46,8 @@
 	return "other"
 }
 
-// PeerOf returns who is at the other end of a connection whose certificate has
-// been verified by a Store's settings.
+// PeerOf returns the peer of a connection whose certificate was verified by a Store's
+// configuration.
 func PeerOf(cs tls.ConnectionState) (Peer, error) {
 	if len(cs.PeerCertificates) == 0 {
 		return Peer{}, ErrNoCertificate
@@ -70,9 +69,9 @@
 	return Peer{}, ErrIdentity
 }
 
-// verify checks a peer's chain against the pool and its role against those
-// allowed. The library's own check is replaced, not weakened: it takes its pool
-// once, and a change of authority would need a restart of every process.
+// verify checks a peer's chain against the pool and its role against the allowed ones. It
+// replaces the check of crypto/tls and is as strict. The pool of crypto/tls can't be
+// changed, so that a new authority would require a restart of every process.
 func verify(cs tls.ConnectionState, pool *x509.CertPool, allowed []Role) error {
 	if len(cs.PeerCertificates) == 0 {
 		return ErrNoCertificate
@@ -100,7 +99,7 @@
 	return nil
 }
 
-// verifyError turns the library's errors into this package's.
+// verifyError maps errors of crypto/x509 to this package's errors.
 func verifyError(err error) error {
 	var invalid x509.CertificateInvalidError
 	if errors.As(err, &invalid) && invalid.Reason == x509.Expired {
@@ -109,9 +108,9 @@
 	return errors.Wrap(ErrAuthority, err.Error())
 }
 
-// Client does a client's handshake on a connection to the given host, an IP
-// number, and checks that the peer's certificate is for it. The settings come
-// from Store.Client, which can't know the address.
+// Client runs a client's handshake on a connection to host, an IP address, and checks that
+// the peer's certificate is valid for it. The configuration comes from Store.Client, which
+// can't check the address because it doesn't know it.
 func Client(ctx context.Context, raw net.Conn, cfg *tls.Config, host string) (*tls.Conn, error) {
 	conn := tls.Client(raw, cfg)
 	if err := conn.HandshakeContext(ctx); err != nil {
--- a/internal/keys/rotation_test.go
+++ b/internal/keys/rotation_test.go
@@ -10,9 +10,8 @@
 	"bergamotstall/internal/table"
 )
 
-// knows tells whether a receiver with these key sets can read what a signer with
-// those sends.
-func knows(t *testing.T, receiver, signer []table.KeySet) bool {
+// canVerify reports whether a receiver has the key set that the signer signs with.
+func canVerify(t *testing.T, receiver, signer []table.KeySet) bool {
 	t.Helper()
 	current, err := (&table.Table{Keys: signer}).CurrentKeys()
 	if err != nil {
@@ -26,50 +25,49 @@
 	return false
 }
 
-// An operator rotates the cluster keys while balancers and agents get each step
-// at different moments. No flow breaks: at any time, whoever has the step before
-// can read what one with the step after signs, and the other way round. After
-// retirement only the old generation's own packets are unreadable.
-func TestRotationIsReadableOneStepApart(t *testing.T) {
+// Guards against flows that break because processes receive the steps of a rotation at
+// different times: a process that is one step behind or ahead can verify what another
+// signs.
+func TestRotationWorksOneStepApart(t *testing.T) {
 	is := is.New(t)
 	random := rand.NewChaCha8([32]byte{1})
-	sets, err := Begin(nil, random)
+	sets, err := StartRotation(nil, random)
 	is.NoErr(err)
-	is.True(!sets[0].Pending) // the first needs no waiting
-	for range 300 {           // past the wrap of the generation counter
+	is.True(!sets[0].Pending) // the first key set signs at once
+	for range 300 {           // so that the generation counter wraps
 		old := sets
-		begun, err := Begin(old, random)
+		begun, err := StartRotation(old, random)
 		is.NoErr(err)
-		is.True(knows(t, old, begun)) // a pending key set signs nothing
-		_, err = Begin(begun, random)
-		is.True(errors.Is(err, ErrRotationRuns))
+		is.True(canVerify(t, old, begun)) // a pending key set doesn't sign
+		_, err = StartRotation(begun, random)
+		is.True(errors.Is(err, ErrRotationInProgress))
 
 		promoted, err := Promote(begun)
 		is.NoErr(err)
-		is.True(knows(t, begun, promoted))
-		is.True(knows(t, promoted, begun))
-		is.True(!knows(t, old, promoted)) // why Known must hold before Promote
+		is.True(canVerify(t, begun, promoted))
+		is.True(canVerify(t, promoted, begun))
+		is.True(!canVerify(t, old, promoted)) // why Promote requires AllAcknowledged
 
 		_, err = Retire(promoted, promoted[1].Generation)
-		is.True(errors.Is(err, ErrSigning))
+		is.True(errors.Is(err, ErrGenerationSigns))
 		sets, err = Retire(promoted, old[0].Generation)
 		is.NoErr(err)
-		is.True(knows(t, sets, promoted))
+		is.True(canVerify(t, sets, promoted))
 	}
 	_, err = Promote(sets)
-	is.True(errors.Is(err, ErrNothingToDo))
+	is.True(errors.Is(err, ErrNoPendingKeys))
 	_, err = Retire(sets, sets[0].Generation+1)
-	is.True(errors.Is(err, ErrUnknown))
+	is.True(errors.Is(err, ErrUnknownGeneration))
 }
 
-// An operator rotates again and again without retiring: the ninth generation
-// would look like the first in a connection ID, so it is refused.
-func TestNoTwoGenerationsShareTheirBits(t *testing.T) {
+// Guards against two generations that have equal bits in a connection ID: after eight
+// rotations without a retirement the next one is refused.
+func TestGenerationsWithEqualBitsAreRefused(t *testing.T) {
 	is := is.New(t)
 	random := rand.NewChaCha8([32]byte{2})
 	var sets []table.KeySet
 	for range MaxGenerations {
-		next, err := Begin(sets, random)
+		next, err := StartRotation(sets, random)
 		is.NoErr(err)
 		if len(sets) > 0 {
 			next, err = Promote(next)
@@ -77,12 +75,12 @@
 		}
 		sets = next
 	}
-	_, err := Begin(sets, random)
-	is.True(errors.Is(err, ErrTooMany))
+	_, err := StartRotation(sets, random)
+	is.True(errors.Is(err, ErrTooManyGenerations))
 }
 
-func TestPromotionWaitsForTheSlowest(t *testing.T) {
+func TestAllAcknowledged(t *testing.T) {
 	is := is.New(t)
-	is.True(Known(7, []table.Revision{7, 9, 8}))
-	is.True(!Known(7, []table.Revision{7, 6, 8}))
+	is.True(AllAcknowledged(7, []table.Revision{7, 9, 8}))
+	is.True(!AllAcknowledged(7, []table.Revision{7, 6, 8}))
 }
--- a/internal/keys/selfsigned.go
+++ b/internal/keys/selfsigned.go
@@ -16,11 +16,11 @@
 	"github.com/go-faster/errors"
 )
 
-// selfSignedLife is short because such a certificate serves a demo or a test.
-const selfSignedLife = 30 * 24 * time.Hour
+// selfSignedLifetime is short because these certificates are for the demo and tests only.
+const selfSignedLifetime = 30 * 24 * time.Hour
 
-// SelfSigned makes a certificate that callers of the demo and of tests can
-// trust through its pool. Hosts are names or IP numbers.
+// SelfSigned creates a self-signed certificate for the demo and tests, and a pool that
+// trusts it. The hosts are names or IP addresses.
 func SelfSigned(hosts ...string) (tls.Certificate, *x509.CertPool, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -35,7 +35,7 @@
 		SerialNumber:          serial,
 		Subject:               pkix.Name{CommonName: "bergamotstall self-signed"},
 		NotBefore:             now.Add(-clockSkew),
-		NotAfter:              now.Add(selfSignedLife),
+		NotAfter:              now.Add(selfSignedLifetime),
 		KeyUsage:              x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign,
 		ExtKeyUsage:           []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
 		BasicConstraintsValid: true,
@@ -54,7 +54,7 @@
 	}
 	leaf, err := x509.ParseCertificate(der)
 	if err != nil {
-		return tls.Certificate{}, nil, errors.Wrap(err, "keys: parse")
+		return tls.Certificate{}, nil, errors.Wrap(err, "keys: parse certificate")
 	}
 	pool := x509.NewCertPool()
 	pool.AddCert(leaf)
@@ -66,7 +66,7 @@
 	limit := new(big.Int).Lsh(big.NewInt(1), 127)
 	n, err := rand.Int(rand.Reader, limit)
 	if err != nil {
-		return nil, errors.Wrap(err, "keys: serial")
+		return nil, errors.Wrap(err, "keys: generate serial number")
 	}
 	return n, nil
 }
@@ -80,13 +80,13 @@
 	}
 	der, err := x509.MarshalPKCS8PrivateKey(cert.PrivateKey)
 	if err != nil {
-		return errors.Wrap(err, "keys: encode")
+		return errors.Wrap(err, "keys: encode key")
 	}
 	if err := os.WriteFile(certificate, chain, certMode); err != nil {
-		return errors.Wrap(err, "keys: write")
+		return errors.Wrap(err, "keys: write certificate")
 	}
 	if err := os.WriteFile(key, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), keyMode); err != nil {
-		return errors.Wrap(err, "keys: write")
+		return errors.Wrap(err, "keys: write key")
 	}
 	return nil
 }
--- a/internal/keys/settings.go
+++ b/internal/keys/settings.go
@@ -2,19 +2,20 @@
 
 import "bergamotstall/internal/settings"
 
-// Settings name the files of a process's identity in its YAML settings, PEM.
+// Settings holds the paths of a process's certificate files, PEM, in its YAML settings.
 type Settings struct {
-	// Authority is the certificate of the authority that peers must come from.
+	// Authority is the certificate of the authority that must have signed the peers'
+	// certificates.
 	Authority   string `yaml:"authority"`
 	Certificate string `yaml:"certificate"`
 	Key         string `yaml:"key"`
 }
 
-// Absent tells that no identity was set: connections are then plain, for trials
-// on one machine only.
+// Absent reports whether no files are set. Connections are then unencrypted, which is for
+// trials on one machine only.
 func (s Settings) Absent() bool { return s == Settings{} }
 
-// Check reports files that can't be read; path is the field that holds s.
+// Check reports files that can't be read. path is the settings field that holds s.
 func (s Settings) Check(c *settings.Checker, path string) {
 	if s.Absent() {
 		return
@@ -24,7 +25,7 @@
 	c.File(path+".key", s.Key)
 }
 
-// Files returns the paths as Load takes them.
+// Files returns the paths for Load.
 func (s Settings) Files() Files {
 	return Files(s)
 }
--- a/internal/keys/store.go
+++ b/internal/keys/store.go
@@ -17,13 +17,13 @@
 
 // Errors of a process's own files.
 var (
-	ErrFiles    = errors.New("keys: certificate files unusable")
-	ErrOwnStale = errors.New("keys: own certificate has expired or isn't valid yet")
+	ErrFiles                 = errors.New("keys: can't use the certificate files")
+	ErrOwnCertificateExpired = errors.New("keys: own certificate has expired or isn't valid yet")
 )
 
-// Store holds a process's certificate and the authority it trusts, and hands out
-// TLS settings that follow the files: a renewed certificate is used from the
-// next handshake on, without a restart.
+// Store holds a process's certificate and the authorities that it trusts. It provides TLS
+// configurations that follow the files: a renewed certificate is used from the next
+// handshake on, without a restart.
 type Store struct {
 	files   Files
 	log     logrus.FieldLogger
@@ -33,10 +33,10 @@
 	certificate *tls.Certificate
 	pool        *x509.CertPool
 	self        Peer
-	modified    [3]time.Time
+	modifiedAt  [3]time.Time
 }
 
-// Load reads the files and checks that they belong together.
+// Load reads the files and checks the certificate against the key and the authorities.
 func Load(files Files, log logrus.FieldLogger, m *metrics.Set) (*Store, error) {
 	s := &Store{files: files, log: log, metrics: m}
 	if err := s.Reload(); err != nil {
@@ -57,9 +57,9 @@
 	return s.self
 }
 
-// Reload reads the files again; on an error the old ones stay in use.
+// Reload reads the files again. After an error the current certificate stays in use.
 func (s *Store) Reload() error {
-	modified := s.modifiedTimes()
+	modified := s.modificationTimes()
 	cert, err := tls.LoadX509KeyPair(s.files.Certificate, s.files.Key)
 	if err != nil {
 		return errors.Wrap(ErrFiles, err.Error())
@@ -72,29 +72,30 @@
 	if !pool.AppendCertsFromPEM(authority) {
 		return errors.Wrapf(ErrFiles, "no certificate in %s", s.files.Authority)
 	}
-	self, err := checkOwn(cert.Leaf, pool)
+	self, err := verifyOwn(cert.Leaf, pool)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.certificate, s.pool, s.self, s.modified = &cert, pool, self, modified
+	s.certificate, s.pool, s.self, s.modifiedAt = &cert, pool, self, modified
 	return nil
 }
 
-// checkOwn finds at the start what every peer would refuse later.
-func checkOwn(leaf *x509.Certificate, pool *x509.CertPool) (Peer, error) {
+// verifyOwn checks the process's own certificate as its peers do, so that an invalid one
+// is found at the start.
+func verifyOwn(leaf *x509.Certificate, pool *x509.CertPool) (Peer, error) {
 	_, err := leaf.Verify(x509.VerifyOptions{Roots: pool, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}})
 	if err != nil {
 		if errors.Is(verifyError(err), ErrExpired) {
-			return Peer{}, errors.Wrap(ErrOwnStale, err.Error())
+			return Peer{}, errors.Wrap(ErrOwnCertificateExpired, err.Error())
 		}
 		return Peer{}, errors.Wrap(ErrFiles, err.Error())
 	}
 	return identityOf(leaf)
 }
 
-func (s *Store) modifiedTimes() [3]time.Time {
+func (s *Store) modificationTimes() [3]time.Time {
 	var out [3]time.Time
 	for i, path := range []string{s.files.Authority, s.files.Certificate, s.files.Key} {
 		if info, err := os.Stat(path); err == nil {
@@ -113,21 +114,21 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			s.reloadChanged()
+			s.reloadIfChanged()
 		}
 	}
 }
 
-func (s *Store) reloadChanged() {
-	now := s.modifiedTimes()
+func (s *Store) reloadIfChanged() {
+	now := s.modificationTimes()
 	s.mu.RLock()
-	same := now == s.modified
+	unchanged := now == s.modifiedAt
 	s.mu.RUnlock()
-	if same {
+	if unchanged {
 		return
 	}
 	if err := s.Reload(); err != nil {
-		// A renewal writes two files; the next look finds both.
+		// A renewal writes two files, so the next check may succeed.
 		s.metrics.Counter("tls_reload_errors").Add(1)
 		events.Log(s.log, events.CertificateUnusable, logrus.Fields{"file": s.files.Certificate, "error": err})
 		return
@@ -136,11 +137,11 @@
 	events.Log(s.log, events.CertificateReloaded, logrus.Fields{"file": s.files.Certificate})
 }
 
-// Server returns settings for a listener that serves the given roles.
+// Server returns a configuration for a listener that accepts the given roles.
 func (s *Store) Server(allowed ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
-		// The chain is checked in VerifyConnection, against the current authority.
+		// VerifyConnection checks the chain against the current authorities.
 		ClientAuth: tls.RequireAnyClientCert,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 			return s.current(), nil
@@ -149,13 +150,13 @@
 	}
 }
 
-// Client returns settings for connections to peers of the given roles. Use them
-// with the function Client, which checks the address.
+// Client returns a configuration for connections to peers of the given roles. Use it with
+// the function Client, which also checks the address.
 func (s *Store) Client(allowed ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
-		// Only the library's check is off: verify does the same with an authority
-		// that can change, and holds the role against those allowed besides.
+		// This disables only the check of crypto/tls. verify checks the same against the
+		// current authorities, and also checks the role.
 		InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return s.current(), nil
@@ -170,8 +171,8 @@
 	return s.certificate
 }
 
-// verifier checks peers and counts those it refuses. It runs on resumed
-// sessions too, so that a ticket doesn't outlive a certificate.
+// verifier returns a function that checks peers and counts the refused ones. It also runs
+// for resumed sessions, so that a session ticket is no longer valid than the certificate.
 func (s *Store) verifier(allowed []Role) func(tls.ConnectionState) error {
 	return func(cs tls.ConnectionState) error {
 		s.mu.RLock()
