--- a/control/backend.go
+++ b/control/backend.go
@@ -28,8 +28,8 @@
 	return out, nil
 }
 
-// operatorError turns the log's errors into the operators' protocol's. All but
-// an oversized command may fare better at another VM.
+// operatorError maps errors of the log to errors of the operators' protocol. Except for an
+// oversized command, another VM may accept the command.
 func operatorError(err error) error {
 	switch {
 	case errors.Is(err, replica.ErrTooLarge):
@@ -53,15 +53,15 @@
 
 // Local implements operator.Backend.
 func (c *Control) Local() operator.LocalStatus {
-	sum := c.catalogue.Summary()
+	summary := c.catalogue.Summary()
 	status := c.log.Status()
 	out := operator.LocalStatus{
-		Leader: leaderName(status), Replicas: replicas(status),
+		Leader: leaderName(status), Replicas: listReplicas(status),
 		VM: c.settings.Name, DataCentre: c.settings.DataCentre,
 		ContactAgeMS: c.log.ContactAge().Milliseconds(),
-		Version:      sum.Version, Revision: sum.Revision, InForce: sum.InForce,
+		Version:      summary.Version, Revision: summary.Revision, InForce: summary.InForce,
 	}
-	for _, s := range c.spread.Subscribers() {
+	for _, s := range c.distributor.Subscribers() {
 		out.Subscribers = append(out.Subscribers, operator.Subscriber{
 			Name: s.Name, Role: s.Role.String(), Revision: s.Revision, AgeMS: s.Age.Milliseconds(),
 		})
@@ -69,13 +69,13 @@
 	return out
 }
 
-// replicas lists the control VMs as this one knows them.
-func replicas(s replica.Status) []operator.Replica {
-	leads := s.Leader == s.ID
+// listReplicas returns the control VMs as this one knows them.
+func listReplicas(s replica.Status) []operator.Replica {
+	isLeader := s.Leader == s.ID
 	out := make([]operator.Replica, 0, len(s.Members))
 	for _, m := range s.Members {
 		r := operator.Replica{Name: m.Name, ID: m.ID.String(), Address: m.Address, Role: m.Role.String(), Lag: -1, SilentMS: -1}
-		if leads {
+		if isLeader {
 			r.Lag, r.SilentMS = int64(s.Lag(m)), m.Silence.Milliseconds()
 		}
 		out = append(out, r)
@@ -83,7 +83,7 @@
 	return out
 }
 
-// leaderName names the VM that this one follows; empty where it knows none.
+// leaderName returns the name of the leader; empty if this VM knows none.
 func leaderName(s replica.Status) string {
 	for _, m := range s.Members {
 		if m.ID == s.Leader {
@@ -93,8 +93,8 @@
 	return ""
 }
 
-// ChangeMembers implements operator.Backend. The operator names a VM; the
-// replica that it stands for is the one under that name in the membership.
+// ChangeMembers implements operator.Backend. The operator names a VM, and the change
+// applies to the member with that name.
 func (c *Control) ChangeMembers(ctx context.Context, change operator.MembersChange) error {
 	if err := c.log.Barrier(ctx); err != nil {
 		return operatorError(err)
@@ -128,7 +128,8 @@
 	return 0, false
 }
 
-// memberError keeps the reason of a refusal; anything else is a lack of quorum.
+// memberError returns the reason why a change was refused; other errors map to those of
+// the operators' protocol.
 func memberError(err error) error {
 	for _, refusal := range []error{
 		replica.ErrNobody, raft.ErrChangeOpen, raft.ErrUnknown, raft.ErrMember,
--- a/control/cluster_test.go
+++ b/control/cluster_test.go
@@ -19,20 +19,20 @@
 	"bergamotstall/internal/operator"
 )
 
-// patience bounds the wait for what must happen; no verdict depends on its
-// length being short.
-const patience = 30 * time.Second
+// eventuallyTimeout limits the wait for a condition that must become true. It may be long,
+// since no test expects a condition to stay false.
+const eventuallyTimeout = 30 * time.Second
 
 var subnet atomic.Uint32
 
-// cluster is a few control VMs in this process, one loopback address each.
+// cluster is a group of control VMs in this process, each on its own loopback address.
 type cluster struct {
 	t       testing.TB
 	network *network
 	vms     []*vm
 }
 
-// vm is one control VM of a test. It may be stopped and started again.
+// vm is a control VM of a test. It can be stopped and started again.
 type vm struct {
 	cluster  *cluster
 	settings Settings
@@ -41,7 +41,7 @@
 	ended    chan error
 }
 
-// startCluster starts n control VMs and waits until all vote.
+// startCluster starts n control VMs and waits until all of them are voters.
 func startCluster(t testing.TB, n int) *cluster {
 	t.Helper()
 	c := newCluster(t, n)
@@ -49,7 +49,7 @@
 	return c
 }
 
-// newCluster sets n control VMs up.
+// newCluster prepares n control VMs without starting them.
 func newCluster(t testing.TB, n int) *cluster {
 	t.Helper()
 	c := &cluster{t: t, network: &network{cut: map[string]bool{}}}
@@ -74,25 +74,25 @@
 	return c
 }
 
-// start starts all VMs and waits until the cluster is ready.
+// start starts all VMs and waits until all of them are voters and the first keys exist.
 func (c *cluster) start() {
 	c.t.Helper()
 	for _, v := range c.vms {
 		v.start()
 	}
-	c.eventually("all vote", func() bool { return c.voters() == len(c.vms) })
-	c.eventually("first keys", func() bool { return len(c.vms[0].control.catalogue.Keys()) == 1 })
+	c.eventually("all VMs are voters", func() bool { return c.voters() == len(c.vms) })
+	c.eventually("the first keys exist", func() bool { return len(c.vms[0].control.catalogue.Keys()) == 1 })
 }
 
 func (v *vm) start() {
 	v.cluster.t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	var dial dialFunc // with TLS the VM's own
+	var dial dialFunc // nil with TLS, for the VM's own dialer
 	if v.settings.TLS.Absent() {
 		dial = v.cluster.network.dialer(v.settings.Name, v.settings.Replica.Peers)
 	}
-	control, err := newWith(v.settings, log, dial)
+	control, err := newWithDialer(v.settings, log, dial)
 	if err != nil {
 		v.cluster.t.Fatal(err)
 	}
@@ -124,16 +124,16 @@
 
 func (c *cluster) eventually(what string, ok func() bool) {
 	c.t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(eventuallyTimeout)
 	for !ok() {
 		if time.Now().After(end) {
-			c.t.Fatalf("not within %v: %s", patience, what)
+			c.t.Fatalf("condition not reached within %v: %s", eventuallyTimeout, what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// leader returns the VM that leads, nil while none does.
+// leader returns the leader, nil if there is none.
 func (c *cluster) leader() *vm {
 	for _, v := range c.vms {
 		if !v.running() {
@@ -149,21 +149,21 @@
 func (c *cluster) awaitLeader() *vm {
 	c.t.Helper()
 	var found *vm
-	c.eventually("a leader", func() bool {
+	c.eventually("there is a leader", func() bool {
 		found = c.leader()
 		return found != nil
 	})
 	return found
 }
 
-// voters counts the voters that the leader knows.
+// voters returns the number of voters that the leader knows.
 func (c *cluster) voters() int {
 	v := c.leader()
 	if v == nil {
 		return 0
 	}
 	n := 0
-	for _, m := range replicas(v.control.log.Status()) {
+	for _, m := range listReplicas(v.control.log.Status()) {
 		if m.Role == operator.RoleVoter {
 			n++
 		}
@@ -171,7 +171,7 @@
 	return n
 }
 
-// client asks the VMs in the given order.
+// client returns a client that asks the VMs in the given order.
 func client(vms ...*vm) *operator.Client {
 	c := &operator.Client{Operator: "ama"}
 	for _, v := range vms {
@@ -180,8 +180,8 @@
 	return c
 }
 
-// others are the VMs but the given one.
-func (c *cluster) others(not *vm) []*vm {
+// othersThan returns all VMs except the given one.
+func (c *cluster) othersThan(not *vm) []*vm {
 	var out []*vm
 	for _, v := range c.vms {
 		if v != not {
@@ -202,8 +202,8 @@
 	return catalogue.Command{ID: id, Apply: &catalogue.ApplyCatalogue{Definition: definition()}}
 }
 
-// mustApply puts the test's definition in force.
-func (c *cluster) mustApply() catalogue.Outcome {
+// mustApplyDefinition applies the test's definition.
+func (c *cluster) mustApplyDefinition() catalogue.Outcome {
 	c.t.Helper()
 	out, err := client(c.vms...).Command(c.t.Context(), applyCommand(""))
 	if err != nil {
@@ -216,8 +216,8 @@
 	return catalogue.Command{ID: id, Expected: expected, Switch: &catalogue.SwitchPreset{Preset: preset}}
 }
 
-// network lets a test cut a VM off from the other control VMs. Operators and
-// subscribers still reach it.
+// network can isolate a VM from the other control VMs. Operators and subscribers still
+// reach it.
 type network struct {
 	mu    sync.Mutex
 	cut   map[string]bool
@@ -229,7 +229,7 @@
 	conn     net.Conn
 }
 
-var errCut = errors.New("cut off")
+var errCut = errors.New("control VM is isolated")
 
 func (n *network) dialer(from string, peers []Peer) dialFunc {
 	names := map[string]string{}
@@ -258,8 +258,8 @@
 	}
 }
 
-// isolate cuts a VM off from the others, or heals the cut.
-func (n *network) isolate(v *vm, cut bool) {
+// setIsolated isolates a VM from the other control VMs, or ends the isolation.
+func (n *network) setIsolated(v *vm, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	name := v.settings.Name
--- a/control/control.go
+++ b/control/control.go
@@ -1,6 +1,6 @@
-// Package control is the role of the few VMs with disks: the replicated
-// catalogue, the distribution of the table to balancers and agents, and the
-// operators' protocol.
+// Package control implements the control role, which runs on a few VMs with disks. It
+// replicates the catalogue, distributes the table to balancers and agents, and serves
+// operators.
 package control
 
 import (
@@ -22,30 +22,31 @@
 	"bergamotstall/internal/table"
 )
 
-// commandLimit bounds one command. A definition of 2,100 services with three
+// maxCommandSize limits one command, in bytes. A definition of 2,100 services with three
 // presets that each name every service in 17 data centres takes about 3 MB.
-const commandLimit = 4 << 20
+const maxCommandSize = 4 << 20
 
 // Control is one control VM.
 type Control struct {
-	settings  Settings
-	logger    logrus.FieldLogger
-	metrics   *metrics.Set
-	catalogue *catalogue.Catalogue
-	log       Log
-	registrar *registrar
-	spread    *distribution.Server
-	security  security
+	settings    Settings
+	logger      logrus.FieldLogger
+	metrics     *metrics.Set
+	catalogue   *catalogue.Catalogue
+	log         Log
+	registrar   *registrar
+	distributor *distribution.Server
+	security    security
 }
 
-// New opens the VM's state and takes part in the replicated log. Run serves it
-// and closes it; a Control that isn't run is closed by Close.
+// New opens the VM's state and joins the replicated log. Run serves it and closes it; if
+// Run isn't called, call Close.
 func New(s Settings, logger logrus.FieldLogger) (*Control, error) {
-	return newWith(s, logger, nil)
+	return newWithDialer(s, logger, nil)
 }
 
-// newWith lets a test put itself between the replicas.
-func newWith(s Settings, logger logrus.FieldLogger, dial dialFunc) (*Control, error) {
+// newWithDialer is New with a dialer for the connections to other control VMs. Tests use
+// it to simulate partitions.
+func newWithDialer(s Settings, logger logrus.FieldLogger, dial dialFunc) (*Control, error) {
 	c := &Control{
 		settings:  s,
 		logger:    logger.WithField("control", s.Name),
@@ -63,7 +64,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "control: open state")
 	}
-	c.open(log)
+	c.openServices(log)
 	return c, nil
 }
 
@@ -72,7 +73,7 @@
 		Folder: c.settings.Folder, Name: c.settings.Name, Listen: c.settings.Replica.Listen,
 		Advertise: cmp.Or(c.settings.Replica.Advertise, c.settings.Replica.Listen), Bootstrap: c.settings.Replica.Bootstrap,
 		TLS: replica.TLS{Server: c.security.replicas}, Dial: c.security.dial,
-		CommandLimit: commandLimit, Log: c.logger, Metrics: c.metrics,
+		CommandLimit: maxCommandSize, Log: c.logger, Metrics: c.metrics,
 	}
 	for _, p := range c.settings.Replica.Peers {
 		if p.Name != c.settings.Name {
@@ -82,11 +83,11 @@
 	return cfg
 }
 
-// open connects the parts that stand on the log.
-func (c *Control) open(log Log) {
+// openServices sets up the services that use the log.
+func (c *Control) openServices(log Log) {
 	c.log = log
 	c.registrar = &registrar{vm: c.settings.Name, log: log, now: time.Now, logger: c.logger, metrics: c.metrics}
-	c.spread = distribution.NewServer(distribution.ServerConfig{
+	c.distributor = distribution.NewServer(distribution.ServerConfig{
 		Name: c.settings.Name, Source: c, Registrar: c.registrar, TLS: c.security.subscribers,
 		Log: c.logger, Metrics: c.metrics,
 	})
@@ -97,26 +98,26 @@
 	c.metrics.Text("preset_in_force", func() string { return c.catalogue.Summary().InForce })
 }
 
-// Close ends a Control that isn't running.
+// Close closes a Control that isn't running.
 func (c *Control) Close() error {
-	c.spread.Close()
+	c.distributor.Close()
 	return c.log.Close()
 }
 
 // Metrics returns the VM's counters.
 func (c *Control) Metrics() *metrics.Set { return c.metrics }
 
-// Table, Changed and ContactAge make a Control a distribution.Source.
+// Table implements distribution.Source, together with Changed and ContactAge.
 func (c *Control) Table() *table.Table { return c.catalogue.Table() }
 
 // Changed returns a channel that is closed at the next change of Table.
 func (c *Control) Changed() <-chan struct{} { return c.catalogue.Changed() }
 
-// ContactAge tells how long ago this VM was in touch with a quorum.
+// ContactAge returns the time since this VM's last contact with a quorum.
 func (c *Control) ContactAge() time.Duration { return c.log.ContactAge() }
 
-// Run serves until ctx is done and requests in progress have ended, or until
-// the VM can take no further part, as after a failed sync of its disk.
+// Run serves until ctx is done and requests in progress have ended, or until the replica
+// has failed, for example after a failed sync of its disk.
 func (c *Control) Run(ctx context.Context) (err error) {
 	defer func() {
 		if closeErr := c.Close(); err == nil {
@@ -154,10 +155,10 @@
 		return server.Serve(ctx, operators)
 	})
 	group.Go(func() error {
-		// Subscribers are told to go elsewhere.
-		stop := context.AfterFunc(ctx, c.spread.Close)
+		// Close tells subscribers to connect to another control VM.
+		stop := context.AfterFunc(ctx, c.distributor.Close)
 		defer stop()
-		if err := c.spread.Serve(subscribers); !errors.Is(err, distribution.ErrClosed) {
+		if err := c.distributor.Serve(subscribers); !errors.Is(err, distribution.ErrClosed) {
 			return err
 		}
 		return nil
@@ -179,12 +180,12 @@
 	})
 	if c.security.store != nil {
 		group.Go(func() error {
-			c.security.store.Watch(ctx, reloadEvery)
+			c.security.store.Watch(ctx, certificateReloadInterval)
 			return nil
 		})
 	}
 	return group.Wait()
 }
 
-// ErrReplicaEnded is returned by Run where the replica takes no further part.
+// ErrReplicaEnded is returned by Run if the replica has failed.
 var ErrReplicaEnded = errors.New("control: the replica has ended")
--- a/control/cost_test.go
+++ b/control/cost_test.go
@@ -8,13 +8,13 @@
 	"bergamotstall/internal/distribution"
 )
 
-// BenchmarkCommand measures what an operator waits for one accepted command:
-// connect, commit on a majority with its syncs, apply, answer.
+// BenchmarkCommand measures the latency of an accepted command: connect, commit with the
+// disk syncs of a majority, apply, reply.
 func BenchmarkCommand(b *testing.B) {
 	for _, n := range []int{1, 3, 5} {
 		b.Run(fmt.Sprintf("vms=%d", n), func(b *testing.B) {
 			c := startCluster(b, n)
-			c.mustApply()
+			c.mustApplyDefinition()
 			op := client(c.awaitLeader())
 			i := 0
 			for b.Loop() {
@@ -27,13 +27,12 @@
 	}
 }
 
-// BenchmarkAnnounce measures announcements that come many at once: of new agents,
-// as after a power cut, and of known ones, as when the subscribers of a control
-// VM that died come to another.
+// BenchmarkAnnounce measures concurrent announcements of new agents, as after a power cut,
+// and of known agents, as when the subscribers of a failed control VM reconnect to another.
 func BenchmarkAnnounce(b *testing.B) {
 	for _, n := range []int{1, 3, 5} {
 		c := startCluster(b, n)
-		c.mustApply()
+		c.mustApplyDefinition()
 		registrar := c.awaitLeader().control.registrar
 		var next atomic.Uint64
 		announce := func(b *testing.B, hosts uint64) {
--- a/control/failure_test.go
+++ b/control/failure_test.go
@@ -12,14 +12,14 @@
 	"bergamotstall/internal/operator"
 )
 
-// Two operators at two control VMs read the same version and both switch at
-// the same moment. One gets its preset; the other reads the current version,
-// and the winner's preset stays in force on every VM.
-func TestOperatorsWithEqualVersionAtTwoVMs(t *testing.T) {
+// Guards against a switch that is silently undone: two operators at two control VMs read
+// the same version and switch at the same time. One succeeds on every VM; the other gets a
+// conflict with the current version.
+func TestOneOfTwoConcurrentSwitchesAtTwoVMsWins(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := startCluster(t, 3)
-	version := c.mustApply().Version
+	version := c.mustApplyDefinition().Version
 
 	errs := make([]error, 2)
 	var both sync.WaitGroup
@@ -43,21 +43,20 @@
 	}
 }
 
-// The leader dies after it took a switch and before its answer arrived. A
-// colleague switches on; then the operator's tool sends the command again, to
-// another VM. The operator reads the first outcome, the colleague's preset
-// stays, and the audit record has the command once.
-func TestResendAfterALeaderChange(t *testing.T) {
+// Guards against a resend that applies a command twice: the leader stops after it accepted
+// a switch, another operator switches again, and the first command is resent to another
+// VM. It returns the first outcome and is in the audit record once.
+func TestResendAfterALeaderChangeReturnsTheFirstOutcome(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := startCluster(t, 3)
-	c.mustApply()
+	c.mustApplyDefinition()
 	leader := c.awaitLeader()
 	first, err := client(leader).Command(t.Context(), switchTo("peak", "ama-1", 0))
 	is.NoErr(err)
 	leader.stop()
 
-	rest := c.others(leader)
+	rest := c.othersThan(leader)
 	_, err = client(rest...).Command(t.Context(), switchTo("maintenance", "kofi-1", first.Version))
 	is.NoErr(err)
 	for _, v := range rest {
@@ -81,33 +80,31 @@
 	return n
 }
 
-// The operator's first address is dead, as is the connection of the second one
-// before it answers. The tool goes on to the third with the same identity, and
-// the operator sees one switch.
-func TestClientGoesOnToTheNextVM(t *testing.T) {
+// Guards against a client that gives up at its first address: that VM is down, and the
+// next one accepts the command.
+func TestClientAsksTheNextVM(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := startCluster(t, 3)
-	c.mustApply()
+	c.mustApplyDefinition()
 	leader := c.awaitLeader()
 	leader.stop()
-	rest := c.others(leader)
+	rest := c.othersThan(leader)
 	out, err := client(leader, rest[0], rest[1]).Command(t.Context(), switchTo("peak", "ama-1", 0))
 	is.NoErr(err)
 	is.Equal(out.Text, "peak in force, before it ordinary")
 }
 
-// The leader is cut off from the other control VMs and doesn't know. Operators
-// still reach it. Reads there say that there is no quorum, and name nothing as
-// current; a switch there isn't accepted; a switch at the others is, and is not
-// undone when the partition ends.
-func TestLeaderOnTheFarSideOfAPartition(t *testing.T) {
+// Guards against outdated reads and lost writes at a leader that is isolated from the
+// other control VMs while operators still reach it. It reports that it has no quorum; a
+// switch at the other VMs is accepted and stays in force after the partition.
+func TestIsolatedLeaderReportsNoQuorum(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := startCluster(t, 3)
-	c.mustApply()
+	c.mustApplyDefinition()
 	leader := c.awaitLeader()
-	c.network.isolate(leader, true)
+	c.network.setIsolated(leader, true)
 
 	_, err := client(leader).Command(t.Context(), switchTo("maintenance", "ama-1", 0))
 	var lost *operator.Unreachable
@@ -119,16 +116,16 @@
 	is.True(errors.As(lost.Attempts[0].Err, &failure))
 	is.Equal(failure.Code, operator.NoQuorum)
 
-	rest := c.others(leader)
+	rest := c.othersThan(leader)
 	out, err := client(rest...).Command(t.Context(), switchTo("peak", "kofi-1", 0))
 	is.NoErr(err)
-	is.True(leader.control.ContactAge() > time.Second) // its subscribers are told so
+	is.True(leader.control.ContactAge() > time.Second) // its subscribers learn this age
 	view, err := client(leader, rest[0]).Read(t.Context(), operator.PartSummary)
 	is.NoErr(err)
-	is.Equal(view.InForce, "peak") // the tool found a VM that is current
+	is.Equal(view.InForce, "peak") // from the VM with a quorum
 
-	c.network.isolate(leader, false)
-	c.eventually("the old leader follows", func() bool {
+	c.network.setIsolated(leader, false)
+	c.eventually("the old leader has caught up", func() bool {
 		return leader.control.catalogue.Summary().Revision >= out.Revision && leader.control.ContactAge() < time.Second
 	})
 	view, err = client(leader).Read(t.Context(), operator.PartSummary)
@@ -136,15 +133,15 @@
 	is.Equal(view.InForce, "peak")
 }
 
-// A control VM loses its disk and is started again with an empty one. It waits,
-// votes in nothing, and its operator replaces it. Right after, a second VM is
-// lost for good. The preset that was committed before is still in force, and
-// commands go on.
-func TestSecondVMLostRightAfterTheFirstWasReplaced(t *testing.T) {
+// Guards against lost commits when a VM fails right after another one was replaced: a
+// control VM loses its disk, restarts with an empty one and waits without a vote until an
+// operator replaces it. Then a second VM is lost. Commands are still accepted, and the
+// earlier commands are in the audit record.
+func TestVMLostRightAfterAnotherWasReplaced(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := startCluster(t, 3)
-	c.mustApply()
+	c.mustApplyDefinition()
 	_, err := client(c.vms...).Command(t.Context(), switchTo("peak", "ama-1", 0))
 	is.NoErr(err)
 
@@ -154,14 +151,14 @@
 	}
 	lost.loseDisk()
 	lost.start()
-	rest := c.others(lost)
-	c.eventually("the fresh replica waits", func() bool {
+	rest := c.othersThan(lost)
+	c.eventually("the new replica waits to replace the lost one", func() bool {
 		l := c.leader()
 		return l != nil && len(l.control.log.Status().Waiting) == 1
 	})
 	_, err = client(rest...).ChangeMembers(t.Context(), operator.MembersChange{Action: operator.ReplaceMember, Name: lost.settings.Name})
 	is.NoErr(err)
-	c.eventually("the replacement votes alone under its name", func() bool {
+	c.eventually("the replacement is the only voter with its name", func() bool {
 		l := c.leader()
 		return l != nil && c.voters() == 3 && len(l.control.log.Status().Members) == 3
 	})
@@ -177,16 +174,16 @@
 	is.Equal(recordsOf(view, "ama-1"), 1)
 }
 
-// A VM was down while hundreds of changes passed. Back, it answers nothing
-// before it has them all.
-func TestVMBackAfterHundredsOfChanges(t *testing.T) {
+// Guards against outdated reads at a VM that was down during hundreds of changes: it
+// answers only once it has applied them all.
+func TestRestartedVMAnswersOnlyOnceItIsCurrent(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := startCluster(t, 3)
-	c.mustApply()
-	away := c.others(c.awaitLeader())[0]
+	c.mustApplyDefinition()
+	away := c.othersThan(c.awaitLeader())[0]
 	away.stop()
-	op := client(c.others(away)...)
+	op := client(c.othersThan(away)...)
 	var last catalogue.Outcome
 	for i := range 300 {
 		var err error
@@ -195,7 +192,7 @@
 	}
 	away.start()
 	var view *operator.View
-	c.eventually("the VM answers", func() bool {
+	c.eventually("the restarted VM answers", func() bool {
 		var err error
 		view, err = client(away).Read(t.Context(), operator.PartSummary)
 		return err == nil
@@ -204,37 +201,37 @@
 	is.Equal(view.Revision, last.Revision)
 }
 
-// No majority is left. The operator reads so from the VM that still runs, with
-// what it knew last marked as its own word.
-func TestNoQuorumIsSaid(t *testing.T) {
+// Guards against outdated state that looks current: without a majority, the remaining VM
+// returns only its local status with the age of its last contact.
+func TestLostQuorumIsReported(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := startCluster(t, 3)
-	c.mustApply()
+	c.mustApplyDefinition()
 	c.vms[1].stop()
 	c.vms[2].stop()
-	// A starved VM may take in an old acknowledgement late, so that its age falls
-	// once more before it rises for good.
+	// A VM that gets little CPU time may process an old acknowledgement late, so that the
+	// age falls once more before it only rises.
 	var fleet *operator.Fleet
-	c.eventually("its own word is stale", func() bool {
+	c.eventually("its local status is outdated", func() bool {
 		fleet = client(c.vms...).Fleet(t.Context())
-		return fleet.VMs[0].Local != nil && fleet.VMs[0].Local.ContactAgeMS > staleAfter.Milliseconds()
+		return fleet.VMs[0].Local != nil && fleet.VMs[0].Local.ContactAgeMS > quorumStaleAfter.Milliseconds()
 	})
 	is.True(fleet.View == nil)
 	is.True(fleet.NoQuorum != "")
 	is.Equal(fleet.VMs[0].Local.InForce, "ordinary")
-	is.True(fleet.VMs[0].Local.ContactAgeMS >= staleAfter.Milliseconds()) // cut to whole milliseconds
+	is.True(fleet.VMs[0].Local.ContactAgeMS >= quorumStaleAfter.Milliseconds()) // rounded down to milliseconds
 	is.True(fleet.VMs[1].Err != "")
 }
 
-func TestMembersThatCantChange(t *testing.T) {
+func TestImpossibleMemberChangesAreRefused(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	c := startCluster(t, 1)
 	for _, change := range []operator.MembersChange{
 		{Action: operator.RemoveMember, Name: "control-1"}, // the last voter
 		{Action: operator.RemoveMember, Name: "control-9"},
-		{Action: operator.ReplaceMember, Name: "control-1"}, // nobody waits
+		{Action: operator.ReplaceMember, Name: "control-1"}, // no replica waits to replace it
 	} {
 		_, err := client(c.vms[0]).ChangeMembers(t.Context(), change)
 		var failure *operator.Failure
--- a/control/registrar.go
+++ b/control/registrar.go
@@ -16,25 +16,25 @@
 	"bergamotstall/internal/table"
 )
 
-// Log is the replicated log as this role uses it; replica.Replica is one.
+// Log is the replicated log; replica.Replica implements it.
 type Log interface {
-	// Propose returns the outcome that the state machine gave the command.
+	// Propose returns the state machine's result of the command.
 	Propose(ctx context.Context, command []byte) ([]byte, error)
-	// Barrier returns once this VM has applied all that was committed before.
+	// Barrier returns once this VM has applied everything that was committed before.
 	Barrier(ctx context.Context) error
-	// ContactAge tells how long ago this VM was in touch with a quorum.
+	// ContactAge returns the time since this VM's last contact with a quorum.
 	ContactAge() time.Duration
-	// Status is this VM's view of the cluster.
+	// Status returns this VM's view of the cluster.
 	Status() replica.Status
 	RemoveMember(ctx context.Context, id raft.ID) error
 	ReplaceMember(ctx context.Context, old raft.ID) error
-	// Done is closed once the replica has ended; Err then tells why.
+	// Done is closed once the replica has ended; Err then returns the reason.
 	Done() <-chan struct{}
 	Err() error
 	Close() error
 }
 
-// registrar turns what subscribers say into commands of the log.
+// registrar proposes the announcements and silence reports of subscribers as commands.
 type registrar struct {
 	vm      string
 	log     Log
@@ -45,10 +45,9 @@
 
 var _ distribution.Registrar = (*registrar)(nil)
 
-// submit proposes a command under this VM's name and clock. Where the outcome
-// is unknown it proposes the same bytes again until ctx ends: an operator's
-// command has its identity, a process's its incarnation, so that the second run
-// brings the first one's outcome.
+// submit proposes a command with this VM's name and time. If the outcome is unknown it
+// proposes the same bytes again until ctx ends. This is idempotent: operators' commands
+// have an ID and processes' commands an incarnation.
 func (r *registrar) submit(ctx context.Context, cmd *catalogue.Command) (catalogue.Outcome, error) {
 	cmd.Via = r.vm
 	cmd.AtMS = r.now().UnixMilli()
@@ -78,7 +77,7 @@
 	if err != nil {
 		return 0, err
 	}
-	r.note(out, a.Name)
+	r.logOutcome(out, a.Name)
 	return out.Agent, out.Err()
 }
 
@@ -88,25 +87,25 @@
 	if err != nil {
 		return err
 	}
-	r.note(out, a.Name)
+	r.logOutcome(out, a.Name)
 	return out.Err()
 }
 
 // AgentSilent implements distribution.Registrar.
 func (r *registrar) AgentSilent(ctx context.Context, s distribution.Silence) error {
 	out, err := r.submit(ctx, &catalogue.Command{AgentSilent: &s})
-	return r.silence(out, err, s.Name)
+	return r.logSilenceOutcome(out, err, s.Name)
 }
 
 // BalancerSilent implements distribution.Registrar.
 func (r *registrar) BalancerSilent(ctx context.Context, s distribution.Silence) error {
 	out, err := r.submit(ctx, &catalogue.Command{BalancerSilent: &s})
-	return r.silence(out, err, s.Name)
+	return r.logSilenceOutcome(out, err, s.Name)
 }
 
-// silence notes the outcome of a report. One that wasn't believed is in the
-// state as a suspicion; watch reports it again once it would be believed.
-func (r *registrar) silence(out catalogue.Outcome, err error, name string) error {
+// logSilenceOutcome logs and counts the outcome of a silence report. If the process became
+// only a suspect, watch reports it again once it may be taken out of service.
+func (r *registrar) logSilenceOutcome(out catalogue.Outcome, err error, name string) error {
 	if err != nil {
 		return err
 	}
@@ -116,11 +115,12 @@
 		events.Log(r.logger, events.SilenceDisputed, logrus.Fields{"process": name, "why": out.Text})
 		return nil
 	}
-	r.note(out, name)
+	r.logOutcome(out, name)
 	return out.Err()
 }
 
-func (r *registrar) note(out catalogue.Outcome, name string) {
+// logOutcome logs and counts the outcome of an announcement or silence report.
+func (r *registrar) logOutcome(out catalogue.Outcome, name string) {
 	r.metrics.Counter("announcements_" + out.Code.String()).Add(1)
 	events.Log(r.logger, events.FleetChanged, logrus.Fields{"process": name, "outcome": out.Text, "revision": out.Revision})
 }
--- a/control/secured_test.go
+++ b/control/secured_test.go
@@ -13,10 +13,9 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Three control VMs with certificates elect a leader over TLS. An operator's
-// certificate is let in under its own name. An agent's is told that it isn't an
-// operator's, and one of another authority is refused; neither changes anything.
-func TestRolesInCertificates(t *testing.T) {
+// Guards against commands from clients without an operator's certificate, and against an
+// operator who acts under another name. The control VMs use TLS among themselves too.
+func TestOnlyOperatorCertificatesAreAdmitted(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	folder, foreign := t.TempDir(), t.TempDir()
@@ -31,7 +30,7 @@
 	}
 	c.start()
 
-	ama := secured(t, c, folder, keys.Operator, "ama")
+	ama := clientWithRole(t, c, folder, keys.Operator, "ama")
 	ama.Operator = "somebody else"
 	out, err := ama.Command(t.Context(), applyCommand("ama-1"))
 	is.NoErr(err)
@@ -40,9 +39,9 @@
 	is.Equal(view.Records[len(view.Records)-1].Who, "ama") // the certificate's name, not the claimed one
 
 	for _, bad := range []*operator.Client{
-		secured(t, c, folder, keys.Agent, "casework-1"),
-		secured(t, c, folder, keys.Control, "control-1"),
-		distrusted(t, c, folder, foreign),
+		clientWithRole(t, c, folder, keys.Agent, "casework-1"),
+		clientWithRole(t, c, folder, keys.Control, "control-1"),
+		clientOfOtherAuthority(t, c, folder, foreign),
 	} {
 		_, err := bad.Command(t.Context(), switchTo("peak", "bad-1", 0))
 		var failure *operator.Failure
@@ -54,18 +53,19 @@
 	is.Equal(view.Version, out.Version)
 }
 
-// secured is a client with a fresh certificate of the folder's authority.
-func secured(t *testing.T, c *cluster, folder string, role keys.Role, name string) *operator.Client {
+// clientWithRole returns a client with a new certificate of the folder's authority.
+func clientWithRole(t *testing.T, c *cluster, folder string, role keys.Role, name string) *operator.Client {
 	t.Helper()
 	files, err := keys.Issue(folder, role, name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return withFiles(t, c, files)
+	return clientWithFiles(t, c, files)
 }
 
-// distrusted trusts the cluster's authority and has a certificate of another.
-func distrusted(t *testing.T, c *cluster, folder, foreign string) *operator.Client {
+// clientOfOtherAuthority returns a client that trusts the cluster's authority but has a
+// certificate of another.
+func clientOfOtherAuthority(t *testing.T, c *cluster, folder, foreign string) *operator.Client {
 	t.Helper()
 	files, err := keys.Issue(foreign, keys.Operator, "ama")
 	if err != nil {
@@ -75,12 +75,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	trusting := secured(t, c, folder, keys.Operator, "kofi")
+	trusting := clientWithRole(t, c, folder, keys.Operator, "kofi")
 	trusting.TLS.GetClientCertificate = store.Client(keys.Control).GetClientCertificate
 	return trusting
 }
 
-func withFiles(t *testing.T, c *cluster, files keys.Files) *operator.Client {
+func clientWithFiles(t *testing.T, c *cluster, files keys.Files) *operator.Client {
 	t.Helper()
 	store, err := keys.Load(files, logrus.StandardLogger(), metrics.New())
 	if err != nil {
--- a/control/security.go
+++ b/control/security.go
@@ -16,21 +16,22 @@
 // dialFunc opens a connection to another control VM.
 type dialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// security is the TLS of a control VM's connections; all nil without TLS.
+// security holds the TLS configurations of a control VM's connections; all are nil without
+// TLS.
 type security struct {
 	store *keys.Store
-	// replicas secures what other control VMs open, dial what this one opens.
+	// replicas is for connections from other control VMs; dial opens connections to them.
 	replicas *tls.Config
 	dial     dialFunc
 	// subscribers admits balancers and agents.
 	subscribers *tls.Config
-	// operators admits any role and leaves the verdict to the operators' server,
-	// which can say why in a reply; a refused handshake can't.
+	// operators admits any role. The operators' server checks the role, because it can
+	// reply with the reason and a refused handshake can't.
 	operators *tls.Config
 }
 
-// reloadEvery is how often the certificate files are looked at.
-const reloadEvery = 30 * time.Second
+// certificateReloadInterval is how often the certificate files are checked for changes.
+const certificateReloadInterval = 30 * time.Second
 
 func newSecurity(s keys.Settings, log logrus.FieldLogger, m *metrics.Set) (security, error) {
 	if s.Absent() {
@@ -41,7 +42,7 @@
 		return security{}, errors.Wrap(err, "control: TLS")
 	}
 	if self := store.Self(); self.Role != keys.Control {
-		return security{}, errors.Errorf("control: TLS: the certificate is a %s's", self.Role)
+		return security{}, errors.Errorf("control: TLS: the certificate's role is %s, not control", self.Role)
 	}
 	client := store.Client(keys.Control)
 	return security{
@@ -53,12 +54,12 @@
 	}, nil
 }
 
-// dialSecured connects to another control VM and checks that its certificate is
-// a control VM's at that address.
+// dialSecured connects to another control VM over TLS and checks that its certificate
+// belongs to a control VM at that address.
 func dialSecured(ctx context.Context, address string, cfg *tls.Config) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return nil, errors.Wrap(err, "control: peer's address")
+		return nil, errors.Wrap(err, "control: parse peer's address")
 	}
 	raw, err := new(net.Dialer).DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/control/settings.go
+++ b/control/settings.go
@@ -7,48 +7,48 @@
 	"bergamotstall/internal/settings"
 )
 
-// Settings are one control VM's.
+// Settings are the settings of a control VM.
 type Settings struct {
-	// Name is the VM's own, unique among control VMs, and the replica's identity
-	// together with its data folder.
+	// Name is the VM's name, unique among control VMs. Together with the data folder it
+	// identifies the replica.
 	Name       string `yaml:"name"`
 	DataCentre string `yaml:"dataCentre"`
-	// Folder holds the VM's durable state, and nothing else.
+	// Folder holds the VM's durable state and must contain nothing else.
 	Folder  string          `yaml:"folder"`
 	Replica ReplicaSettings `yaml:"replica"`
-	// Subscribers is where balancers and agents connect, "ip:port".
+	// Subscribers is the listen address for balancers and agents, "ip:port".
 	Subscribers string `yaml:"subscribers"`
-	// Operators is where bergamotctl connects, "ip:port".
+	// Operators is the listen address for bergamotctl, "ip:port".
 	Operators string `yaml:"operators"`
-	// Metrics is where the counters are read, "ip:port"; empty for nowhere.
+	// Metrics is the listen address for metrics, "ip:port"; empty disables it.
 	Metrics string `yaml:"metrics"`
-	// TLS may be left out for tests and the demo only: without it, whoever
-	// reaches an address is trusted.
+	// TLS may be left out for tests and the demo only: without it every client that can
+	// connect is trusted.
 	TLS keys.Settings `yaml:"tls"`
 }
 
-// ReplicaSettings are the replicated log's.
+// ReplicaSettings are the settings of the replicated log.
 type ReplicaSettings struct {
-	// Listen is where the other control VMs connect, "ip:port".
+	// Listen is the listen address for the other control VMs, "ip:port".
 	Listen string `yaml:"listen"`
-	// Advertise is the address that they dial, where it isn't Listen.
+	// Advertise is the address that the other control VMs dial, if it isn't Listen.
 	Advertise string `yaml:"advertise"`
-	// Bootstrap makes a new cluster where the folder is empty and no peer has a
-	// cluster. It is set on exactly one VM; the others join that one's cluster.
+	// Bootstrap creates a new cluster if the folder is empty and no peer has a cluster.
+	// Set it on exactly one VM; the others join that VM's cluster.
 	Bootstrap bool `yaml:"bootstrap"`
-	// Peers are the control VMs, this one among them, or some of them: a VM asks
-	// them to be taken in.
+	// Peers are all or some of the control VMs, including this one. A new VM asks them
+	// to join the cluster.
 	Peers []Peer `yaml:"peers"`
 }
 
 // Peer is one control VM.
 type Peer struct {
 	Name string `yaml:"name"`
-	// Address is its replica's, "ip:port".
+	// Address is the address of its replica, "ip:port".
 	Address string `yaml:"address"`
 }
 
-// maxPeers is how many VMs may be set aside for control.
+// maxPeers limits the number of control VMs.
 const maxPeers = 9
 
 // Problems implements settings.Checked.
@@ -96,7 +96,7 @@
 	}
 }
 
-// checkDistinct reports one address used for two purposes.
+// checkDistinct reports an address that is used for two purposes.
 func (s *Settings) checkDistinct(c *settings.Checker) {
 	used := make(map[string]string)
 	for _, l := range []struct{ path, address string }{
--- a/control/watch.go
+++ b/control/watch.go
@@ -15,38 +15,39 @@
 )
 
 const (
-	// watchStep is how often a VM looks whether time has made a step due.
-	watchStep = 250 * time.Millisecond
-	// leadLimit bounds the steps that a leader takes at one look.
-	leadLimit = time.Second
-	// staleAfter is when a VM logs that its word is no longer current.
-	staleAfter = 3 * time.Second
-	// clockTolerance is far over what synchronized clocks differ by, and over the
-	// wait of a command in the log.
-	clockTolerance = 2 * time.Second
-	// beatTolerance leaves a new leader the time for its first beat.
-	beatTolerance = 20 * time.Second
-	// clockLooks is five seconds of looks.
-	clockLooks = 20
-	// orphanAfter is the leader's silence of a control VM after which its
-	// subscribers are taken over: its own subscribers leave it after two seconds
-	// without a quorum.
-	orphanAfter = 3 * time.Second
+	// watchInterval is how often a VM checks for periodic tasks that are due.
+	watchInterval = 250 * time.Millisecond
+	// leaderTasksTimeout limits one run of the leader's tasks.
+	leaderTasksTimeout = time.Second
+	// quorumStaleAfter is the time without a quorum after which a VM logs that its state
+	// may be outdated.
+	quorumStaleAfter = 3 * time.Second
+	// clockAheadTolerance is far longer than the difference of synchronized clocks and
+	// the wait of a command in the log.
+	clockAheadTolerance = 2 * time.Second
+	// sweepTolerance leaves a new leader time for its first sweep.
+	sweepTolerance = 20 * time.Second
+	// clockDiffersChecks is the number of checks in 5 s.
+	clockDiffersChecks = 20
+	// adoptAfter is how long the leader must not have heard from a control VM before it
+	// adopts the VM's subscribers. Subscribers leave a VM after two seconds without a
+	// quorum, so those that are alive have left by then.
+	adoptAfter = 3 * time.Second
 )
 
-// watch takes the steps that only time brings about.
+// watch runs the periodic tasks until ctx is done.
 func (c *Control) watch(ctx context.Context) {
-	tick := time.NewTicker(watchStep)
+	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
 	stale := false
-	differs := 0
+	clockChecks := 0
 	for {
-		c.adoptOrphans()
+		c.adoptSubscribers()
 		if status := c.log.Status(); status.Leader == status.ID {
-			c.lead(ctx)
+			c.runLeaderTasks(ctx)
 		}
-		stale = c.noteContact(stale)
-		differs = c.noteClock(differs)
+		stale = c.checkQuorumContact(stale)
+		clockChecks = c.checkClock(clockChecks)
 		select {
 		case <-ctx.Done():
 			return
@@ -55,61 +56,61 @@
 	}
 }
 
-// lead takes the steps that one VM takes for all. A leader that was replaced a
-// moment ago may take one too; the state takes each once.
-func (c *Control) lead(ctx context.Context) {
+// runLeaderTasks runs the periodic tasks of the leader. A leader that was just replaced may
+// run them too; the state machine applies each step only once.
+func (c *Control) runLeaderTasks(ctx context.Context) {
 	agents, balancers := c.catalogue.RemovableSuspects(time.Now())
-	beat := c.catalogue.SweepDue(time.Now())
-	if !beat && len(agents)+len(balancers) == 0 && len(c.catalogue.Keys()) > 0 {
+	sweepDue := c.catalogue.SweepDue(time.Now())
+	if !sweepDue && len(agents)+len(balancers) == 0 && len(c.catalogue.Keys()) > 0 {
 		return
 	}
-	within, cancel := context.WithTimeout(ctx, leadLimit)
+	within, cancel := context.WithTimeout(ctx, leaderTasksTimeout)
 	defer cancel()
 	if c.log.Barrier(within) != nil {
 		return
 	}
 	c.makeFirstKeys(within)
-	if beat {
+	if sweepDue {
 		_, _ = c.registrar.submit(within, &catalogue.Command{Sweep: &catalogue.Sweep{}})
 	}
 	c.reportSuspects(within, agents, balancers)
 }
 
-// adoptOrphans watches over subscribers whose control VM can't report them: it
-// died, was removed, or is this one before its restart. A data centre that is
-// lost takes the control VM in it along, and nobody else would report its
-// agents. The leader takes over the dead VMs', each VM its own; the distribution
-// gives them time to come back anywhere.
-func (c *Control) adoptOrphans() {
-	agents, balancers := c.orphans()
+// adoptSubscribers starts liveness tracking for subscribers whose control VM can't report
+// them as silent: it is down, was removed, or is this VM before its restart. The loss of a
+// data centre includes its control VM, and without adoption no VM would report its agents.
+// The leader adopts the subscribers of lost VMs, every VM its own from before its restart.
+// Package distribution gives them time to reconnect to any control VM.
+func (c *Control) adoptSubscribers() {
+	agents, balancers := c.subscribersToAdopt()
 	if len(agents) > 0 {
-		c.spread.Adopt(distribution.RoleAgent, agents)
+		c.distributor.Adopt(distribution.RoleAgent, agents)
 	}
 	if len(balancers) > 0 {
-		c.spread.Adopt(distribution.RoleBalancer, balancers)
+		c.distributor.Adopt(distribution.RoleBalancer, balancers)
 	}
 }
 
-// orphans are the subscribers that this VM has to watch over.
-func (c *Control) orphans() (agents, balancers []distribution.Silence) {
+// subscribersToAdopt returns the subscribers that this VM has to track.
+func (c *Control) subscribersToAdopt() (agents, balancers []distribution.Silence) {
 	status := c.log.Status()
 	return c.catalogue.LiveVia(func(vm string) bool {
-		return vm == c.settings.Name || (status.Leader == status.ID && gone(status, vm))
+		return vm == c.settings.Name || (status.Leader == status.ID && isDownOrRemoved(status, vm))
 	})
 }
 
-// gone tells whether a control VM is silent for the leader, or no member.
-func gone(s replica.Status, vm string) bool {
+// isDownOrRemoved reports whether a control VM is silent for the leader or isn't a member.
+func isDownOrRemoved(s replica.Status, vm string) bool {
 	for _, m := range s.Members {
 		if m.Name == vm {
-			return m.Silence > orphanAfter
+			return m.Silence > adoptAfter
 		}
 	}
 	return true
 }
 
-// reportSuspects reports processes again that are still silent and that the
-// state would now believe to be gone.
+// reportSuspects reports suspects that are still silent again, now that the state allows
+// taking them out of service.
 func (c *Control) reportSuspects(ctx context.Context, agents, balancers []distribution.Silence) {
 	for _, s := range agents {
 		_ = c.registrar.AgentSilent(ctx, s)
@@ -119,55 +120,58 @@
 	}
 }
 
-// noteClock logs once the state's clock, the leader's, has differed from this
-// VM's for clockLooks looks: one of the two is wrong. It returns for how many
-// looks they have differed. After a pause of all control VMs they differ until
-// the first beat.
-func (c *Control) noteClock(looks int) int {
-	by := c.catalogue.ClockAhead(time.Now())
-	if !clockDiffers(by, c.log.ContactAge()) {
+// checkClock logs an event when the state's clock, which the leader sets, has differed from
+// this VM's clock for clockDiffersChecks checks in a row: one of the two is wrong. It
+// returns the number of such checks so far. After a pause of all control VMs the clocks
+// differ until the first sweep, so a single check isn't enough.
+func (c *Control) checkClock(checks int) int {
+	ahead := c.catalogue.ClockAhead(time.Now())
+	if !clockDiffers(ahead, c.log.ContactAge()) {
 		return 0
 	}
-	if looks+1 == clockLooks {
-		events.Log(c.logger, events.ClockDiffers, logrus.Fields{"ahead": by.String()})
+	if checks+1 == clockDiffersChecks {
+		events.Log(c.logger, events.ClockDiffers, logrus.Fields{"ahead": ahead.String()})
 	}
-	return looks + 1
+	return checks + 1
 }
 
-// clockDiffers judges by how much the state's clock is ahead. Between two beats
-// it falls behind; a VM out of touch sees no beats at all.
+// clockDiffers reports whether the state's clock differs too much from this VM's. The
+// state's clock falls behind between two sweeps. A VM without contact to a quorum receives
+// no sweeps, so for it only a clock that is ahead counts.
 func clockDiffers(ahead, contactAge time.Duration) bool {
-	if ahead > clockTolerance {
+	if ahead > clockAheadTolerance {
 		return true
 	}
-	inTouch := contactAge < staleAfter
-	return inTouch && -ahead > catalogue.SweepInterval+beatTolerance
+	inTouch := contactAge < quorumStaleAfter
+	return inTouch && -ahead > catalogue.SweepInterval+sweepTolerance
 }
 
-// noteContact logs the moments at which contact with a quorum ends and returns.
-func (c *Control) noteContact(stale bool) bool {
+// checkQuorumContact logs when contact with a quorum is lost and regained. It returns
+// whether it is lost now.
+func (c *Control) checkQuorumContact(wasStale bool) bool {
 	age := c.log.ContactAge()
-	now := age > staleAfter
-	if now && !stale {
+	staleNow := age > quorumStaleAfter
+	if staleNow && !wasStale {
 		events.Log(c.logger, events.QuorumLost, logrus.Fields{"age": age.String()})
 	}
-	if !now && stale {
+	if !staleNow && wasStale {
 		events.Log(c.logger, events.QuorumRegained, nil)
 	}
-	return now
+	return staleNow
 }
 
-// firstKeysID makes the first keys one command, whichever VM proposes it.
+// firstKeysID is the ID of the command for the first keys. It is the same on every VM, so
+// that only one of several proposals is applied.
 const firstKeysID = "first-cluster-keys"
 
-// makeFirstKeys hands out the first cluster keys where there are none.
+// makeFirstKeys generates the first cluster keys if there are none.
 func (c *Control) makeFirstKeys(ctx context.Context) {
 	if len(c.catalogue.Keys()) > 0 {
 		return
 	}
 	set, err := keys.NewKeySet(0, rand.Reader)
 	if err != nil {
-		c.logger.WithError(err).Error("make cluster keys")
+		c.logger.WithError(err).Error("cluster keys can't be generated; trying again")
 		return
 	}
 	cmd := &catalogue.Command{
--- a/control/watch_test.go
+++ b/control/watch_test.go
@@ -19,12 +19,12 @@
 	"bergamotstall/internal/replica"
 )
 
-// fakeLog is a log of one replica in memory.
+// fakeLog is an in-memory log with one replica.
 type fakeLog struct {
 	machine  *catalogue.Catalogue
 	proposed [][]byte
-	// fail has the errors of the next proposals; the command runs all the same
-	// where the outcome is unknown.
+	// fail holds the errors of the next proposals. Except after replica.ErrNotRun the
+	// command runs despite the error.
 	fail   []error
 	status replica.Status
 	ended  chan struct{}
@@ -63,7 +63,7 @@
 
 func (l *fakeLog) Close() error { return nil }
 
-// controlOn is a control VM on a fake log.
+// controlOn returns a control VM that uses a fake log.
 func controlOn(l *fakeLog) *Control {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -71,14 +71,14 @@
 		settings: Settings{Name: "a", Operators: "127.0.0.1:0", Subscribers: "127.0.0.1:0"},
 		logger:   log, metrics: metrics.New(), catalogue: l.machine,
 	}
-	c.open(l)
+	c.openServices(l)
 	return c
 }
 
-// The leader is lost after it took a switch, and control can't tell whether it
-// was committed. It proposes the same bytes again; the operator reads the first
-// outcome and the record has the command once.
-func TestUnknownOutcomeIsProposedAgain(t *testing.T) {
+// Guards against a command that is lost or runs twice if the leader fails and control can't
+// know whether it was committed: control proposes the same bytes again, and the command is
+// in the audit record once.
+func TestCommandWithUnknownOutcomeIsProposedAgain(t *testing.T) {
 	is := is.New(t)
 	l := newFakeLog()
 	c := controlOn(l)
@@ -98,8 +98,8 @@
 	is.Equal(c.metrics.Value("proposals_repeated"), int64(2))
 }
 
-// What surely didn't run is told as a lack of quorum, or as a busy VM.
-func TestNotRunIsTold(t *testing.T) {
+// Guards against a wrong error for a command that certainly didn't run.
+func TestCommandThatDidNotRunIsReported(t *testing.T) {
 	is := is.New(t)
 	l := newFakeLog()
 	c := controlOn(l)
@@ -117,9 +117,10 @@
 	is.Equal(len(l.proposed), 0)
 }
 
-// The VM's disk fails a sync. The process ends with an error, so that its
-// supervisor sees it, in place of a VM that looks well and answers nothing.
-func TestReplicaThatFailsEndsTheProcess(t *testing.T) {
+// Guards against a VM that appears healthy but serves nothing after its replica failed,
+// for example by a failed disk sync: the process ends with an error, which its supervisor
+// sees.
+func TestFailedReplicaEndsTheProcess(t *testing.T) {
 	is := is.New(t)
 	l := newFakeLog()
 	l.err = errors.New("disk full")
@@ -128,10 +129,10 @@
 	is.True(errors.Is(err, ErrReplicaEnded))
 }
 
-// A leader takes over the subscribers of VMs that are silent or gone, and its
-// own from before its restart; those of VMs that it hears are theirs. A follower
-// takes over its own only.
-func TestWhoseSubscribersAreTakenOver(t *testing.T) {
+// Guards against dead subscribers that no VM reports: the leader adopts the subscribers of
+// silent and removed VMs, and its own from before its restart. A follower adopts only its
+// own.
+func TestSubscribersOfLostVMsAreAdopted(t *testing.T) {
 	is := is.New(t)
 	l := newFakeLog()
 	for i, name := range []string{"a", "b", "c"} {
@@ -139,7 +140,7 @@
 		l.status.Members = append(l.status.Members, m)
 	}
 	l.status.ID, l.status.Leader = 1, 1
-	l.status.Members[1].Silence = orphanAfter + time.Second
+	l.status.Members[1].Silence = adoptAfter + time.Second
 	for _, via := range []string{"a", "b", "c", "removed"} {
 		r := &registrar{vm: via, log: l, now: time.Now, logger: logrus.New(), metrics: metrics.New()}
 		r.logger.(*logrus.Logger).SetOutput(io.Discard)
@@ -147,12 +148,12 @@
 	}
 	c := controlOn(l)
 	defer c.Close()
-	is.Equal(names(c.orphans()), []string{"at-a", "at-b", "at-removed"})
+	is.Equal(balancerNames(c.subscribersToAdopt()), []string{"at-a", "at-b", "at-removed"})
 	l.status.Leader = 3
-	is.Equal(names(c.orphans()), []string{"at-a"})
+	is.Equal(balancerNames(c.subscribersToAdopt()), []string{"at-a"})
 }
 
-func names(_, balancers []distribution.Silence) []string {
+func balancerNames(_, balancers []distribution.Silence) []string {
 	var out []string
 	for _, s := range balancers {
 		out = append(out, s.Name)
@@ -160,18 +161,18 @@
 	return out
 }
 
-func TestWhenClocksDiffer(t *testing.T) {
+func TestClockDiffers(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		ahead, contact time.Duration
 		want           bool
 	}{
-		{"in step", -catalogue.SweepInterval, 0, false},
-		{"a command's wait", time.Second, 0, false},
+		{"no difference", -catalogue.SweepInterval, 0, false},
+		{"wait of a command in the log", time.Second, 0, false},
 		{"leader ahead", 3 * time.Second, 0, true},
-		{"leader ahead, out of touch", 3 * time.Second, time.Hour, true},
+		{"leader ahead, no contact", 3 * time.Second, time.Hour, true},
 		{"leader behind", -time.Minute, 0, true},
-		{"out of touch, no beats", -time.Minute, time.Hour, false},
+		{"no contact, no sweeps", -time.Minute, time.Hour, false},
 	} {
 		if got := clockDiffers(c.ahead, c.contact); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
