--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent is the role of the small process beside each target: it ends
-// callers' flows, decides on their requests and carries them to the target. It
-// announces the target to control, so that no list of targets is needed.
+// Package agent implements the agent role, a process beside each target. It terminates
+// callers' flows, runs admission control on their requests and proxies them to the target.
+// It announces the target to control, so that no list of targets has to be maintained.
 package agent
 
 import (
@@ -24,17 +24,17 @@
 	"bergamotstall/internal/wait"
 )
 
-// ErrSettings is returned for settings whose files can't be used.
-var ErrSettings = errors.New("agent: unusable settings")
+// ErrSettings is returned for settings whose certificate files can't be used.
+var ErrSettings = errors.New("agent: invalid settings")
 
 const (
-	// certificateLook is how often certificate files are looked at.
-	certificateLook = 10 * time.Second
-	// workPoll is how often a stop looks whether work is left.
-	workPoll = 20 * time.Millisecond
-	// announceTime is how long a stop waits for control to learn of it before
-	// new requests from other agents are sent elsewhere.
-	announceTime = 200 * time.Millisecond
+	// certificateReloadInterval is how often the certificate files are checked for changes.
+	certificateReloadInterval = 10 * time.Second
+	// drainPollInterval is how often a stop checks for requests in progress.
+	drainPollInterval = 20 * time.Millisecond
+	// drainNoticeDelay is the time for the announcement of a stop to reach control,
+	// before new requests are sent to other agents.
+	drainNoticeDelay = 200 * time.Millisecond
 )
 
 // Agent is one agent process.
@@ -44,7 +44,7 @@
 	metrics  *metrics.Set
 	identity *keys.Store
 	flows    *flow.Endpoint
-	relay    *proxy.Relay
+	proxy    *proxy.Relay
 	client   *distribution.Client
 	revision atomic.Int64
 }
@@ -60,7 +60,7 @@
 	if err := a.loadIdentity(); err != nil {
 		return nil, err
 	}
-	if err := a.openRelay(); err != nil {
+	if err := a.openProxy(); err != nil {
 		return nil, err
 	}
 	if err := a.openFlows(callerCert); err != nil {
@@ -68,7 +68,7 @@
 	}
 	a.openClient()
 	a.metrics.Gauge("flows", func() int64 { return int64(a.flows.Flows()) })
-	a.metrics.Gauge("requests", func() int64 { return int64(a.relay.InFlight()) })
+	a.metrics.Gauge("requests", func() int64 { return int64(a.proxy.InFlight()) })
 	return a, nil
 }
 
@@ -84,7 +84,7 @@
 	return nil
 }
 
-func (a *Agent) openRelay() error {
+func (a *Agent) openProxy() error {
 	cfg := proxy.Config{
 		ShedUnrun: a.settings.ShedUnrun,
 		Service:   a.settings.Service,
@@ -94,15 +94,15 @@
 		Limits:    proxy.Limits{Slots: a.settings.Slots, Connections: a.settings.Connections},
 		Log:       a.log,
 		Metrics:   a.metrics,
-		// The client is there before the first request is.
+		// The client is set before the first request arrives.
 		TableAge: func() time.Duration { return a.client.Status().WordAge },
 	}
 	if a.identity != nil {
 		cfg.TLS = &proxy.PeerTLS{Server: a.identity.Server(keys.Agent), Client: a.identity.Client(keys.Agent)}
 	}
 	var err error
-	if a.relay, err = proxy.New(cfg); err != nil {
-		return errors.Wrap(err, "agent: requests")
+	if a.proxy, err = proxy.New(cfg); err != nil {
+		return errors.Wrap(err, "agent: set up request proxy")
 	}
 	return nil
 }
@@ -112,7 +112,7 @@
 	a.flows, err = flow.New(flow.Config{
 		Service:     a.settings.Service,
 		Tunnel:      a.settings.Tunnel,
-		Handler:     a.relay,
+		Handler:     a.proxy,
 		TLS:         &tls.Config{Certificates: []tls.Certificate{callerCert}, MinVersion: tls.VersionTLS13},
 		Connections: a.settings.Connections,
 		Direct:      a.settings.Return == returnDirect,
@@ -120,7 +120,7 @@
 		Metrics:     a.metrics,
 	})
 	if err != nil {
-		return errors.Wrap(err, "agent: flows")
+		return errors.Wrap(err, "agent: set up flow endpoint")
 	}
 	return nil
 }
@@ -140,7 +140,7 @@
 			Slots:       a.settings.Slots,
 			Connections: a.settings.Connections,
 		},
-		Numbered:  a.numbered,
+		Numbered:  a.setAgentNumber,
 		StateFile: a.settings.State,
 		Log:       a.log,
 		Metrics:   a.metrics,
@@ -148,21 +148,21 @@
 	if a.identity != nil {
 		cfg.TLS = a.identity.Client(keys.Control)
 	}
-	a.client = distribution.NewClient(cfg, a.apply)
+	a.client = distribution.NewClient(cfg, a.applyTable)
 }
 
-func (a *Agent) numbered(n table.AgentNumber) {
+func (a *Agent) setAgentNumber(n table.AgentNumber) {
 	a.flows.SetAgent(n)
-	a.relay.SetAgent(n)
+	a.proxy.SetAgent(n)
 }
 
-// apply puts a table in force. One that the flows refuse is logged and counted
-// there; requests then keep the same older table.
-func (a *Agent) apply(t *table.Table) error {
+// applyTable applies a table to flows and requests. A table that the flow endpoint refuses
+// is logged and counted there, and requests then keep the same older table.
+func (a *Agent) applyTable(t *table.Table) error {
 	if err := a.flows.Apply(t); err != nil {
 		return err
 	}
-	a.relay.Apply(t)
+	a.proxy.Apply(t)
 	a.revision.Store(int64(t.Revision))
 	return nil
 }
@@ -170,30 +170,30 @@
 // Metrics returns the agent's counters.
 func (a *Agent) Metrics() *metrics.Set { return a.metrics }
 
-// Status tells where the agent stands with control.
+// Status returns the state of the agent's subscription to control.
 func (a *Agent) Status() distribution.Status { return a.client.Status() }
 
-// Flows is the number of open flows.
+// Flows returns the number of open flows.
 func (a *Agent) Flows() int { return a.flows.Flows() }
 
-// Run serves until ctx is done and work in progress has ended, at most the
-// stop's grace after that.
+// Run serves until ctx is done, and then until the work in progress has ended, for at most
+// Settings.StopGrace.
 func (a *Agent) Run(ctx context.Context) error {
 	if a.settings.Metrics != "" {
 		ln, err := a.metrics.Listen(a.settings.Metrics)
 		if err != nil {
-			return errors.Wrap(err, "agent: metrics")
+			return errors.Wrap(err, "agent: listen for metrics")
 		}
 		defer closeListener(ln)
 	}
 	serving, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	group, serving := errgroup.WithContext(serving)
-	group.Go(func() error { return a.relay.Run(serving) })
+	group.Go(func() error { return a.proxy.Run(serving) })
 	group.Go(func() error { return a.flows.Run(serving) })
 	group.Go(func() error { return a.client.Run(serving) })
 	if a.identity != nil {
-		group.Go(func() error { a.identity.Watch(serving, certificateLook); return nil })
+		group.Go(func() error { a.identity.Watch(serving, certificateReloadInterval); return nil })
 	}
 	select {
 	case <-ctx.Done():
@@ -207,20 +207,20 @@
 	return nil
 }
 
-// stop is the graceful stop: control and open flows are told, new flows and
-// requests go to other agents, and what is in progress ends.
+// stop is the graceful stop. It notifies control and the open flows, sends new flows and
+// requests to other agents, and waits for the work in progress.
 func (a *Agent) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), a.settings.StopGrace)
 	defer cancel()
 	a.client.SetDraining(true)
 	a.flows.Drain()
-	wait.For(ctx, announceTime)
-	a.relay.Drain()
+	wait.For(ctx, drainNoticeDelay)
+	a.proxy.Drain()
 	if err := a.flows.Shutdown(ctx); err != nil {
 		events.Log(a.log, events.AgentStopCut, logrus.Fields{"grace": a.settings.StopGrace.String(), "error": err})
 	}
-	for a.relay.InFlight() > 0 && ctx.Err() == nil {
-		wait.For(ctx, workPoll)
+	for a.proxy.InFlight() > 0 && ctx.Err() == nil {
+		wait.For(ctx, drainPollInterval)
 	}
 }
 
--- a/agent/settings.go
+++ b/agent/settings.go
@@ -9,61 +9,60 @@
 )
 
 const (
-	maxSlots       = 100_000
-	maxConnections = 1_000_000
-	maxGrace       = 24 * time.Hour
-	defaultGrace   = 30 * time.Second
+	maxSlots         = 100_000
+	maxConnections   = 1_000_000
+	maxStopGrace     = 24 * time.Hour
+	defaultStopGrace = 30 * time.Second
 )
 
-// Ways of answers.
+// Values of Settings.Return.
 const (
 	returnBalancer = "balancer"
 	returnDirect   = "direct"
 )
 
-// Settings are an agent's, from its YAML file.
+// Settings are the settings of an agent, from its YAML file.
 type Settings struct {
-	// Name is unique among agents; the default is service.host. The
-	// process's certificate has this name.
+	// Name is unique among agents and the name in the process's certificate. The default
+	// is SERVICE.HOST.
 	Name string `yaml:"name"`
-	// Service and Host say which target the agent stands beside.
+	// Service and Host identify the agent's target.
 	Service    string `yaml:"service"`
 	Host       string `yaml:"host"`
 	DataCentre string `yaml:"dataCentre"`
 	// Target is the target's HTTP/1.1 address, "ip:port".
 	Target string `yaml:"target"`
-	// Tunnel is the UDP address for balancers, "ip:port".
+	// Tunnel is the UDP listen address for balancers, "ip:port".
 	Tunnel string `yaml:"tunnel"`
-	// Peer is the TCP address for other agents, "ip:port".
+	// Peer is the TCP listen address for other agents, "ip:port".
 	Peer string `yaml:"peer"`
-	// Return says which way answers go: "balancer", the default, or "direct" where
-	// this VM holds the service's address itself.
+	// Return is the path of answers to callers: "balancer", the default, or "direct" if
+	// this VM has the service's address itself.
 	Return string `yaml:"return"`
-	// Slots is how many requests the host runs at once.
+	// Slots is the number of requests that the host runs concurrently.
 	Slots int `yaml:"slots"`
-	// Connections is how many flows the host holds at once.
+	// Connections limits the concurrent flows of the host.
 	Connections int `yaml:"connections"`
-	// ShedUnrun says that the target answers 503 only before it does anything, so
-	// that a shed submission may go to another target.
+	// ShedUnrun states that the target answers 503 only before it does any work, so that
+	// the request may be sent to another target.
 	ShedUnrun bool `yaml:"shedUnrun"`
 	// Controls are the control VMs' addresses for subscribers, "ip:port".
 	Controls []string `yaml:"controls"`
 	// CallerTLS is the certificate that callers see.
 	CallerTLS CallerTLS `yaml:"callerTLS"`
-	// TLS is this process's own certificate; without it connections to control
-	// and peers are plain, for trials on one machine only.
+	// TLS is the certificate of this process. Without it connections to control and peers
+	// are unencrypted, which is for trials on one machine only.
 	TLS keys.Settings `yaml:"tls"`
-	// Metrics is the TCP address for /debug/vars, "ip:port"; empty serves none.
+	// Metrics is the TCP listen address for /debug/vars, "ip:port"; empty disables it.
 	Metrics string `yaml:"metrics"`
-	// State is the file that keeps the last table across restarts; empty keeps
-	// none.
+	// State is the file that stores the last table across restarts; empty stores none.
 	State string `yaml:"state"`
-	// StopGrace bounds a graceful stop; the default is 30s. Requests still in
-	// progress then are cut, so set it over the longest download.
+	// StopGrace limits a graceful stop; the default is 30 s. Requests that are still in
+	// progress after it are aborted, so it should exceed the longest download.
 	StopGrace time.Duration `yaml:"stopGrace"`
 }
 
-// CallerTLS names the certificate and key that callers see, PEM files.
+// CallerTLS names the PEM files of the certificate and key that callers see.
 type CallerTLS struct {
 	Certificate string `yaml:"certificate"`
 	Key         string `yaml:"key"`
@@ -77,7 +76,7 @@
 		s.Return = returnBalancer
 	}
 	if s.StopGrace == 0 {
-		s.StopGrace = defaultGrace
+		s.StopGrace = defaultStopGrace
 	}
 }
 
@@ -96,7 +95,7 @@
 	}
 	c.Range("slots", s.Slots, 1, maxSlots)
 	c.Range("connections", s.Connections, 1, maxConnections)
-	c.Duration("stopGrace", s.StopGrace, 0, maxGrace)
+	c.Duration("stopGrace", s.StopGrace, 0, maxStopGrace)
 	if len(s.Controls) == 0 {
 		c.Add("controls", "missing", "one address or more, ip:port")
 	}
