--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,8 +1,7 @@
-// Package balancer is the role of an entry VM: it takes callers' packets from
-// the fabric, sends each to the agent that the packet names or, for a new flow,
-// to the flow's choice, and carries the answers back. It keeps nothing about
-// flows, so that any balancer can carry any packet and none is missed when it
-// dies.
+// Package balancer implements the balancer role. A balancer receives callers' packets from
+// the network fabric and forwards each to the agent that its connection ID names. For a
+// new flow it selects an agent. It forwards the answers to the callers. It keeps no state
+// of flows, so any balancer can forward any packet, and the loss of one breaks no flow.
 package balancer
 
 import (
@@ -21,10 +20,10 @@
 )
 
 // ErrSettings is returned for settings that can't be used.
-var ErrSettings = errors.New("balancer: unusable settings")
+var ErrSettings = errors.New("balancer: invalid settings")
 
-// certificateLook is how often certificate files are looked at.
-const certificateLook = 10 * time.Second
+// certificateReloadInterval is how often the certificate files are checked for changes.
+const certificateReloadInterval = 10 * time.Second
 
 // Balancer is one balancer process.
 type Balancer struct {
@@ -57,11 +56,11 @@
 	if b.forwarder, err = NewForwarder(config); err != nil {
 		return nil, err
 	}
-	b.client = distribution.NewClient(b.clientConfig(), b.apply)
+	b.client = distribution.NewClient(b.clientConfig(), b.applyTable)
 	return b, nil
 }
 
-// loadIdentity reads the process's certificate, where one is set.
+// loadIdentity loads the process's certificate, if one is set.
 func (b *Balancer) loadIdentity() error {
 	if b.settings.TLS.Absent() {
 		return nil
@@ -95,28 +94,28 @@
 	return cfg
 }
 
-// apply takes a table over. A refused one is logged and counted; the table
-// before stays in force.
-func (b *Balancer) apply(t *table.Table) error { return b.forwarder.Apply(t) }
+// applyTable applies a table. A refused table is logged and counted, and the previous one
+// stays in force.
+func (b *Balancer) applyTable(t *table.Table) error { return b.forwarder.Apply(t) }
 
 // Metrics returns the balancer's counters.
 func (b *Balancer) Metrics() *metrics.Set { return b.metrics }
 
-// Run forwards until ctx is done, and for the stop's grace after that: control
-// is told at once, and packets that the fabric still sends here go through.
+// Run forwards packets until ctx is done, and for Settings.StopGrace after that. Control is
+// notified at once, and packets that the fabric still sends here are forwarded.
 func (b *Balancer) Run(ctx context.Context) error {
 	defer b.forwarder.Close()
 	if b.settings.Metrics != "" {
 		ln, err := b.metrics.Listen(b.settings.Metrics)
 		if err != nil {
-			return errors.Wrap(err, "balancer: metrics")
+			return errors.Wrap(err, "balancer: listen for metrics")
 		}
 		defer ln.Close()
 	}
 	events.Log(b.log, events.ProcessStarted, logrus.Fields{"role": "balancer", "name": b.settings.Name})
 	subscription, unsubscribe := context.WithCancel(context.WithoutCancel(ctx))
 	if b.identity != nil {
-		go b.identity.Watch(subscription, certificateLook)
+		go b.identity.Watch(subscription, certificateReloadInterval)
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- b.client.Run(subscription) }()
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -14,32 +14,32 @@
 	"bergamotstall/internal/table"
 )
 
-// oneControl is a control VM with a table that never changes.
-type oneControl struct {
+// fakeControl is a control VM with a table that never changes.
+type fakeControl struct {
 	distribution.Registrar
-	table    *table.Table
-	announce chan distribution.Announcement
+	table     *table.Table
+	announced chan distribution.Announcement
 }
 
-func (c *oneControl) Table() *table.Table       { return c.table }
-func (c *oneControl) Changed() <-chan struct{}  { return nil }
-func (c *oneControl) ContactAge() time.Duration { return 0 }
+func (c *fakeControl) Table() *table.Table       { return c.table }
+func (c *fakeControl) Changed() <-chan struct{}  { return nil }
+func (c *fakeControl) ContactAge() time.Duration { return 0 }
 
-func (c *oneControl) AnnounceBalancer(_ context.Context, a distribution.Announcement) error {
-	c.announce <- a
+func (c *fakeControl) AnnounceBalancer(_ context.Context, a distribution.Announcement) error {
+	c.announced <- a
 	return nil
 }
 
-func (c *oneControl) BalancerSilent(context.Context, distribution.Silence) error { return nil }
+func (c *fakeControl) BalancerSilent(context.Context, distribution.Silence) error { return nil }
 
-// Callers' packets go through a balancer that was told to stop for as long as its
-// grace lasts, while the fabric takes it out; control is told at once. Then it
-// ends without an error.
-func TestStopForwardsThroughItsGrace(t *testing.T) {
+// Guards against packets that are lost when a balancer stops, before the fabric has removed
+// it: the balancer notifies control at once, forwards packets during its stop grace, and
+// then ends without an error.
+func TestStopForwardsDuringStopGrace(t *testing.T) {
 	is := is.New(t)
-	x := newFar(t, is)
-	control := &oneControl{table: oneService(x.service, x.tunnel), announce: make(chan distribution.Announcement, 8)}
-	server := distribution.NewServer(distribution.ServerConfig{Name: "control-1", Source: control, Registrar: control, Log: quiet()})
+	endpoints := newTestEndpoints(t, is)
+	control := &fakeControl{table: oneService(endpoints.service, endpoints.tunnel), announced: make(chan distribution.Announcement, 8)}
+	server := distribution.NewServer(distribution.ServerConfig{Name: "control-1", Source: control, Registrar: control, Log: discardLogger()})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	go func() { _ = server.Serve(ln) }()
@@ -48,29 +48,30 @@
 	b, err := New(Settings{
 		Name: "balancer-1", DataCentre: "accra-a", Tunnel: freePort(is).String(),
 		Controls: []string{ln.Addr().String()}, StopGrace: 2 * time.Second,
-	}, quiet())
+	}, discardLogger())
 	is.NoErr(err)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- b.Run(ctx) }()
-	is.Equal((<-control.announce).Tunnel, b.forwarder.Tunnel().String())
-	reaches(t, b.Metrics(), "balancer_revision", 1)
+	is.Equal((<-control.announced).Tunnel, b.forwarder.Tunnel().String())
+	waitForCounter(t, b.Metrics(), "balancer_revision", 1)
 
-	packet := shortPacket(b.forwarder.view.Load().steering, 1, 1200)
+	packet := shortPacket(b.forwarder.state.Load().steering, 1, 1200)
 	arrives := func() {
-		_, err := x.caller.WriteToUDPAddrPort(packet, x.service)
+		_, err := endpoints.caller.WriteToUDPAddrPort(packet, endpoints.service)
 		is.NoErr(err)
-		receive(is, x.agent)
+		receive(is, endpoints.agent)
 	}
 	arrives()
 	stop()
-	is.True((<-control.announce).Draining)
+	is.True((<-control.announced).Draining)
 	arrives()
 	is.NoErr(<-ended)
 }
 
-// Impossible settings are refused with file, line, field and what is allowed.
-func TestSettingsAreChecked(t *testing.T) {
+// Guards against invalid settings that are accepted, or refused without file, line and
+// field.
+func TestInvalidSettingsAreRefused(t *testing.T) {
 	is := is.New(t)
 	const good = "name: b\ndataCentre: d\ntunnel: 127.0.0.1:9000\ncontrols: [\"127.0.0.1:7000\"]\n"
 	var s Settings
--- a/balancer/batches.go
+++ b/balancer/batches.go
@@ -10,13 +10,13 @@
 	"golang.org/x/net/ipv4"
 )
 
-// busyFor is how long a worker keeps the memory for batches after the last
-// packet. Short, and a socket with a packet now and then would take and return
-// it each time; long, and a burst over all addresses would hold it for nothing.
-const busyFor = time.Second
+// batchHoldTime is how long a worker keeps its batch memory without receiving packets. If
+// it were shorter, a socket with occasional packets would get and return the memory for
+// each of them. If it were longer, a burst over all addresses would keep unused memory.
+const batchHoldTime = time.Second
 
-// readBatches are memory for batches that no worker holds.
-var readBatches = sync.Pool{New: func() any { return newReadBatch(batchSize) }}
+// readBatchPool holds batch memory that no worker uses.
+var readBatchPool = sync.Pool{New: func() any { return newReadBatch(batchSize) }}
 
 func newReadBatch(packets int) *[]ipv4.Message {
 	b := make([]ipv4.Message, packets)
@@ -26,23 +26,22 @@
 	return &b
 }
 
-// reader reads a socket in batches while packets come, and one by one with
-// memory for one packet while none do. A balancer has thousands of addresses,
-// nearly all of them quiet at any moment; with a batch's memory for each it held
-// 129 KB an address.
-type reader struct {
+// batchReader reads a socket in batches while it is busy, and with memory for a single
+// packet while it is idle. A balancer has thousands of addresses, nearly all of them idle
+// at any time; batch memory for every address would take 129 KB each.
+type batchReader struct {
 	single *[]ipv4.Message
-	// batch is nil while the socket is quiet.
+	// batch is nil while the socket is idle.
 	batch *[]ipv4.Message
-	// served tells whether packets came since the deadline was last set.
-	served bool
+	// receivedSinceDeadline is set if packets arrived since the deadline was last set.
+	receivedSinceDeadline bool
 }
 
-func newReader() *reader { return &reader{single: newReadBatch(1)} }
+func newBatchReader() *batchReader { return &batchReader{single: newReadBatch(1)} }
 
-// read waits for packets, and returns false once the socket is closed. What it
-// returned before is no longer valid.
-func (r *reader) read(s *socket) ([]ipv4.Message, bool) {
+// read waits for packets and returns false once the socket is closed. The packets are valid
+// until the next call.
+func (r *batchReader) read(s *socket) ([]ipv4.Message, bool) {
 	for {
 		into := *r.single
 		if r.batch != nil {
@@ -51,46 +50,46 @@
 		n, err := s.batch.ReadBatch(into, 0)
 		switch {
 		case err == nil:
-			r.came(s)
+			r.packetsReceived(s)
 			return into[:n], true
 		case errors.Is(err, net.ErrClosed):
-			r.release()
+			r.releaseBatch()
 			return nil, false
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			r.passed(s)
+			r.deadlineExceeded(s)
 		}
-		// The kernel reports unreachable receivers of earlier packets here too;
-		// they say nothing about this socket.
+		// Other errors, such as ICMP errors of packets sent earlier, don't affect this
+		// socket.
 	}
 }
 
-// came notes that packets came; the next read takes a batch.
-func (r *reader) came(s *socket) {
-	r.served = true
+// packetsReceived records that packets arrived. The next read uses a batch.
+func (r *batchReader) packetsReceived(s *socket) {
+	r.receivedSinceDeadline = true
 	if r.batch == nil {
-		r.batch = readBatches.Get().(*[]ipv4.Message)
-		_ = s.SetReadDeadline(time.Now().Add(busyFor))
+		r.batch = readBatchPool.Get().(*[]ipv4.Message)
+		_ = s.SetReadDeadline(time.Now().Add(batchHoldTime))
 	}
 }
 
-// passed is called when the deadline is over.
-func (r *reader) passed(s *socket) {
-	if r.served {
-		r.served = false
-		_ = s.SetReadDeadline(time.Now().Add(busyFor))
+// deadlineExceeded returns the batch memory if no packet arrived since the last deadline.
+func (r *batchReader) deadlineExceeded(s *socket) {
+	if r.receivedSinceDeadline {
+		r.receivedSinceDeadline = false
+		_ = s.SetReadDeadline(time.Now().Add(batchHoldTime))
 		return
 	}
-	r.release()
+	r.releaseBatch()
 	_ = s.SetReadDeadline(time.Time{})
 }
 
-func (r *reader) release() {
+func (r *batchReader) releaseBatch() {
 	if r.batch != nil {
-		readBatches.Put(r.batch)
+		readBatchPool.Put(r.batch)
 		r.batch = nil
 	}
 }
 
-// writeBatches are outBatches that no worker holds. A worker takes one for what
-// one read brought.
-var writeBatches = sync.Pool{New: func() any { return newOutBatch() }}
+// writeBatchPool holds write batches that no worker uses. A worker uses one for the packets
+// of one read.
+var writeBatchPool = sync.Pool{New: func() any { return newWriteBatch() }}
--- a/balancer/counts.go
+++ b/balancer/counts.go
@@ -10,8 +10,8 @@
 	"bergamotstall/internal/steering"
 )
 
-// counts are a forwarder's counters.
-type counts struct {
+// counters holds a forwarder's metrics.
+type counters struct {
 	outcomes                            [steering.Outcomes]*expvar.Int
 	bytes, returned, returnedBytes      *expvar.Int
 	malformed, forged, unknownKey       *expvar.Int
@@ -19,8 +19,8 @@
 	tableRefused, serviceFailed, probes *expvar.Int
 }
 
-func newCounts(s *metrics.Set) *counts {
-	c := &counts{
+func newCounters(s *metrics.Set) *counters {
+	c := &counters{
 		bytes:         s.Counter("balancer_forward_bytes"),
 		returned:      s.Counter("balancer_return_packets"),
 		returnedBytes: s.Counter("balancer_return_bytes"),
@@ -39,43 +39,43 @@
 	return c
 }
 
-// tally gathers a worker's counts over a batch, so that the workers meet at the
-// shared counters once a batch and not once a packet.
-type tally struct {
+// batchCounts collects a worker's counts for a batch, so that workers contend for the
+// shared counters once per batch instead of once per packet.
+type batchCounts struct {
 	outcomes                       [steering.Outcomes]int64
 	bytes, returned, returnedBytes int64
 	malformed, forged, unknownKey  int64
 	noService, sendFailed          int64
 }
 
-// refused counts a datagram that is no valid answer of an agent.
-func (t *tally) refused(err error) {
+// countInvalid counts a datagram that isn't a valid envelope.
+func (b *batchCounts) countInvalid(err error) {
 	switch {
 	case errors.Is(err, envelope.ErrForged):
-		t.forged++
+		b.forged++
 	case errors.Is(err, envelope.ErrGeneration):
-		t.unknownKey++
+		b.unknownKey++
 	default:
-		t.malformed++
+		b.malformed++
 	}
 }
 
-func (t *tally) flush(c *counts) {
-	for i, n := range t.outcomes {
-		add(c.outcomes[i], n)
+func (b *batchCounts) flush(c *counters) {
+	for i, n := range b.outcomes {
+		addNonZero(c.outcomes[i], n)
 	}
-	add(c.bytes, t.bytes)
-	add(c.returned, t.returned)
-	add(c.returnedBytes, t.returnedBytes)
-	add(c.malformed, t.malformed)
-	add(c.forged, t.forged)
-	add(c.unknownKey, t.unknownKey)
-	add(c.noService, t.noService)
-	add(c.sendFailed, t.sendFailed)
-	*t = tally{}
+	addNonZero(c.bytes, b.bytes)
+	addNonZero(c.returned, b.returned)
+	addNonZero(c.returnedBytes, b.returnedBytes)
+	addNonZero(c.malformed, b.malformed)
+	addNonZero(c.forged, b.forged)
+	addNonZero(c.unknownKey, b.unknownKey)
+	addNonZero(c.noService, b.noService)
+	addNonZero(c.sendFailed, b.sendFailed)
+	*b = batchCounts{}
 }
 
-func add(c *expvar.Int, n int64) {
+func addNonZero(c *expvar.Int, n int64) {
 	if n != 0 {
 		c.Add(n)
 	}
--- a/balancer/forwarder.go
+++ b/balancer/forwarder.go
@@ -16,52 +16,51 @@
 	"bergamotstall/internal/table"
 )
 
-// ErrTable is returned for a table that can't be used; the one before stays in
-// force.
+// ErrTable is returned for a table that can't be used. The previous one stays in force.
 var ErrTable = errors.New("balancer: table refused")
 
-// ForwarderConfig sets a forwarder up.
+// ForwarderConfig configures a Forwarder.
 type ForwarderConfig struct {
-	// Bind replaces the IP number of each service address, where this VM gets
-	// the packets of the fabric on an address of its own.
+	// Bind replaces the IP address of every service, for a VM that receives packets from
+	// the fabric on its own address.
 	Bind netip.Addr
 	// Tunnel is the UDP address for envelopes.
 	Tunnel netip.AddrPort
-	// Sockets is how many sockets share each address; 0 means 1.
+	// Sockets is the number of sockets for each address; 0 means 1.
 	Sockets int
 	Log     logrus.FieldLogger
 	Metrics *metrics.Set
 }
 
-// Forwarder moves packets between callers and agents. It keeps nothing about
-// flows, only the table.
+// Forwarder forwards packets between callers and agents. Its only state is the table; it
+// keeps no state of flows.
 type Forwarder struct {
-	config  ForwarderConfig
-	counts  *counts
-	tunnels []*socket
-	tunnel  netip.AddrPort
-	view    atomic.Pointer[view]
-	workers sync.WaitGroup
-	done    chan struct{}
+	config   ForwarderConfig
+	counters *counters
+	tunnels  []*socket
+	tunnel   netip.AddrPort
+	state    atomic.Pointer[forwardingState]
+	workers  sync.WaitGroup
+	done     chan struct{}
 
 	mu     sync.Mutex
 	closed bool
 }
 
-// view is a table in force with the sockets of its services.
-type view struct {
-	steering *steering.Map
-	fronts   map[table.ServiceID]*front
+// forwardingState is the table in force with the sockets of its services.
+type forwardingState struct {
+	steering  *steering.Map
+	listeners map[table.ServiceID]*serviceListener
 }
 
-// front is the sockets of one service address.
-type front struct {
+// serviceListener holds the sockets of one service address.
+type serviceListener struct {
 	id      table.ServiceID
 	address netip.AddrPort
 	sockets []*socket
 }
 
-// NewForwarder opens the tunnel. Service addresses are opened by Apply.
+// NewForwarder opens the tunnel. Apply opens the service addresses.
 func NewForwarder(c ForwarderConfig) (*Forwarder, error) {
 	if c.Sockets == 0 {
 		c.Sockets = 1
@@ -73,17 +72,17 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Forwarder{config: c, counts: newCounts(c.Metrics), tunnels: tunnels, done: make(chan struct{})}
+	f := &Forwarder{config: c, counters: newCounters(c.Metrics), tunnels: tunnels, done: make(chan struct{})}
 	f.tunnel = unmap(tunnels[0].LocalAddr().(*net.UDPAddr).AddrPort())
 	c.Metrics.Gauge("balancer_revision", f.revision)
 	for i, s := range tunnels {
-		f.start(func() { f.backward(i, s) })
+		f.startWorker(func() { f.returnToCallers(i, s) })
 	}
-	f.start(f.watch)
+	f.startWorker(f.watch)
 	return f, nil
 }
 
-func (f *Forwarder) start(worker func()) {
+func (f *Forwarder) startWorker(worker func()) {
 	f.workers.Add(1)
 	go func() {
 		defer f.workers.Done()
@@ -92,107 +91,107 @@
 }
 
 func (f *Forwarder) revision() int64 {
-	v := f.view.Load()
-	if v == nil {
+	state := f.state.Load()
+	if state == nil {
 		return 0
 	}
-	return int64(v.steering.Revision)
+	return int64(state.steering.Revision)
 }
 
-// Tunnel returns the UDP address that agents answer to.
+// Tunnel returns the UDP address to which agents send answers.
 func (f *Forwarder) Tunnel() netip.AddrPort { return f.tunnel }
 
-// Front returns the address on which packets for a service are taken.
+// Front returns the address at which packets for a service are received.
 func (f *Forwarder) Front(service table.ServiceID) (netip.AddrPort, bool) {
-	v := f.view.Load()
-	if v == nil || v.fronts[service] == nil {
+	state := f.state.Load()
+	if state == nil || state.listeners[service] == nil {
 		return netip.AddrPort{}, false
 	}
-	return v.fronts[service].address, true
+	return state.listeners[service].address, true
 }
 
-// Apply puts a table in force. One that isn't newer is ignored. It returns
-// ErrTable for one that can't be steered by; a service whose address can't be
-// opened is left out, logged, and tried again at the next table.
+// Apply puts a table in force. It ignores a table that isn't newer, and returns ErrTable
+// for one that can't be compiled. A service whose address can't be opened is logged and
+// left out until the next table.
 func (f *Forwarder) Apply(t *table.Table) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	old := f.view.Load()
+	old := f.state.Load()
 	if f.closed || old != nil && old.steering.Revision >= t.Revision {
 		return nil
 	}
-	var before *steering.Map
+	var previous *steering.Map
 	if old != nil {
-		before = old.steering
+		previous = old.steering
 	}
-	m, err := steering.Compile(t, time.Now(), before)
+	compiled, err := steering.Compile(t, time.Now(), previous)
 	if err != nil {
-		f.counts.tableRefused.Add(1)
+		f.counters.tableRefused.Add(1)
 		events.Log(f.config.Log, events.BalancerTableRefused, logrus.Fields{"revision": t.Revision, "error": err})
 		return errors.Wrapf(ErrTable, "revision %d: %v", t.Revision, err)
 	}
-	fresh := &view{steering: m, fronts: make(map[table.ServiceID]*front)}
-	var opened []*front
-	for _, s := range m.Services {
-		if x := f.openFront(old, fresh, s); x != nil {
-			opened = append(opened, x)
+	next := &forwardingState{steering: compiled, listeners: make(map[table.ServiceID]*serviceListener)}
+	var opened []*serviceListener
+	for _, s := range compiled.Services {
+		if l := f.openListener(old, next, s); l != nil {
+			opened = append(opened, l)
 		}
 	}
-	f.view.Store(fresh)
-	f.startFronts(opened)
-	f.closeFronts(old, fresh)
+	f.state.Store(next)
+	f.startListeners(opened)
+	f.closeListeners(old, next)
 	events.Log(f.config.Log, events.BalancerTableInForce, logrus.Fields{"revision": t.Revision, "preset": t.Preset})
 	return nil
 }
 
-// openFront takes over the sockets of a service whose address hasn't changed,
-// and opens others. It returns the front where it is a new one.
-func (f *Forwarder) openFront(old, fresh *view, s *steering.Service) *front {
+// openListener keeps the sockets of a service whose address hasn't changed, and opens new
+// ones otherwise. It returns the listener if it is new.
+func (f *Forwarder) openListener(old, next *forwardingState, s *steering.Service) *serviceListener {
 	address := s.Address
 	if f.config.Bind.IsValid() {
 		address = netip.AddrPortFrom(f.config.Bind, s.Address.Port())
 	}
 	if old != nil {
-		if x := old.fronts[s.ID]; x != nil && x.address == address {
-			fresh.fronts[s.ID] = x
+		if l := old.listeners[s.ID]; l != nil && l.address == address {
+			next.listeners[s.ID] = l
 			return nil
 		}
 	}
 	sockets, err := openSockets(address, f.config.Sockets)
 	if err != nil {
-		f.counts.serviceFailed.Add(1)
+		f.counters.serviceFailed.Add(1)
 		events.Log(f.config.Log, events.BalancerServiceFailed, logrus.Fields{"service": s.Name, "error": err})
 		return nil
 	}
-	x := &front{id: s.ID, address: address, sockets: sockets}
-	fresh.fronts[s.ID] = x
+	l := &serviceListener{id: s.ID, address: address, sockets: sockets}
+	next.listeners[s.ID] = l
 	events.Log(f.config.Log, events.BalancerServiceOpened, logrus.Fields{"service": s.Name, "address": address})
-	return x
+	return l
 }
 
-// startFronts starts the workers of new fronts, whose table is in force.
-func (f *Forwarder) startFronts(opened []*front) {
-	for _, x := range opened {
-		for i, in := range x.sockets {
-			f.start(func() { f.forward(x, in, f.tunnels[i]) })
+// startListeners starts the workers of new listeners. Their table must be in force.
+func (f *Forwarder) startListeners(opened []*serviceListener) {
+	for _, l := range opened {
+		for i, in := range l.sockets {
+			f.startWorker(func() { f.forwardToAgents(l, in, f.tunnels[i]) })
 		}
 	}
 }
 
-func (f *Forwarder) closeFronts(old, fresh *view) {
+func (f *Forwarder) closeListeners(old, next *forwardingState) {
 	if old == nil {
 		return
 	}
-	for id, x := range old.fronts {
-		if fresh.fronts[id] == x {
+	for id, l := range old.listeners {
+		if next.listeners[id] == l {
 			continue
 		}
-		closeSockets(x.sockets)
-		events.Log(f.config.Log, events.BalancerServiceClosed, logrus.Fields{"address": x.address})
+		closeSockets(l.sockets)
+		events.Log(f.config.Log, events.BalancerServiceClosed, logrus.Fields{"address": l.address})
 	}
 }
 
-// Close ends all workers and returns once they have.
+// Close stops all workers and returns once they have ended.
 func (f *Forwarder) Close() {
 	f.mu.Lock()
 	if f.closed {
@@ -202,9 +201,9 @@
 	f.closed = true
 	close(f.done)
 	closeSockets(f.tunnels)
-	if v := f.view.Load(); v != nil {
-		for _, x := range v.fronts {
-			closeSockets(x.sockets)
+	if state := f.state.Load(); state != nil {
+		for _, l := range state.listeners {
+			closeSockets(l.sockets)
 		}
 	}
 	f.mu.Unlock()
--- a/balancer/forwarder_test.go
+++ b/balancer/forwarder_test.go
@@ -18,9 +18,9 @@
 	"bergamotstall/internal/table"
 )
 
-const patience = 30 * time.Second
+const receiveTimeout = 30 * time.Second
 
-func quiet() logrus.FieldLogger {
+func discardLogger() logrus.FieldLogger {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return l
@@ -44,7 +44,7 @@
 	return table.KeySet{Generation: 1, ConnID: fill[:16], Envelope: fill, Reset: fill, Token: fill, Hash: fill[:16]}
 }
 
-// oneService has a service with one agent, whose tunnel is the given address.
+// oneService returns a table with one service and one agent with the given tunnel address.
 func oneService(address, tunnel netip.AddrPort) *table.Table {
 	return &table.Table{
 		Revision: 1,
@@ -57,7 +57,7 @@
 func newForwarder(tb testing.TB, sockets int) (*Forwarder, *metrics.Set) {
 	set := metrics.New()
 	f, err := NewForwarder(ForwarderConfig{
-		Tunnel: netip.MustParseAddrPort("127.0.0.1:0"), Sockets: sockets, Log: quiet(), Metrics: set,
+		Tunnel: netip.MustParseAddrPort("127.0.0.1:0"), Sockets: sockets, Log: discardLogger(), Metrics: set,
 	})
 	if err != nil {
 		tb.Fatal(err)
@@ -66,28 +66,28 @@
 	return f, set
 }
 
-// far is the sockets around a balancer: an agent's tunnel and a caller's.
-type far struct {
+// testEndpoints holds the sockets of an agent and a caller, and the service's address.
+type testEndpoints struct {
 	agent, caller         *net.UDPConn
 	tunnel, callerAddress netip.AddrPort
 	service               netip.AddrPort
 }
 
-func newFar(t *testing.T, is *is.I) *far {
-	x := &far{service: freePort(is)}
-	x.agent, x.tunnel = listen(is)
-	x.caller, x.callerAddress = listen(is)
+func newTestEndpoints(t *testing.T, is *is.I) *testEndpoints {
+	endpoints := &testEndpoints{service: freePort(is)}
+	endpoints.agent, endpoints.tunnel = listen(is)
+	endpoints.caller, endpoints.callerAddress = listen(is)
 	t.Cleanup(func() {
-		_ = x.agent.Close()
-		_ = x.caller.Close()
+		_ = endpoints.agent.Close()
+		_ = endpoints.caller.Close()
 	})
-	return x
+	return endpoints
 }
 
-// receive waits for a datagram at one of the sockets.
+// receive waits for a datagram and returns it with its sender.
 func receive(is *is.I, at *net.UDPConn) ([]byte, netip.AddrPort) {
 	buffer := make([]byte, bufferSize)
-	is.NoErr(at.SetReadDeadline(time.Now().Add(patience)))
+	is.NoErr(at.SetReadDeadline(time.Now().Add(receiveTimeout)))
 	n, from, err := at.ReadFromUDPAddrPort(buffer)
 	is.NoErr(err)
 	return buffer[:n], unmap(from)
@@ -101,74 +101,74 @@
 	return out
 }
 
-// A packet reaches the agent that it names, in an envelope that says whose it is,
-// and the answer comes from the service's address, as callers take no other.
-func TestPacketGoesToAgentAndAnswerComesFromService(t *testing.T) {
+// Guards against packets that reach the wrong agent, and answers that don't come from the
+// service's address: callers accept no other.
+func TestPacketReachesAgentAndAnswerComesFromService(t *testing.T) {
 	is := is.New(t)
-	x := newFar(t, is)
+	endpoints := newTestEndpoints(t, is)
 	f, set := newForwarder(t, 2)
-	is.NoErr(f.Apply(oneService(x.service, x.tunnel)))
-	m := f.view.Load().steering
+	is.NoErr(f.Apply(oneService(endpoints.service, endpoints.tunnel)))
+	m := f.state.Load().steering
 	packet := shortPacket(m, 1, 1200)
-	_, err := x.caller.WriteToUDPAddrPort(packet, x.service)
+	_, err := endpoints.caller.WriteToUDPAddrPort(packet, endpoints.service)
 	is.NoErr(err)
 
-	datagram, from := receive(is, x.agent)
+	datagram, from := receive(is, endpoints.agent)
 	var h envelope.Header
 	body, err := m.Envelopes.Open(datagram, &h)
 	is.NoErr(err)
 	is.Equal(body, packet)
 	is.Equal(from, f.Tunnel())
-	is.Equal(h, envelope.Header{Kind: envelope.Forward, Generation: 1, Service: 1, Agent: 1, Caller: x.callerAddress, Revision: 1})
+	is.Equal(h, envelope.Header{Kind: envelope.Forward, Generation: 1, Service: 1, Agent: 1, Caller: endpoints.callerAddress, Revision: 1})
 
-	answer := envelope.Header{Kind: envelope.Return, Generation: 1, Service: 1, Agent: 1, Caller: x.callerAddress}
+	answer := envelope.Header{Kind: envelope.Return, Generation: 1, Service: 1, Agent: 1, Caller: endpoints.callerAddress}
 	out, err := m.Envelopes.Append(nil, &answer, []byte("answer"))
 	is.NoErr(err)
-	_, err = x.agent.WriteToUDPAddrPort(out, f.Tunnel())
+	_, err = endpoints.agent.WriteToUDPAddrPort(out, f.Tunnel())
 	is.NoErr(err)
-	got, from := receive(is, x.caller)
+	got, from := receive(is, endpoints.caller)
 	is.Equal(string(got), "answer")
-	is.Equal(from, x.service)
-	reaches(t, set, "balancer_forward_named", 1)
+	is.Equal(from, endpoints.service)
+	waitForCounter(t, set, "balancer_forward_named", 1)
 }
 
-// reaches waits for a counter, as workers count after they have sent.
-func reaches(t *testing.T, set *metrics.Set, counter string, want int64) {
+// waitForCounter waits until a counter has the value: workers count after they send.
+func waitForCounter(t *testing.T, set *metrics.Set, counter string, want int64) {
 	t.Helper()
-	for end := time.Now().Add(patience); set.Value(counter) != want; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(receiveTimeout); set.Value(counter) != want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%s is %d, want %d", counter, set.Value(counter), want)
 		}
 	}
 }
 
-// A packet too large for the envelope is dropped and counted; the caller's path
-// MTU discovery takes it for a lost probe. Answers for a service that the table
-// no longer has are dropped and counted too.
+// Guards against drops that no counter shows: packets too large for an envelope, which the
+// caller's path MTU discovery treats as lost probes, malformed packets, and answers for a
+// service that isn't in the table.
 func TestDropsAreCounted(t *testing.T) {
 	is := is.New(t)
-	x := newFar(t, is)
+	endpoints := newTestEndpoints(t, is)
 	f, set := newForwarder(t, 1)
-	is.NoErr(f.Apply(oneService(x.service, x.tunnel)))
-	m := f.view.Load().steering
+	is.NoErr(f.Apply(oneService(endpoints.service, endpoints.tunnel)))
+	m := f.state.Load().steering
 	for _, packet := range [][]byte{shortPacket(m, 1, envelope.MaxPayload+1), {1}, shortPacket(m, 1, 18)[:17]} {
-		_, err := x.caller.WriteToUDPAddrPort(packet, x.service)
+		_, err := endpoints.caller.WriteToUDPAddrPort(packet, endpoints.service)
 		is.NoErr(err)
 	}
-	out, err := m.Envelopes.Append(nil, &envelope.Header{Kind: envelope.Return, Generation: 1, Service: 9, Caller: x.callerAddress}, nil)
+	out, err := m.Envelopes.Append(nil, &envelope.Header{Kind: envelope.Return, Generation: 1, Service: 9, Caller: endpoints.callerAddress}, nil)
 	is.NoErr(err)
-	_, err = x.agent.WriteToUDPAddrPort(out, f.Tunnel())
+	_, err = endpoints.agent.WriteToUDPAddrPort(out, f.Tunnel())
 	is.NoErr(err)
 	for counter, want := range map[string]int64{
 		"balancer_forward_drop_oversize": 1, "balancer_forward_drop_malformed": 2, "balancer_return_no_service": 1,
 	} {
-		reaches(t, set, counter, want)
+		waitForCounter(t, set, counter, want)
 	}
 }
 
-// A table that is older, or can't be used, changes nothing; a service that moves
-// to another address is served there and no longer at the old one.
-func TestTablesInForce(t *testing.T) {
+// Guards against a table that is older or can't be used but is applied, and against a
+// service that moves to another address but stays at the old one.
+func TestTableUpdates(t *testing.T) {
 	is := is.New(t)
 	tunnel := netip.MustParseAddrPort("127.0.0.1:9")
 	f, _ := newForwarder(t, 1)
@@ -185,33 +185,32 @@
 	at, ok := f.Front(1)
 	is.True(ok)
 	is.Equal(at, second)
-	c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(first)) // free again
+	c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(first)) // the old address is closed
 	is.NoErr(err)
 	_ = c.Close()
 	is.NoErr(f.Apply(oneService(first, tunnel)))
 	is.Equal(f.revision(), int64(3))
 }
 
-// Steering and envelope cost no allocation a packet. The library's batched read
-// has two of its own for the sender's address; docs/DATAPATH.md weighs them.
-func TestWrapAllocatesNothing(t *testing.T) {
+// Guards against allocations per packet in steering and wrapping. The batched read of
+// golang.org/x/net makes two for the sender's address; see docs/DATAPATH.md.
+func TestSteerAndWrapDoesNotAllocate(t *testing.T) {
 	is := is.New(t)
 	f, _ := newForwarder(t, 1)
 	is.NoErr(f.Apply(oneService(freePort(is), netip.MustParseAddrPort("127.0.0.1:9"))))
-	v := f.view.Load()
-	service, _ := v.steering.ServiceByID(1)
-	w := &forwardWorker{forwarder: f, batch: newOutBatch()}
-	packet := shortPacket(v.steering, 1, 1200)
+	state := f.state.Load()
+	service, _ := state.steering.ServiceByID(1)
+	w := &forwardWorker{forwarder: f, batch: newWriteBatch()}
+	packet := shortPacket(state.steering, 1, 1200)
 	is.Equal(testing.AllocsPerRun(100, func() {
-		out, agent, _ := w.wrap(v.steering, service, f.Tunnel(), packet)
+		out, agent, _ := w.steerAndWrap(state.steering, service, f.Tunnel(), packet)
 		w.batch.add(out, agent.Tunnel)
 		w.batch.count = 0
 	}), 0.0)
 }
 
-// BenchmarkForward measures one balancer worker against a bare relay of the same
-// packets: senders, the relay and a receiver on loopback, 1,200-byte packets. The
-// ratio of the two is the cost of steering and envelope.
+// BenchmarkForward compares one balancer worker with a bare relay, with 1,200-byte packets
+// over loopback. The ratio of the two is the cost of steering and envelopes.
 func BenchmarkForward(b *testing.B) {
 	b.Run("balancer", func(b *testing.B) {
 		is := is.New(b)
@@ -219,7 +218,7 @@
 		f, _ := newForwarder(b, 1)
 		service := freePort(is)
 		is.NoErr(f.Apply(oneService(service, tunnel)))
-		blast(b, service, sink, shortPacket(f.view.Load().steering, 1, 1200))
+		sendUntilReceived(b, service, sink, shortPacket(f.state.Load().steering, 1, 1200))
 	})
 	b.Run("bare-relay-batched", func(b *testing.B) {
 		is := is.New(b)
@@ -228,7 +227,7 @@
 		is.NoErr(err)
 		defer closeSockets(sockets)
 		go relayBatched(sockets[0], to)
-		blast(b, unmap(sockets[0].LocalAddr().(*net.UDPAddr).AddrPort()), sink, make([]byte, 1200))
+		sendUntilReceived(b, unmap(sockets[0].LocalAddr().(*net.UDPAddr).AddrPort()), sink, make([]byte, 1200))
 	})
 	b.Run("bare-relay-single", func(b *testing.B) {
 		is := is.New(b)
@@ -237,19 +236,19 @@
 		_ = in.SetReadBuffer(socketBuffer)
 		defer in.Close()
 		go relaySingle(in, to)
-		blast(b, address, sink, make([]byte, 1200))
+		sendUntilReceived(b, address, sink, make([]byte, 1200))
 	})
 }
 
 func relayBatched(s *socket, to netip.AddrPort) {
-	in, out := newReader(), newOutBatch()
+	in, out := newBatchReader(), newWriteBatch()
 	for {
 		messages, ok := in.read(s)
 		if !ok {
 			return
 		}
 		for i := range messages {
-			out.add(append(out.next(), messages[i].Buffers[0][:messages[i].N]...), to)
+			out.add(append(out.nextBuffer(), messages[i].Buffers[0][:messages[i].N]...), to)
 		}
 		out.flush(s)
 	}
@@ -266,9 +265,9 @@
 	}
 }
 
-// blast sends packets faster than one worker moves them, until b.N have come
-// through, so that what is measured is the worker.
-func blast(b *testing.B, to netip.AddrPort, sink *net.UDPConn, packet []byte) {
+// sendUntilReceived sends packets faster than one worker forwards them until b.N have been
+// received, so that the worker is the bottleneck.
+func sendUntilReceived(b *testing.B, to netip.AddrPort, sink *net.UDPConn, packet []byte) {
 	const senders = 3
 	_ = sink.SetReadBuffer(socketBuffer)
 	defer sink.Close()
@@ -287,13 +286,13 @@
 		}()
 	}
 	s := newSocket(sink, unmap(sink.LocalAddr().(*net.UDPAddr).AddrPort()))
-	in := newReader()
+	in := newBatchReader()
 	b.SetBytes(int64(len(packet)))
 	b.ResetTimer()
 	for received := 0; received < b.N; {
 		messages, ok := in.read(s)
 		if !ok {
-			b.Fatal("sink closed")
+			b.Fatal("the receiving socket was closed")
 		}
 		received += len(messages)
 	}
--- a/balancer/services_test.go
+++ b/balancer/services_test.go
@@ -12,8 +12,8 @@
 	"bergamotstall/internal/table"
 )
 
-// manyServices is a table with so many services, each on an address of its own
-// in 127.0.0.0/8, and one target for each.
+// manyServices returns a table with the given number of services, each with one target and
+// its own address in 127.0.0.0/8.
 func manyServices(services int, tunnel netip.AddrPort) *table.Table {
 	const port = 9443
 	t := &table.Table{Revision: 1, Keys: []table.KeySet{keySet()}}
@@ -26,7 +26,7 @@
 	return t
 }
 
-func inUse() uint64 {
+func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -34,18 +34,18 @@
 	return m.HeapInuse + m.StackInuse
 }
 
-// perService opens so many services without traffic, and returns the memory and
-// the goroutines that each costs.
+// perService opens the given number of services without traffic and returns the memory, in
+// bytes, and the goroutines for each service.
 func perService(tb testing.TB, services int) (bytes, goroutines float64) {
 	is := is.New(tb)
 	f, _ := newForwarder(tb, 1)
-	before, running := inUse(), runtime.NumGoroutine()
+	before, running := memoryInUse(), runtime.NumGoroutine()
 	is.NoErr(f.Apply(manyServices(services, freePort(is))))
 	opened := runtime.NumGoroutine() - running
-	return float64(inUse()-before) / float64(services), float64(opened) / float64(services)
+	return float64(memoryInUse()-before) / float64(services), float64(opened) / float64(services)
 }
 
-// BenchmarkIdleServices is the slope of a balancer's memory with its addresses.
+// BenchmarkIdleServices measures a balancer's memory for each service address.
 func BenchmarkIdleServices(b *testing.B) {
 	for _, services := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(services), func(b *testing.B) {
@@ -59,22 +59,21 @@
 	}
 }
 
-// A balancer's addresses are nearly all quiet at any moment. Each must cost far
-// less than the memory for a batch of packets, or 2,100 of them take more than a
-// thin VM has.
-func TestQuietAddressIsCheap(t *testing.T) {
+// Guards against batch memory for idle addresses. At any time nearly all addresses of a
+// balancer are idle, and batch memory for 2,100 of them is more than a small VM has.
+func TestIdleAddressUsesLittleMemory(t *testing.T) {
 	is := is.New(t)
 	bytes, goroutines := perService(t, 200)
 	is.Equal(goroutines, 1.0)
 	const batch = 2 * batchSize * bufferSize
 	if bytes > batch/3 {
-		t.Errorf("%.0f bytes for a quiet address, a third of a batch's is %d", bytes, batch/3)
+		t.Errorf("an idle address takes %.0f bytes, want at most %d, a third of its batch memory", bytes, batch/3)
 	}
 }
 
-// The callers of an address that was quiet, then busy, then quiet for longer
-// than its worker keeps its batch get every packet through.
-func TestQuietBusyQuietSocketLosesNothing(t *testing.T) {
+// Guards against lost packets when a socket goes from idle to busy and back, and its reader
+// gets and returns batch memory.
+func TestReaderLosesNoPacketsBetweenIdleAndBusy(t *testing.T) {
 	is := is.New(t)
 	sockets, err := openSockets(netip.MustParseAddrPort("127.0.0.1:0"), 1)
 	is.NoErr(err)
@@ -82,7 +81,7 @@
 	sender, err := net.DialUDP("udp", nil, sockets[0].LocalAddr().(*net.UDPAddr))
 	is.NoErr(err)
 	defer sender.Close()
-	r := newReader()
+	r := newBatchReader()
 	for _, burst := range []int{1, 100, 1, 1} {
 		for i := range burst {
 			_, err := sender.Write([]byte{byte(i)})
@@ -97,14 +96,14 @@
 			}
 		}
 		is.True(r.batch != nil) // busy
-		r.passed(sockets[0])
-		r.passed(sockets[0])
-		is.True(r.batch == nil) // quiet again
+		r.deadlineExceeded(sockets[0])
+		r.deadlineExceeded(sockets[0])
+		is.True(r.batch == nil) // idle again
 	}
 }
 
-// BenchmarkTableMemory is the slope of a balancer's memory with the hosts of its
-// table, for one service address.
+// BenchmarkTableMemory measures a balancer's memory for each host in the table, with one
+// service address.
 func BenchmarkTableMemory(b *testing.B) {
 	for _, hosts := range []int{120, 1200, 12000} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
@@ -112,16 +111,17 @@
 			var bytes float64
 			for b.Loop() {
 				f, _ := newForwarder(b, 1)
-				before := inUse()
+				before := memoryInUse()
 				is.NoErr(f.Apply(manyTargets(hosts, freePort(is))))
-				bytes = float64(inUse()-before) / float64(hosts)
+				bytes = float64(memoryInUse()-before) / float64(hosts)
 			}
 			b.ReportMetric(bytes, "bytes/host")
 		})
 	}
 }
 
-// manyTargets is a table with one service and so many targets for it.
+// manyTargets returns a table with one service and a target on each of the given number of
+// hosts.
 func manyTargets(hosts int, tunnel netip.AddrPort) *table.Table {
 	t := manyServices(1, tunnel)
 	t.Targets = nil
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -8,38 +8,38 @@
 	"bergamotstall/internal/settings"
 )
 
-// Settings are one balancer's.
+// Settings are the settings of a balancer.
 type Settings struct {
-	// Name is the balancer's own, unique among balancers.
+	// Name is the balancer's name, unique among balancers.
 	Name       string `yaml:"name"`
 	DataCentre string `yaml:"dataCentre"`
-	// Bind is the IP number on which the fabric's packets arrive, where the VM
-	// doesn't hold the service addresses themselves. Empty for those.
+	// Bind is the IP address at which packets from the fabric arrive. Empty means the
+	// service addresses, if the VM has them itself.
 	Bind string `yaml:"bind"`
-	// Tunnel is the UDP address for envelopes of agents, "ip:port".
+	// Tunnel is the UDP listen address for envelopes from agents, "ip:port".
 	Tunnel string `yaml:"tunnel"`
 	// Controls are the control VMs' addresses for subscribers, "ip:port".
 	Controls []string `yaml:"controls"`
-	// Metrics is where the counters are read, "ip:port"; empty for nowhere.
+	// Metrics is the listen address for metrics, "ip:port"; empty disables it.
 	Metrics string `yaml:"metrics"`
-	// Sockets is how many sockets, each with a worker, share one address; 0
+	// Sockets is the number of sockets for each address, each with its own worker; 0
 	// means 1.
 	Sockets int `yaml:"sockets"`
-	// State is the file that keeps the last table across restarts, so that its
-	// revision can't fall; empty keeps none.
+	// State is the file that stores the last table across restarts, so that the
+	// balancer never returns to an older revision; empty stores none.
 	State string `yaml:"state"`
-	// StopGrace is how long packets are still forwarded after a stop was
-	// ordered, while the fabric takes the balancer out; 0 means 5 s.
+	// StopGrace is how long packets are still forwarded after a stop was requested, while
+	// the fabric removes the balancer; 0 means 5 s.
 	StopGrace time.Duration `yaml:"stopGrace"`
-	// TLS is this process's own certificate; without it connections to control
-	// are plain, for trials on one machine only.
+	// TLS is the certificate of this process. Without it connections to control are
+	// unencrypted, which is for trials on one machine only.
 	TLS keys.Settings `yaml:"tls"`
 }
 
 const (
 	maxSockets = 64
-	// defaultStopGrace is longer than a fabric takes to notice a balancer that
-	// is leaving; a packet in flight needs milliseconds.
+	// defaultStopGrace exceeds the time in which a fabric notices that a balancer is
+	// leaving. A packet in flight needs only milliseconds.
 	defaultStopGrace = 5 * time.Second
 	maxStopGrace     = 5 * time.Minute
 )
--- a/balancer/sockets.go
+++ b/balancer/sockets.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// batchSize is how many packets one system call moves at most.
+	// batchSize is the maximum number of packets in one system call.
 	batchSize = 32
-	// bufferSize holds any packet that fits an envelope, and its envelope.
+	// bufferSize is enough for the largest envelope with its packet, in bytes.
 	bufferSize = 2048
-	// socketBuffer holds what arrives while a worker is not running.
+	// socketBuffer is the size of the kernel's socket buffers, in bytes. They hold what
+	// arrives while a worker isn't running.
 	socketBuffer = 4 << 20
 )
 
-// ErrSocket is returned where an address can't be opened.
+// ErrSocket is returned if an address can't be opened.
 var ErrSocket = errors.New("balancer: can't open socket")
 
 // batchConn reads and writes several datagrams in one system call.
@@ -30,14 +31,14 @@
 	WriteBatch(ms []ipv4.Message, flags int) (int, error)
 }
 
-// socket is one of the sockets that share an address.
+// socket is one of several sockets with the same address.
 type socket struct {
 	*net.UDPConn
 	batch batchConn
 }
 
-// openSockets opens several sockets on one address; the kernel deals packets to
-// them by the hash of their addresses.
+// openSockets opens several sockets on one address. The kernel distributes packets among
+// them by a hash of the packets' addresses (SO_REUSEPORT).
 func openSockets(address netip.AddrPort, count int) ([]*socket, error) {
 	config := net.ListenConfig{Control: reusePort}
 	var out []*socket
@@ -51,7 +52,7 @@
 		_ = udp.SetReadBuffer(socketBuffer)
 		_ = udp.SetWriteBuffer(socketBuffer)
 		out = append(out, newSocket(udp, address))
-		// The rest share the port that the kernel chose, where it chose one.
+		// If the port was 0, the other sockets use the port that the kernel assigned.
 		address = unmap(udp.LocalAddr().(*net.UDPAddr).AddrPort())
 	}
 	return out, nil
@@ -78,14 +79,13 @@
 	return errors.Join(err, failed)
 }
 
-// unmap gives an IPv4 address in its own form, as tables have it.
+// unmap converts an IPv4-mapped IPv6 address to IPv4, as tables have it.
 func unmap(a netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
 
-// outBatch gathers datagrams for one write. Its memory is used again for each
-// batch.
-type outBatch struct {
+// writeBatch collects datagrams for one write. Its memory is reused for each batch.
+type writeBatch struct {
 	messages []ipv4.Message
 	buffers  [batchSize][]byte
 	targets  [batchSize]net.UDPAddr
@@ -93,8 +93,8 @@
 	count    int
 }
 
-func newOutBatch() *outBatch {
-	b := &outBatch{messages: make([]ipv4.Message, batchSize)}
+func newWriteBatch() *writeBatch {
+	b := &writeBatch{messages: make([]ipv4.Message, batchSize)}
 	for i := range b.messages {
 		b.buffers[i] = make([]byte, 0, bufferSize)
 		b.messages[i].Buffers = make([][]byte, 1)
@@ -103,20 +103,20 @@
 	return b
 }
 
-// next returns an empty buffer for the datagram that add then sends.
-func (b *outBatch) next() []byte { return b.buffers[b.count][:0] }
+// nextBuffer returns an empty buffer for the next datagram; pass it to add.
+func (b *writeBatch) nextBuffer() []byte { return b.buffers[b.count][:0] }
 
-// add puts a datagram, built in next's buffer, into the batch.
-func (b *outBatch) add(datagram []byte, to netip.AddrPort) {
+// add appends a datagram, built in the buffer of nextBuffer, to the batch.
+func (b *writeBatch) add(datagram []byte, to netip.AddrPort) {
 	i := b.count
 	b.buffers[i] = datagram
 	b.messages[i].Buffers[0] = datagram
-	b.targets[i].IP = b.setIP(i, to.Addr())
+	b.targets[i].IP = b.copyIP(i, to.Addr())
 	b.targets[i].Port = int(to.Port())
 	b.count++
 }
 
-func (b *outBatch) setIP(i int, ip netip.Addr) net.IP {
+func (b *writeBatch) copyIP(i int, ip netip.Addr) net.IP {
 	if ip.Is4() {
 		raw := ip.As4()
 		return b.ips[i][:copy(b.ips[i][:], raw[:])]
@@ -125,18 +125,18 @@
 	return b.ips[i][:copy(b.ips[i][:], raw[:])]
 }
 
-// flush sends the batch and returns how many datagrams couldn't be sent.
-func (b *outBatch) flush(by *socket) (failed int) {
-	rest := b.messages[:b.count]
+// flush sends the batch and returns the number of datagrams that couldn't be sent.
+func (b *writeBatch) flush(out *socket) (failed int) {
+	remaining := b.messages[:b.count]
 	b.count = 0
-	for len(rest) > 0 {
-		n, err := by.batch.WriteBatch(rest, 0)
+	for len(remaining) > 0 {
+		n, err := out.batch.WriteBatch(remaining, 0)
 		if err != nil {
-			// The first of the rest is at fault; the others go on.
+			// The error is about the first unsent datagram; skip it.
 			failed++
 			n = max(n, 0) + 1
 		}
-		rest = rest[min(n, len(rest)):]
+		remaining = remaining[min(n, len(remaining)):]
 	}
 	return failed
 }
--- a/balancer/watch.go
+++ b/balancer/watch.go
@@ -8,7 +8,7 @@
 	"bergamotstall/internal/steering"
 )
 
-// watch moves shares on and probes the agents that don't answer, until the
+// watch updates the targets' shares and probes agents that don't answer, until the
 // forwarder is closed.
 func (f *Forwarder) watch() {
 	tick := time.NewTicker(reachability.Tick)
@@ -18,26 +18,26 @@
 		case <-f.done:
 			return
 		case now := <-tick.C:
-			if v := f.reshare(now); v != nil {
-				v.steering.Probes(now, func(a *steering.Agent) { f.probe(v.steering, a) })
+			if state := f.updateShares(now); state != nil {
+				state.steering.Probes(now, func(a *steering.Agent) { f.probe(state.steering, a) })
 			}
 		}
 	}
 }
 
-// reshare puts the shares of now in force, and returns the view.
-func (f *Forwarder) reshare(now time.Time) *view {
+// updateShares puts the shares at now in force and returns the current state.
+func (f *Forwarder) updateShares(now time.Time) *forwardingState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	v := f.view.Load()
-	if v == nil {
+	state := f.state.Load()
+	if state == nil {
 		return nil
 	}
-	if m := v.steering.Reshare(now); m != v.steering {
-		v = &view{steering: m, fronts: v.fronts}
-		f.view.Store(v)
+	if m := state.steering.Reshare(now); m != state.steering {
+		state = &forwardingState{steering: m, listeners: state.listeners}
+		f.state.Store(state)
 	}
-	return v
+	return state
 }
 
 func (f *Forwarder) probe(m *steering.Map, a *steering.Agent) {
@@ -52,8 +52,8 @@
 	if err != nil {
 		return
 	}
-	f.counts.probes.Add(1)
+	f.counters.probes.Add(1)
 	if _, err := f.tunnels[0].WriteToUDPAddrPort(out, a.Tunnel); err != nil {
-		f.counts.sendFailed.Add(1)
+		f.counters.sendFailed.Add(1)
 	}
 }
--- a/balancer/workers.go
+++ b/balancer/workers.go
@@ -12,55 +12,55 @@
 	"bergamotstall/internal/table"
 )
 
-// forward moves callers' packets to agents, for one of a service's sockets.
-func (f *Forwarder) forward(x *front, in, out *socket) {
-	w := &forwardWorker{forwarder: f, front: x}
-	packets := newReader()
+// forwardToAgents forwards callers' packets from one of a service's sockets to agents.
+func (f *Forwarder) forwardToAgents(l *serviceListener, in, out *socket) {
+	w := &forwardWorker{forwarder: f, listener: l}
+	packets := newBatchReader()
 	for {
 		messages, ok := packets.read(in)
 		if !ok {
 			return
 		}
-		v := f.view.Load()
-		service, ok := v.steering.ServiceByID(x.id)
+		state := f.state.Load()
+		service, ok := state.steering.ServiceByID(l.id)
 		if !ok {
 			continue
 		}
 		now := time.Now()
-		w.batch = writeBatches.Get().(*outBatch)
+		w.batch = writeBatchPool.Get().(*writeBatch)
 		for i := range messages {
-			w.one(now, v, service, &messages[i])
+			w.handlePacket(now, state, service, &messages[i])
 		}
-		f.counts.sendFailed.Add(int64(w.batch.flush(out)))
-		writeBatches.Put(w.batch)
-		w.tally.flush(f.counts)
+		f.counters.sendFailed.Add(int64(w.batch.flush(out)))
+		writeBatchPool.Put(w.batch)
+		w.counts.flush(f.counters)
 	}
 }
 
-// forwardWorker is the memory of one forward worker.
+// forwardWorker is the reusable memory of one worker of forwardToAgents.
 type forwardWorker struct {
 	forwarder *Forwarder
-	front     *front
+	listener  *serviceListener
 	router    steering.Router
 	header    envelope.Header
-	batch     *outBatch
-	tally     tally
+	batch     *writeBatch
+	counts    batchCounts
 }
 
-func (w *forwardWorker) one(now time.Time, v *view, service *steering.Service, m *ipv4.Message) {
+func (w *forwardWorker) handlePacket(now time.Time, state *forwardingState, service *steering.Service, m *ipv4.Message) {
 	caller := unmap(m.Addr.(*net.UDPAddr).AddrPort())
-	out, agent, outcome := w.wrap(v.steering, service, caller, m.Buffers[0][:m.N])
-	w.tally.outcomes[outcome]++
+	out, agent, outcome := w.steerAndWrap(state.steering, service, caller, m.Buffers[0][:m.N])
+	w.counts.outcomes[outcome]++
 	if outcome.Dropped() {
 		return
 	}
 	agent.Reach.Sent(now)
-	w.tally.bytes += int64(m.N)
+	w.counts.bytes += int64(m.N)
 	w.batch.add(out, agent.Tunnel)
 }
 
-// wrap steers a packet and puts it into an envelope.
-func (w *forwardWorker) wrap(m *steering.Map, service *steering.Service, caller netip.AddrPort, packet []byte) ([]byte, *steering.Agent, steering.Outcome) {
+// steerAndWrap selects the agent for a packet and wraps the packet in an envelope.
+func (w *forwardWorker) steerAndWrap(m *steering.Map, service *steering.Service, caller netip.AddrPort, packet []byte) ([]byte, *steering.Agent, steering.Outcome) {
 	if len(packet) > envelope.MaxPayload {
 		return nil, nil, steering.DropOversize
 	}
@@ -80,70 +80,71 @@
 	case steering.Unreachable:
 		w.header.Kind = envelope.Orphan
 	case steering.NewAvoiding:
-		// Counted as a hop, so that no agent hands it to the one avoided.
+		// The avoided agent counts as a hop, so that no agent forwards the packet to it.
 		w.header.Hops = 1
 		w.header.HandedBy = w.router.Avoided
 	}
-	out, err := m.Envelopes.Append(w.batch.next(), &w.header, packet)
+	out, err := m.Envelopes.Append(w.batch.nextBuffer(), &w.header, packet)
 	if err != nil {
 		return nil, nil, steering.DropMalformed
 	}
 	return out, agent, outcome
 }
 
-// backward moves agents' answers to callers, for one of the tunnel's sockets.
-func (f *Forwarder) backward(index int, in *socket) {
-	w := &backwardWorker{forwarder: f, index: index, batch: newOutBatch()}
-	packets := newReader()
+// returnToCallers forwards agents' answers from one of the tunnel's sockets to callers.
+func (f *Forwarder) returnToCallers(index int, in *socket) {
+	w := &returnWorker{forwarder: f, index: index, batch: newWriteBatch()}
+	packets := newBatchReader()
 	for {
 		messages, ok := packets.read(in)
 		if !ok {
 			return
 		}
-		if v := f.view.Load(); v != nil {
-			w.all(v, messages)
+		if state := f.state.Load(); state != nil {
+			w.handleBatch(state, messages)
 		}
-		w.tally.flush(f.counts)
+		w.counts.flush(f.counters)
 	}
 }
 
-// backwardWorker is the memory of one backward worker.
-type backwardWorker struct {
+// returnWorker is the reusable memory of one worker of returnToCallers.
+type returnWorker struct {
 	forwarder *Forwarder
 	index     int
 	header    envelope.Header
-	batch     *outBatch
-	// service is whose answers the batch holds.
+	batch     *writeBatch
+	// service is the service whose answers are in the batch.
 	service table.ServiceID
-	tally   tally
+	counts  batchCounts
 }
 
-func (w *backwardWorker) all(v *view, messages []ipv4.Message) {
+func (w *returnWorker) handleBatch(state *forwardingState, messages []ipv4.Message) {
 	now := time.Now()
 	for i := range messages {
 		datagram := messages[i].Buffers[0][:messages[i].N]
-		packet, err := v.steering.Envelopes.Open(datagram, &w.header)
+		packet, err := state.steering.Envelopes.Open(datagram, &w.header)
 		if err != nil {
-			w.tally.refused(err)
+			w.counts.countInvalid(err)
 			continue
 		}
-		if !w.heard(now, v) {
+		if !w.recordAgent(now, state) {
 			continue
 		}
 		if w.header.Service != w.service {
-			w.send(v)
+			w.flushBatch(state)
 			w.service = w.header.Service
 		}
-		w.tally.returned++
-		w.tally.returnedBytes += int64(len(packet))
-		w.batch.add(append(w.batch.next(), packet...), w.header.Caller)
+		w.counts.returned++
+		w.counts.returnedBytes += int64(len(packet))
+		w.batch.add(append(w.batch.nextBuffer(), packet...), w.header.Caller)
 	}
-	w.send(v)
+	w.flushBatch(state)
 }
 
-// heard notes a sign of life, and tells whether it carries a packet.
-func (w *backwardWorker) heard(now time.Time, v *view) bool {
-	agent, known := v.steering.Agent(w.header.Agent)
+// recordAgent records for the failure detector that the agent sent something, and reports
+// whether the envelope contains a packet for a caller.
+func (w *returnWorker) recordAgent(now time.Time, state *forwardingState) bool {
+	agent, known := state.steering.Agent(w.header.Agent)
 	switch w.header.Kind {
 	case envelope.Return:
 		if known {
@@ -156,22 +157,22 @@
 		}
 		return false
 	}
-	w.tally.malformed++
+	w.counts.malformed++
 	return false
 }
 
-// send writes the batch from the service's own address, as callers take packets
-// from no other.
-func (w *backwardWorker) send(v *view) {
+// flushBatch sends the batch from the service's address, because callers accept packets
+// from no other address.
+func (w *returnWorker) flushBatch(state *forwardingState) {
 	if w.batch.count == 0 {
 		return
 	}
-	x := v.fronts[w.service]
-	if x == nil {
-		w.tally.noService += int64(w.batch.count)
+	l := state.listeners[w.service]
+	if l == nil {
+		w.counts.noService += int64(w.batch.count)
 		w.batch.count = 0
 		return
 	}
-	failed := w.batch.flush(x.sockets[w.index%len(x.sockets)])
-	w.tally.sendFailed += int64(failed)
+	failed := w.batch.flush(l.sockets[w.index%len(l.sockets)])
+	w.counts.sendFailed += int64(failed)
 }
