--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,7 +1,8 @@
 // Package balancer implements the balancer role. A balancer receives callers' packets from
-// the network fabric and forwards each to the agent that its connection ID names. For a
-// new flow it selects an agent. It forwards the answers to the callers. It keeps no state
-// of flows, so any balancer can forward any packet, and the loss of one breaks no flow.
+// the network fabric and forwards each to the agent that its connection ID names, or, for
+// a new flow, to the agent that package steering chooses by a hash of the flow. It forwards
+// the answers to the callers. It keeps no state of flows, so any balancer can forward any
+// packet, and the loss of one breaks no flow.
 package balancer
 
 import (
--- a/control/cluster_test.go
+++ b/control/cluster_test.go
@@ -19,8 +19,8 @@
 	"bergamotstall/internal/operator"
 )
 
-// eventuallyTimeout limits the wait for a condition that must become true. It may be long,
-// since no test expects a condition to stay false.
+// eventuallyTimeout limits the wait for a condition that must become true. No test result
+// depends on it being short.
 const eventuallyTimeout = 30 * time.Second
 
 var subnet atomic.Uint32
@@ -229,7 +229,7 @@
 	conn     net.Conn
 }
 
-var errCut = errors.New("control VM is isolated")
+var errIsolated = errors.New("control VM is isolated")
 
 func (n *network) dialer(from string, peers []Peer) dialFunc {
 	names := map[string]string{}
@@ -242,7 +242,7 @@
 		closed := n.cut[from] || n.cut[to]
 		n.mu.Unlock()
 		if closed {
-			return nil, errCut
+			return nil, errIsolated
 		}
 		conn, err := new(net.Dialer).DialContext(ctx, "tcp", address)
 		if err != nil {
--- a/control/control.go
+++ b/control/control.go
@@ -62,7 +62,7 @@
 	}
 	log, err := replica.Open(c.replicaConfig(), c.catalogue)
 	if err != nil {
-		return nil, errors.Wrap(err, "control: open state")
+		return nil, errors.Wrap(err, "control: open replica")
 	}
 	c.openServices(log)
 	return c, nil
--- a/control/security.go
+++ b/control/security.go
@@ -39,7 +39,7 @@
 	}
 	store, err := keys.Load(s.Files(), log, m)
 	if err != nil {
-		return security{}, errors.Wrap(err, "control: TLS")
+		return security{}, errors.Wrap(err, "control: load TLS files")
 	}
 	if self := store.Self(); self.Role != keys.Control {
 		return security{}, errors.Errorf("control: TLS: the certificate's role is %s, not control", self.Role)
--- a/control/watch.go
+++ b/control/watch.go
@@ -109,8 +109,8 @@
 	return true
 }
 
-// reportSuspects reports suspects that are still silent again, now that the state allows
-// taking them out of service.
+// reportSuspects reports again the suspects that are still silent and that may now be taken
+// out of service.
 func (c *Control) reportSuspects(ctx context.Context, agents, balancers []distribution.Silence) {
 	for _, s := range agents {
 		_ = c.registrar.AgentSilent(ctx, s)
--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -12,7 +12,7 @@
 )
 
 // ErrSnapshot is returned for a snapshot that can't be decoded.
-var ErrSnapshot = errors.New("catalogue: unreadable snapshot")
+var ErrSnapshot = errors.New("catalogue: snapshot can't be decoded")
 
 // Catalogue is one replica's copy of the state. It implements
 // replica.StateMachine. Its read methods are safe for use concurrently with Apply.
@@ -233,7 +233,7 @@
 	defer c.mu.RUnlock()
 	data, err := c.state.MarshalMsg(nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "catalogue: snapshot")
+		return nil, errors.Wrap(err, "catalogue: encode snapshot")
 	}
 	return data, nil
 }
--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -84,7 +84,7 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return errors.Wrap(err, "keys: generate")
+		return errors.Wrap(err, "keys: generate key")
 	}
 	template, err := newTemplate("bergamotstall authority", time.Now(), authorityLifetime)
 	if err != nil {
@@ -95,7 +95,7 @@
 	template.KeyUsage = x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return errors.Wrap(err, "keys: sign")
+		return errors.Wrap(err, "keys: sign certificate")
 	}
 	return writePair(filepath.Join(folder, authorityCert), filepath.Join(folder, authorityKey), der, key)
 }
@@ -107,7 +107,7 @@
 	return issue(folder, role, name, ips, time.Now(), certificateLifetime)
 }
 
-func issue(folder string, role Role, name string, ips []net.IP, from time.Time, life time.Duration) (Files, error) {
+func issue(folder string, role Role, name string, ips []net.IP, from time.Time, lifetime time.Duration) (Files, error) {
 	if !slices.Contains(Roles(), role) {
 		return Files{}, errors.Wrapf(ErrRole, "%q", role)
 	}
@@ -120,9 +120,9 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Files{}, errors.Wrap(err, "keys: generate")
+		return Files{}, errors.Wrap(err, "keys: generate key")
 	}
-	template, err := newTemplate(name, from, life)
+	template, err := newTemplate(name, from, lifetime)
 	if err != nil {
 		return Files{}, err
 	}
@@ -133,14 +133,14 @@
 	template.IPAddresses = ips
 	der, err := x509.CreateCertificate(rand.Reader, template, authority, &key.PublicKey, signer)
 	if err != nil {
-		return Files{}, errors.Wrap(err, "keys: sign")
+		return Files{}, errors.Wrap(err, "keys: sign certificate")
 	}
 	base := filepath.Join(folder, string(role)+"-"+name)
 	files := Files{Authority: filepath.Join(folder, authorityCert), Certificate: base + ".crt", Key: base + ".key"}
 	return files, writePair(files.Certificate, files.Key, der, key)
 }
 
-func newTemplate(name string, from time.Time, life time.Duration) (*x509.Certificate, error) {
+func newTemplate(name string, from time.Time, lifetime time.Duration) (*x509.Certificate, error) {
 	serial, err := newSerial()
 	if err != nil {
 		return nil, err
@@ -149,7 +149,7 @@
 		SerialNumber:          serial,
 		Subject:               pkix.Name{CommonName: name},
 		NotBefore:             from.Add(-clockSkew),
-		NotAfter:              from.Add(life),
+		NotAfter:              from.Add(lifetime),
 		BasicConstraintsValid: true,
 	}, nil
 }
--- a/internal/keys/peer.go
+++ b/internal/keys/peer.go
@@ -114,7 +114,7 @@
 func Client(ctx context.Context, raw net.Conn, cfg *tls.Config, host string) (*tls.Conn, error) {
 	conn := tls.Client(raw, cfg)
 	if err := conn.HandshakeContext(ctx); err != nil {
-		return nil, errors.Wrap(err, "keys: handshake")
+		return nil, errors.Wrap(err, "keys: TLS handshake")
 	}
 	certs := conn.ConnectionState().PeerCertificates
 	if len(certs) == 0 {
--- a/internal/keys/selfsigned.go
+++ b/internal/keys/selfsigned.go
@@ -24,7 +24,7 @@
 func SelfSigned(hosts ...string) (tls.Certificate, *x509.CertPool, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return tls.Certificate{}, nil, errors.Wrap(err, "keys: generate")
+		return tls.Certificate{}, nil, errors.Wrap(err, "keys: generate key")
 	}
 	serial, err := newSerial()
 	if err != nil {
@@ -50,7 +50,7 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return tls.Certificate{}, nil, errors.Wrap(err, "keys: sign")
+		return tls.Certificate{}, nil, errors.Wrap(err, "keys: sign certificate")
 	}
 	leaf, err := x509.ParseCertificate(der)
 	if err != nil {
--- a/internal/keys/store.go
+++ b/internal/keys/store.go
@@ -172,7 +172,8 @@
 }
 
 // verifier returns a function that checks peers and counts the refused ones. It also runs
-// for resumed sessions, so that a session ticket is no longer valid than the certificate.
+// for resumed sessions, so that a session ticket can't be used after the certificate has
+// expired.
 func (s *Store) verifier(allowed []Role) func(tls.ConnectionState) error {
 	return func(cs tls.ConnectionState) error {
 		s.mu.RLock()
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -151,7 +151,7 @@
 		return errors.Wrap(err, "send")
 	}
 	if err := raw.SetReadDeadline(time.Now().Add(cmp.Or(c.AnswerTimeout, defaultAnswerTimeout))); err != nil {
-		return errors.Wrap(err, "deadline")
+		return errors.Wrap(err, "set read deadline")
 	}
 	frame, err := conn.Read()
 	if err != nil {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -68,7 +68,7 @@
 func (v *fakeVM) Local() LocalStatus { return v.local }
 
 func (v *fakeVM) ChangeMembers(context.Context, MembersChange) error {
-	return errors.New("nobody waits")
+	return errors.New("no replica waits to replace the VM")
 }
 
 // serve runs a server for the backend and returns its address and a function
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -155,7 +155,7 @@
 	within, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	if err := secured.HandshakeContext(within); err != nil {
-		return "", nil, errors.Wrap(err, "operator: TLS")
+		return "", nil, errors.Wrap(err, "operator: TLS handshake")
 	}
 	peer, err := keys.PeerOf(secured.ConnectionState())
 	if err != nil {
