--- a/agent/settings.go
+++ b/agent/settings.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// Problems implements settings.Checked.
+// Problems implements settings.Validator.
 func (s *Settings) Problems() []settings.Problem {
 	var c settings.Checker
 	s.setDefaults()
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -44,7 +44,7 @@
 	maxStopGrace     = 5 * time.Minute
 )
 
-// Problems implements settings.Checked.
+// Problems implements settings.Validator.
 func (s *Settings) Problems() []settings.Problem {
 	var c settings.Checker
 	c.Required("name", s.Name)
--- a/cmd/bergamotctl/options.go
+++ b/cmd/bergamotctl/options.go
@@ -27,7 +27,7 @@
 	TLS     keys.Settings `yaml:"tls"`
 }
 
-// Problems implements settings.Checked.
+// Problems implements settings.Validator.
 func (s *toolSettings) Problems() []settings.Problem {
 	var c settings.Checker
 	if len(s.Control) == 0 {
--- a/cmd/bergamotstall/role.go
+++ b/cmd/bergamotstall/role.go
@@ -27,7 +27,7 @@
 type serverRole struct {
 	name string
 	// settings is loaded and validated before newRunner is called.
-	settings  settings.Checked
+	settings  settings.Validator
 	newRunner func(log logrus.FieldLogger) (runner, error)
 	// runOnPlatform runs the role with the settings file that the users' platform provides.
 	// It returns after a graceful stop once ctx is done.
--- a/control/settings.go
+++ b/control/settings.go
@@ -51,7 +51,7 @@
 // maxPeers limits the number of control VMs.
 const maxPeers = 9
 
-// Problems implements settings.Checked.
+// Problems implements settings.Validator.
 func (s *Settings) Problems() []settings.Problem {
 	var c settings.Checker
 	c.Required("name", s.Name)
--- a/internal/catalogue/definition.go
+++ b/internal/catalogue/definition.go
@@ -73,7 +73,7 @@
 	Weight uint32 `yaml:"weight" msg:"w"`
 }
 
-// Problems implements settings.Checked.
+// Problems implements settings.Validator.
 func (d *Definition) Problems() []settings.Problem {
 	var c settings.Checker
 	if len(d.Services) == 0 {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -37,11 +37,11 @@
 	// ErrLocked means that another process has the folder open. Two processes would
 	// overwrite each other's votes.
 	ErrLocked = errors.New("journal: the folder is in use by another process")
-	// ErrPoisoned means that an earlier write or sync failed, and that the content of the
+	// ErrWriteFailed means that an earlier write or sync failed, and that the content of the
 	// disk is unknown: after a failed sync the kernel may drop the written pages and report
 	// success for the next sync. The folder must be closed and opened again, which writes
 	// and syncs the whole state anew.
-	ErrPoisoned = errors.New("journal: an earlier write failed")
+	ErrWriteFailed = errors.New("journal: an earlier write failed")
 	// ErrIncomplete means that files were removed from the folder.
 	ErrIncomplete = errors.New("journal: files are missing from the folder")
 )
@@ -226,7 +226,7 @@
 }
 
 // Save writes and syncs a batch. After an error nothing more can be saved: all further
-// calls fail with ErrPoisoned.
+// calls fail with ErrWriteFailed.
 func (j *Journal) Save(b Batch) error {
 	if j.failure != nil {
 		return j.failure
@@ -304,7 +304,7 @@
 	return nil
 }
 
-// fail makes all further writes fail with ErrPoisoned, and returns that error.
+// fail makes all further writes fail with ErrWriteFailed, and returns that error.
 func (j *Journal) fail(err error) error {
 	j.failure = &writeFailedError{cause: err}
 	return j.failure
@@ -312,9 +312,9 @@
 
 type writeFailedError struct{ cause error }
 
-func (e *writeFailedError) Error() string { return ErrPoisoned.Error() + ": " + e.cause.Error() }
+func (e *writeFailedError) Error() string { return ErrWriteFailed.Error() + ": " + e.cause.Error() }
 
-func (e *writeFailedError) Is(target error) bool { return target == ErrPoisoned }
+func (e *writeFailedError) Is(target error) bool { return target == ErrWriteFailed }
 
 func (e *writeFailedError) Unwrap() error { return e.cause }
 
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -164,12 +164,12 @@
 	}
 	m.bytesLeft = 10
 	err = s.step(j)
-	is.True(errors.Is(err, ErrPoisoned) && errors.Is(err, errDiskFull))
+	is.True(errors.Is(err, ErrWriteFailed) && errors.Is(err, errDiskFull))
 	m.bytesLeft = -1
 	for range 3 {
-		is.True(errors.Is(s.step(j), ErrPoisoned))
+		is.True(errors.Is(s.step(j), ErrWriteFailed))
 	}
-	is.True(errors.Is(j.SetCluster(1), ErrPoisoned))
+	is.True(errors.Is(j.SetCluster(1), ErrWriteFailed))
 	_ = j.Close()
 	_, got, err := openInMemory(m, 8)
 	is.NoErr(err)
@@ -185,9 +185,9 @@
 	j, _, err := openInMemory(m, 7)
 	is.NoErr(err)
 	m.operationsLeft = 1 // the write succeeds, its sync doesn't
-	is.True(errors.Is(j.Save(Batch{Hard: raft.HardState{Term: 1}}), ErrPoisoned))
+	is.True(errors.Is(j.Save(Batch{Hard: raft.HardState{Term: 1}}), ErrWriteFailed))
 	m.operationsLeft = -1
-	is.True(errors.Is(j.Save(Batch{Hard: raft.HardState{Term: 1}}), ErrPoisoned))
+	is.True(errors.Is(j.Save(Batch{Hard: raft.HardState{Term: 1}}), ErrWriteFailed))
 }
 
 // Guards against two processes that overwrite each other's votes in one folder. What the
--- a/internal/passthrough/agent/output.go
+++ b/internal/passthrough/agent/output.go
@@ -102,7 +102,7 @@
 		fields["answered"] = d.Answered
 		fields["broken"] = d.Broken
 	}
-	events.Log(a.cfg.Log, events.PassFlowRefused, fields)
+	events.Log(a.cfg.Log, events.PassAgentDecided, fields)
 }
 
 // Answered implements flowtable.Output.
--- a/internal/passthrough/balancer/output.go
+++ b/internal/passthrough/balancer/output.go
@@ -106,5 +106,5 @@
 		fields["asked"] = d.Asked
 		fields["silent"] = d.Silent
 	}
-	events.Log(b.cfg.Log, events.PassFlowDecided, fields)
+	events.Log(b.cfg.Log, events.PassBalancerDecided, fields)
 }
--- a/internal/passthrough/simulation/simulation.go
+++ b/internal/passthrough/simulation/simulation.go
@@ -1,5 +1,5 @@
 // Package simulation plays callers, balancers, agents and targets of pass-through flows
-// in a seeded event loop, with the real decision code (forward, flowtable, place)
+// in a seeded event loop, with the real decision code (forward, flowtable, placement)
 // in the middle:
 //
 //	bergamotctl experiment pass
--- a/internal/proxy/health.go
+++ b/internal/proxy/health.go
@@ -51,9 +51,9 @@
 	}
 	x.health.unhealthy = unhealthy
 	if unhealthy {
-		events.Log(x.log, events.TargetIll, logrus.Fields{"target": x.cfg.Target})
+		events.Log(x.log, events.TargetUnhealthy, logrus.Fields{"target": x.cfg.Target})
 	} else {
-		events.Log(x.log, events.TargetWell, logrus.Fields{"target": x.cfg.Target})
+		events.Log(x.log, events.TargetHealthy, logrus.Fields{"target": x.cfg.Target})
 	}
 }
 
--- a/internal/replica/disk_test.go
+++ b/internal/replica/disk_test.go
@@ -101,7 +101,7 @@
 	_, err := old.Propose(withTimeout(t, waitTimeout), []byte("command"))
 	is.True(errors.Is(err, ErrOutcomeUnknown))
 	old.waitDone()
-	is.True(errors.Is(old.Err(), journal.ErrPoisoned) && errors.Is(old.Err(), syscall.ENOSPC))
+	is.True(errors.Is(old.Err(), journal.ErrWriteFailed) && errors.Is(old.Err(), syscall.ENOSPC))
 	_, err = old.Propose(withTimeout(t, waitTimeout), []byte("x"))
 	is.True(errors.Is(err, ErrNotRun) && errors.Is(err, ErrFailed))
 	is.True(errors.Is(old.Barrier(withTimeout(t, waitTimeout)), ErrNotRun))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -31,8 +31,8 @@
 	Allowed string
 }
 
-// Checked is a type of settings that validates its own values.
-type Checked interface {
+// Validator is a type of settings that validates its own values.
+type Validator interface {
 	// Problems returns the values that aren't allowed, or nil if there are none.
 	Problems() []Problem
 }
@@ -46,7 +46,7 @@
 func (e *Error) Error() string { return strings.Join(e.Lines, "\n") }
 
 // Load decodes the file at path into out and validates it. Its errors are *Error.
-func Load(path string, out Checked) error {
+func Load(path string, out Validator) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return &Error{File: path, Lines: []string{fmt.Sprintf("%s: %v", path, errors.Unwrap(err))}}
@@ -56,7 +56,7 @@
 
 // Decode decodes data into out and validates it. The name of the file is used in errors
 // only, which are *Error.
-func Decode(file string, data []byte, out Checked) error {
+func Decode(file string, data []byte, out Validator) error {
 	dec := yaml.NewDecoder(bytes.NewReader(data), yaml.Strict())
 	if err := dec.Decode(out); err != nil {
 		return &Error{File: file, Lines: []string{describeDecodeError(file, data, err)}}
