--- a/integration/control_test.go
+++ b/integration/control_test.go
@@ -26,28 +26,28 @@
 	exitUnreachable = 5
 )
 
-// pollTime bounds waits whose length proves nothing.
-const pollTime = 40 * time.Second
+// pollTimeout bounds waits for a condition that has no time limit of its own.
+const pollTimeout = 40 * time.Second
 
-// ctl runs the built bergamotctl as an operator does.
+// ctl runs the built bergamotctl with an operator's certificate.
 type ctl struct {
 	identity keys.Settings
 }
 
-func newCtl(t *testing.T, r *rig) ctl {
+func newCtl(t *testing.T, f *testFleet) ctl {
 	t.Helper()
-	identity, err := r.OperatorIdentity("integration")
+	identity, err := f.IssueOperatorCertificate("integration")
 	if err != nil {
 		t.Fatal(err)
 	}
 	return ctl{identity: identity}
 }
 
-// run returns the exit code and what was printed.
+// run returns the exit code and the output.
 func (c ctl) run(ctx context.Context, control []string, args ...string) (int, string) {
 	args = append(args, "-control", strings.Join(control, ","),
 		"-tls-authority", c.identity.Authority, "-tls-certificate", c.identity.Certificate, "-tls-key", c.identity.Key)
-	cmd := exec.CommandContext(ctx, tool, args...)
+	cmd := exec.CommandContext(ctx, ctlBinary, args...)
 	var out bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &out
 	err := cmd.Run()
@@ -58,36 +58,37 @@
 	return cmd.ProcessState.ExitCode(), out.String()
 }
 
-func eventually(t *testing.T, what string, met func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(pollTime); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if met() {
+	for end := time.Now().Add(pollTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("not met in %v: %s", pollTime, what)
+	t.Fatalf("condition not met within %v: %s", pollTimeout, what)
 }
 
-// inForce asks one control VM, through the log's barrier.
-func inForce(ctx context.Context, r *rig, addresses ...string) (string, error) {
-	one := &operator.Client{Addresses: addresses, TLS: r.Client.TLS}
+// presetInForce reads the preset in force from the control VMs at the addresses, with
+// a read that is current as of the request.
+func presetInForce(ctx context.Context, f *testFleet, addresses ...string) (string, error) {
+	client := &operator.Client{Addresses: addresses, TLS: f.Client.TLS}
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
-	view, err := one.Read(ctx, operator.PartSummary)
+	view, err := client.Read(ctx, operator.PartSummary)
 	if err != nil {
 		return "", err
 	}
 	return view.InForce, nil
 }
 
-// leader returns the index of the control VM that leads.
-func leader(t *testing.T, r *rig) int {
+// leader returns the index of the leading control VM.
+func leader(t *testing.T, f *testFleet) int {
 	t.Helper()
 	found := -1
 	eventually(t, "a leader", func() bool {
-		for i, address := range r.OperatorAddresses() {
-			local, err := r.Client.Local(t.Context(), address)
-			if err == nil && local.Leader == r.Controls[i].Name {
+		for i, address := range f.OperatorAddresses() {
+			local, err := f.Client.Local(t.Context(), address)
+			if err == nil && local.Leader == f.Controls[i].Name {
 				found = i
 				return true
 			}
@@ -97,116 +98,117 @@
 	return found
 }
 
-// One control VM hears nothing from the others for the whole run, while its own
-// address stays reachable and operators switch presets through the rest. It
-// answers no read as current, its subscribers go elsewhere, no balancer's
-// revision falls, and callers notice nothing.
-func TestControlVMCutOffForTheWholeRun(t *testing.T) {
+// Guards against stale reads from a control VM that the others can't reach. Operators
+// and subscribers still reach it, and presets are switched through the other two. It
+// must not answer a read as current, its subscribers must move to another control VM,
+// no balancer's revision may decrease, and no caller may see an error.
+func TestControlVMPartitionedForWholeRun(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, scenario.Layouts()[0], true)
-	lone := (leader(t, r) + 1) % 3
+	f := newTestFleet(t, scenario.Layouts()[0], true)
+	isolated := (leader(t, f) + 1) % 3
 	var steps []scenario.Step
-	steps = append(steps, scenario.Step{At: 0.02, What: "cut " + r.Controls[lone].Name, Do: func(context.Context, *scenario.Play) error {
-		r.links.cut(lone)
+	steps = append(steps, scenario.Step{At: 0.02, Name: "partition " + f.Controls[isolated].Name, Do: func(context.Context, *scenario.Runner) error {
+		f.links.block(isolated)
 		return nil
 	}})
-	for n, preset := range []string{scenario.Peak, scenario.Ordinary, scenario.Maintenance} {
-		steps = append(steps, scenario.Step{At: 0.3 + 0.2*float64(n), What: "switch to " + preset, Do: func(ctx context.Context, p *scenario.Play) error {
-			return p.SwitchTo(ctx, preset)
+	for n, preset := range []string{scenario.PresetPeak, scenario.PresetOrdinary, scenario.PresetMaintenance} {
+		steps = append(steps, scenario.Step{At: 0.3 + 0.2*float64(n), Name: "switch to " + preset, Do: func(ctx context.Context, run *scenario.Runner) error {
+			return run.SwitchTo(ctx, preset)
 		}})
 	}
-	steps = append(steps, scenario.Step{At: 0.9, What: "ask the VM that is cut off", Do: func(ctx context.Context, _ *scenario.Play) error {
-		got, err := inForce(ctx, r, r.OperatorAddresses()[lone])
+	steps = append(steps, scenario.Step{At: 0.9, Name: "read from the partitioned VM", Do: func(ctx context.Context, _ *scenario.Runner) error {
+		got, err := presetInForce(ctx, f, f.OperatorAddresses()[isolated])
 		if err == nil {
-			return errors.Errorf("it answered %q as current", got)
+			return errors.Errorf("partitioned VM answered a read as current: %q", got)
 		}
 		return nil
 	}})
-	r.play(t, scenario.Scenario{Name: "control-cut-off", Steps: steps})
-	is.NoErr(r.links.mend(lone))
-	eventually(t, "the VM has caught up", func() bool {
-		got, err := inForce(t.Context(), r, r.OperatorAddresses()[lone])
-		return err == nil && got == scenario.Maintenance
+	f.runScenario(t, scenario.Scenario{Name: "control-cut-off", Steps: steps})
+	is.NoErr(f.links.unblock(isolated))
+	eventually(t, "the partitioned VM catches up", func() bool {
+		got, err := presetInForce(t.Context(), f, f.OperatorAddresses()[isolated])
+		return err == nil && got == scenario.PresetMaintenance
 	})
-	r.close(t)
+	f.close(t)
 }
 
-// The leader is paused, as a VM that is moved or starved, and wakes believing
-// that it still leads. Meanwhile another leader has taken a switch; the one that
-// wakes neither reverts it nor answers the old preset.
-func TestFrozenLeaderWakes(t *testing.T) {
+// Guards against a paused leader that acts on its outdated leadership when it resumes,
+// like a VM after live migration or without processor time. Another leader accepts a
+// switch meanwhile; the resumed VM must neither revert it nor answer the old preset.
+func TestPausedLeaderResumes(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, scenario.Layouts()[1], false)
-	frozen := leader(t, r)
-	p := r.Controls[frozen].Process.(*process)
-	is.NoErr(p.freeze())
-	others := append([]string(nil), r.OperatorAddresses()...)
-	others = append(others[:frozen], others[frozen+1:]...)
-	c := newCtl(t, r)
-	eventually(t, "the others accept a switch", func() bool {
-		code, _ := c.run(t.Context(), others, "switch", scenario.Peak, "-command-id", "frozen-leader", "-timeout", "5s")
+	f := newTestFleet(t, scenario.Layouts()[1], false)
+	paused := leader(t, f)
+	pausedProcess := f.Controls[paused].Process.(*process)
+	is.NoErr(pausedProcess.pause())
+	others := append([]string(nil), f.OperatorAddresses()...)
+	others = append(others[:paused], others[paused+1:]...)
+	c := newCtl(t, f)
+	eventually(t, "the other control VMs accept a switch", func() bool {
+		code, _ := c.run(t.Context(), others, "switch", scenario.PresetPeak, "-command-id", "frozen-leader", "-timeout", "5s")
 		return code == exitOK
 	})
-	is.NoErr(p.thaw())
+	is.NoErr(pausedProcess.resume())
 	for range 20 {
-		got, err := inForce(t.Context(), r, r.OperatorAddresses()[frozen])
+		got, err := presetInForce(t.Context(), f, f.OperatorAddresses()[paused])
 		if err == nil {
-			is.Equal(got, scenario.Peak)
+			is.Equal(got, scenario.PresetPeak)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	eventually(t, "the VM that woke has the switch", func() bool {
-		got, err := inForce(t.Context(), r, r.OperatorAddresses()[frozen])
-		return err == nil && got == scenario.Peak
+	eventually(t, "the resumed VM has the switch", func() bool {
+		got, err := presetInForce(t.Context(), f, f.OperatorAddresses()[paused])
+		return err == nil && got == scenario.PresetPeak
 	})
-	r.close(t)
+	f.close(t)
 }
 
-// A control VM loses its disk and is replaced; right after that a second one is
-// lost for good. The accepted preset is still in force, and the two that are
-// left, the replacement among them, accept the next switch.
-func TestSecondControlVMLostAfterAReplacement(t *testing.T) {
+// Guards against a replacement that doesn't count for the quorum. A control VM loses
+// its disk and is replaced, then a second one is lost for good. The accepted preset
+// must stay in force, and the remaining two must accept the next switch.
+func TestSecondControlVMLostAfterReplacement(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, scenario.Layouts()[0], false)
-	c := newCtl(t, r)
-	is.NoErr(r.SwitchTo(t.Context(), scenario.Peak))
+	f := newTestFleet(t, scenario.Layouts()[0], false)
+	c := newCtl(t, f)
+	is.NoErr(f.SwitchTo(t.Context(), scenario.PresetPeak))
 
-	first := r.Controls[2]
+	first := f.Controls[2]
 	is.NoErr(first.Process.Kill())
-	is.NoErr(os.RemoveAll(r.ControlFolder(first)))
-	is.NoErr(r.StartControl(first))
-	eventually(t, "the replacement is taken in", func() bool {
-		code, _ := c.run(t.Context(), r.OperatorAddresses(), "members", "replace", first.Name, "-timeout", "40s")
+	is.NoErr(os.RemoveAll(f.ControlFolder(first)))
+	is.NoErr(f.StartControl(first))
+	eventually(t, "the replacement becomes a member", func() bool {
+		code, _ := c.run(t.Context(), f.OperatorAddresses(), "members", "replace", first.Name, "-timeout", "40s")
 		return code == exitOK
 	})
-	second := r.Controls[1]
+	second := f.Controls[1]
 	is.NoErr(second.Process.Kill())
 	second.Process = nil
-	left := []string{r.OperatorAddresses()[0], r.OperatorAddresses()[2]}
+	left := []string{f.OperatorAddresses()[0], f.OperatorAddresses()[2]}
 	eventually(t, "the accepted preset is still in force", func() bool {
-		got, err := inForce(t.Context(), r, left...)
-		return err == nil && got == scenario.Peak
+		got, err := presetInForce(t.Context(), f, left...)
+		return err == nil && got == scenario.PresetPeak
 	})
-	eventually(t, "the two that are left accept a switch", func() bool {
-		code, _ := c.run(t.Context(), left, "switch", scenario.Ordinary, "-command-id", "second-lost", "-timeout", "5s")
+	eventually(t, "the remaining two control VMs accept a switch", func() bool {
+		code, _ := c.run(t.Context(), left, "switch", scenario.PresetOrdinary, "-command-id", "second-lost", "-timeout", "5s")
 		return code == exitOK
 	})
-	r.close(t)
+	f.close(t)
 }
 
-// Two operators saw the same version and both switch. One wins; the other's
-// exit code says conflict, and the preset in force is the winner's.
-func TestOperatorsRaceWithEqualVersion(t *testing.T) {
+// Guards against lost updates: two operators switch presets with the same expected
+// version. One must succeed, the other must get the exit code for a conflict, and the
+// preset in force must be the successful one's.
+func TestConcurrentSwitchesOfSameVersion(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, scenario.Layouts()[1], false)
-	c := newCtl(t, r)
-	version := versionOf(t, r, c)
-	presets := []string{scenario.Peak, scenario.Maintenance}
+	f := newTestFleet(t, scenario.Layouts()[1], false)
+	c := newCtl(t, f)
+	version := currentVersion(t, f, c)
+	presets := []string{scenario.PresetPeak, scenario.PresetMaintenance}
 	var codes [2]int
 	var wg sync.WaitGroup
 	for i, preset := range presets {
 		wg.Go(func() {
-			codes[i], _ = c.run(t.Context(), r.OperatorAddresses(), "switch", preset, "-if-version", version)
+			codes[i], _ = c.run(t.Context(), f.OperatorAddresses(), "switch", preset, "-if-version", version)
 		})
 	}
 	wg.Wait()
@@ -216,23 +218,23 @@
 	}
 	is.Equal(codes[winner], exitOK)
 	is.Equal(codes[1-winner], exitConflict)
-	got, err := inForce(t.Context(), r, r.OperatorAddresses()...)
+	got, err := presetInForce(t.Context(), f, f.OperatorAddresses()...)
 	is.NoErr(err)
 	is.Equal(got, presets[winner])
 
-	// The winner lost the answer and sends the command again: the first outcome
-	// comes back, and nothing changes.
-	code, first := c.run(t.Context(), r.OperatorAddresses(), "switch", scenario.Ordinary, "-command-id", "lost-answer")
+	// A command that is resent with the same ID, because its answer was lost, returns
+	// the first outcome and changes nothing.
+	code, first := c.run(t.Context(), f.OperatorAddresses(), "switch", scenario.PresetOrdinary, "-command-id", "lost-answer")
 	is.Equal(code, exitOK)
-	code, again := c.run(t.Context(), r.OperatorAddresses()[1:], "switch", scenario.Ordinary, "-command-id", "lost-answer")
+	code, again := c.run(t.Context(), f.OperatorAddresses()[1:], "switch", scenario.PresetOrdinary, "-command-id", "lost-answer")
 	is.Equal(code, exitOK)
 	is.Equal(again, first)
-	r.close(t)
+	f.close(t)
 }
 
-func versionOf(t *testing.T, r *rig, c ctl) string {
+func currentVersion(t *testing.T, f *testFleet, c ctl) string {
 	t.Helper()
-	code, out := c.run(t.Context(), r.OperatorAddresses(), "status", "-json")
+	code, out := c.run(t.Context(), f.OperatorAddresses(), "status", "-json")
 	if code != exitOK {
 		t.Fatalf("status: exit %d: %s", code, out)
 	}
@@ -247,17 +249,17 @@
 	return status.Current.Version.String()
 }
 
-// Control is gone altogether for most of the run. Callers notice nothing; the
-// operator's tool says unreachable, and the balancers' counters say since when.
-// When control is back on its disks, the preset is what it was.
-func TestControlGoneAltogether(t *testing.T) {
+// Guards against a data plane that depends on control. All control VMs are down for
+// most of the run: callers must see no error, and bergamotctl must exit with the code
+// for unreachable. After control restarts from disk, the preset must be unchanged.
+func TestAllControlVMsDown(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, scenario.Layouts()[1], false)
-	c := newCtl(t, r)
-	is.NoErr(r.SwitchTo(t.Context(), scenario.Peak))
-	r.play(t, scenario.Scenario{Name: "control-gone", Steps: []scenario.Step{
-		{At: 0.1, What: "all control VMs die", Do: func(context.Context, *scenario.Play) error {
-			for _, vm := range r.Controls {
+	f := newTestFleet(t, scenario.Layouts()[1], false)
+	c := newCtl(t, f)
+	is.NoErr(f.SwitchTo(t.Context(), scenario.PresetPeak))
+	f.runScenario(t, scenario.Scenario{Name: "control-gone", Steps: []scenario.Step{
+		{At: 0.1, Name: "all control VMs crash", Do: func(context.Context, *scenario.Runner) error {
+			for _, vm := range f.Controls {
 				if err := vm.Process.Kill(); err != nil {
 					return err
 				}
@@ -265,25 +267,25 @@
 			}
 			return nil
 		}},
-		{At: 0.5, What: "ask", Do: func(ctx context.Context, _ *scenario.Play) error {
-			if code, out := c.run(ctx, r.OperatorAddresses(), "status", "-timeout", "2s"); code != exitUnreachable {
+		{At: 0.5, Name: "run bergamotctl status", Do: func(ctx context.Context, _ *scenario.Runner) error {
+			if code, out := c.run(ctx, f.OperatorAddresses(), "status", "-timeout", "2s"); code != exitUnreachable {
 				return errors.Errorf("status: exit %d: %s", code, out)
 			}
 			return nil
 		}},
-		{At: 0.7, What: "control is back", Do: func(_ context.Context, p *scenario.Play) error {
-			for _, vm := range p.Controls {
-				if err := p.StartControl(vm); err != nil {
+		{At: 0.7, Name: "all control VMs restart", Do: func(_ context.Context, run *scenario.Runner) error {
+			for _, vm := range run.Controls {
+				if err := run.StartControl(vm); err != nil {
 					return err
 				}
 			}
 			return nil
 		}},
 	}})
-	eventually(t, "the preset is what it was", func() bool {
-		got, err := inForce(t.Context(), r, r.OperatorAddresses()...)
-		return err == nil && got == scenario.Peak
+	eventually(t, "the preset is unchanged", func() bool {
+		got, err := presetInForce(t.Context(), f, f.OperatorAddresses()...)
+		return err == nil && got == scenario.PresetPeak
 	})
-	is.NoErr(r.SwitchTo(t.Context(), scenario.Ordinary))
-	r.close(t)
+	is.NoErr(f.SwitchTo(t.Context(), scenario.PresetOrdinary))
+	f.close(t)
 }
--- a/integration/links_test.go
+++ b/integration/links_test.go
@@ -13,24 +13,24 @@
 	"bergamotstall/internal/scenario"
 )
 
-// proxyOffset is how far the last octet of a proxy's address lies above that of
-// the control VM behind it.
-const proxyOffset = 100
+// proxyOctetOffset is the difference between the last octets of a proxy's address and
+// of the control VM behind it.
+const proxyOctetOffset = 100
 
-// links are toxiproxies before every control VM: one for what the other control
-// VMs send it, one for subscribers.
-type links struct {
+// controlLinks are two toxiproxies in front of every control VM: one for connections
+// from the other control VMs, one for subscribers.
+type controlLinks struct {
 	net     scenario.Net
 	proxies map[string]*toxiproxy.Proxy
 }
 
-func newLinks(t *testing.T, n scenario.Net) *links {
+func newControlLinks(t *testing.T, n scenario.Net) *controlLinks {
 	t.Helper()
 	server := toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
-	l := &links{net: n, proxies: map[string]*toxiproxy.Proxy{}}
+	l := &controlLinks{net: n, proxies: map[string]*toxiproxy.Proxy{}}
 	for i := range 3 {
 		for _, port := range []int{scenario.ReplicaPort, scenario.SubscriberPort} {
-			p := toxiproxy.NewProxy(server, n.Address(i, port), l.behind(i, port), n.Address(scenario.ControlFirst+i, port))
+			p := toxiproxy.NewProxy(server, n.Address(i, port), l.proxyAddress(i, port), n.Address(scenario.FirstControlOctet+i, port))
 			if err := p.Start(); err != nil {
 				t.Fatal(err)
 			}
@@ -41,46 +41,46 @@
 	return l
 }
 
-func (l *links) behind(i, port int) string {
-	return l.net.Address(scenario.ControlFirst+i+proxyOffset, port)
+func (l *controlLinks) proxyAddress(i, port int) string {
+	return l.net.Address(scenario.FirstControlOctet+i+proxyOctetOffset, port)
 }
 
-// via gives the proxy's address for a control VM's.
-func (l *links) via(address string) string {
+// advertisedAddress maps a control VM's address to that of its proxy.
+func (l *controlLinks) advertisedAddress(address string) string {
 	if p, ok := l.proxies[address]; ok {
 		return p.Listen
 	}
 	return address
 }
 
-func (l *links) ips() []string {
+func (l *controlLinks) proxyIPs() []string {
 	var out []string
 	for i := range 3 {
-		host, _, _ := net.SplitHostPort(l.behind(i, scenario.ReplicaPort))
+		host, _, _ := net.SplitHostPort(l.proxyAddress(i, scenario.ReplicaPort))
 		out = append(out, host)
 	}
 	return out
 }
 
-// cut stops everything that others send to a control VM's replica: it hears no
-// leader any more, while its own subscribers still reach it.
-func (l *links) cut(i int) { l.replica(i).Stop() }
+// block stops everything that the other control VMs send to a replica: it gets no
+// messages from a leader, but its subscribers still reach it.
+func (l *controlLinks) block(i int) { l.replicaProxy(i).Stop() }
 
-// mend ends a cut.
-func (l *links) mend(i int) error { return l.replica(i).Start() }
+// unblock ends a block.
+func (l *controlLinks) unblock(i int) error { return l.replicaProxy(i).Start() }
 
-func (l *links) replica(i int) *toxiproxy.Proxy {
-	return l.proxies[l.net.Address(scenario.ControlFirst+i, scenario.ReplicaPort)]
+func (l *controlLinks) replicaProxy(i int) *toxiproxy.Proxy {
+	return l.proxies[l.net.Address(scenario.FirstControlOctet+i, scenario.ReplicaPort)]
 }
 
-// subscribers is the proxy before what a control VM serves to balancers and
-// agents.
-func (l *links) subscribers(i int) *toxiproxy.Proxy {
-	return l.proxies[l.net.Address(scenario.ControlFirst+i, scenario.SubscriberPort)]
+// subscriberProxy returns the proxy between a control VM and its subscribers, which
+// are balancers and agents.
+func (l *controlLinks) subscriberProxy(i int) *toxiproxy.Proxy {
+	return l.proxies[l.net.Address(scenario.FirstControlOctet+i, scenario.SubscriberPort)]
 }
 
-// poison adds a toxic to a proxy, in both directions.
-func poison(p *toxiproxy.Proxy, kind, attributes string) error {
+// addToxic adds a toxic to a proxy, in both directions.
+func addToxic(p *toxiproxy.Proxy, kind, attributes string) error {
 	for _, direction := range []string{"upstream", "downstream"} {
 		text := fmt.Sprintf(`{"name":"%s-%s","type":"%s","stream":"%s","attributes":%s}`, kind, direction, kind, direction, attributes)
 		if _, err := p.Toxics.AddToxicJson(strings.NewReader(text)); err != nil {
--- a/integration/main_test.go
+++ b/integration/main_test.go
@@ -1,6 +1,6 @@
-// Package integration runs the built binaries as processes of their own, an
-// address each on loopback, between a fabric stand-in and target stand-ins, with
-// fault-injecting proxies on the control links.
+// Package integration tests the built binaries as separate processes on loopback, each
+// with its own address, between a stand-in fabric and stand-in targets. Proxies on the
+// connections to control VMs inject faults.
 package integration
 
 import (
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// binary is the built bergamotstall, tool the built bergamotctl.
-var binary, tool string
+// serverBinary and ctlBinary are the paths of the built bergamotstall and bergamotctl.
+var serverBinary, ctlBinary string
 
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
 
@@ -29,6 +29,6 @@
 		fmt.Fprintln(os.Stderr, "build:", err)
 		return 1
 	}
-	binary, tool = filepath.Join(folder, "bergamotstall"), filepath.Join(folder, "bergamotctl")
+	serverBinary, ctlBinary = filepath.Join(folder, "bergamotstall"), filepath.Join(folder, "bergamotctl")
 	return m.Run()
 }
--- a/integration/measure_test.go
+++ b/integration/measure_test.go
@@ -12,19 +12,20 @@
 	"bergamotstall/internal/scenario"
 )
 
-// measureVar turns the measurements on, which take minutes and judge nothing.
-const measureVar = "BERGAMOTSTALL_MEASURE"
+// measureEnv names the environment variable that enables measurements, which take
+// minutes and check nothing.
+const measureEnv = "BERGAMOTSTALL_MEASURE"
 
 const (
-	restTime = 20 * time.Second
-	// clockTicks is the kernel's unit of processor time, a hundredth of a second.
+	idleTime = 20 * time.Second
+	// clockTicks is the number of units of processor time in /proc per second.
 	clockTicks = 100
 )
 
-// usage is what one process has used so far.
+// usage is the processor time and memory that a process has used.
 type usage struct {
 	cpu time.Duration
-	// rss is its resident memory in KB.
+	// rss is the resident memory in KB.
 	rss int
 }
 
@@ -34,8 +35,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The fields follow the command's closing bracket; user and system time are
-	// the 14th and 15th of all.
+	// The fields are parsed after the command's closing bracket, since the command may
+	// contain spaces. User and system time are fields 14 and 15 of the line.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	user, _ := strconv.Atoi(fields[11])
 	system, _ := strconv.Atoi(fields[12])
@@ -57,23 +58,23 @@
 	return 0
 }
 
-// TestMeasureProcessesAtRest prints what each role's process costs without any
-// callers, at a user's real size.
+// TestMeasureProcessesAtRest prints the processor time and memory of each role's
+// process without callers, for an installation of a user's real size.
 func TestMeasureProcessesAtRest(t *testing.T) {
-	if os.Getenv(measureVar) == "" {
-		t.Skip(measureVar + " isn't set")
+	if os.Getenv(measureEnv) == "" {
+		t.Skip(measureEnv + " isn't set")
 	}
-	r := newRig(t, scenario.Layouts()[0], false)
-	time.Sleep(restTime / 4)
-	before := make([]usage, len(r.procs.all))
-	for i, p := range r.procs.all {
+	f := newTestFleet(t, scenario.Layouts()[0], false)
+	time.Sleep(idleTime / 4)
+	before := make([]usage, len(f.processes.all))
+	for i, p := range f.processes.all {
 		before[i] = usageOf(t, p.cmd.Process.Pid)
 	}
-	time.Sleep(restTime)
-	t.Logf("%s, %v at rest", report.Machine(), restTime)
-	for i, p := range r.procs.all {
+	time.Sleep(idleTime)
+	t.Logf("%s, %v without callers", report.Machine(), idleTime)
+	for i, p := range f.processes.all {
 		now := usageOf(t, p.cmd.Process.Pid)
-		t.Logf("%-36s %6.2f%% of a core, %6.1f MB resident", p.name, 100*(now.cpu-before[i].cpu).Seconds()/restTime.Seconds(), float64(now.rss)/1024)
+		t.Logf("%-36s %6.2f%% of a core, %6.1f MB resident", p.name, 100*(now.cpu-before[i].cpu).Seconds()/idleTime.Seconds(), float64(now.rss)/1024)
 	}
-	r.close(t)
+	f.close(t)
 }
--- a/integration/process_test.go
+++ b/integration/process_test.go
@@ -18,10 +18,11 @@
 	"bergamotstall/internal/scenario"
 )
 
-// stopTime bounds a graceful stop; an agent's own grace is shorter.
-const stopTime = 40 * time.Second
+// stopTimeout bounds a graceful stop. It is longer than an agent's own stop grace.
+const stopTimeout = 40 * time.Second
 
-// processes launches the built binary with a settings file for each role.
+// processes implements scenario.Launcher: it starts the built binary with a settings
+// file for each role.
 type processes struct {
 	t      *testing.T
 	folder string
@@ -36,7 +37,7 @@
 	return l
 }
 
-// killAll ends what a failed test left running.
+// killAll kills the processes that are still running, as after a failed test.
 func (l *processes) killAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,9 +72,9 @@
 		return nil, errors.Wrap(err, "log")
 	}
 	defer log.Close()
-	cmd := exec.Command(binary, role, "-settings", file)
+	cmd := exec.Command(serverBinary, role, "-settings", file)
 	cmd.Stdout, cmd.Stderr = log, log
-	// The kernel ends the process should the test itself be killed.
+	// The kernel kills the process if the test process is killed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return nil, errors.Wrap(err, "start")
@@ -89,7 +90,7 @@
 	return p, nil
 }
 
-// process is one role in a process of its own.
+// process is a role that runs as a separate process.
 type process struct {
 	name  string
 	cmd   *exec.Cmd
@@ -104,8 +105,8 @@
 	}
 	select {
 	case <-p.ended:
-	case <-time.After(stopTime):
-		return errors.Errorf("%s: no end %v after SIGTERM", p.name, stopTime)
+	case <-time.After(stopTimeout):
+		return errors.Errorf("%s: still running %v after SIGTERM", p.name, stopTimeout)
 	}
 	if p.err != nil {
 		return errors.Wrap(p.err, p.name)
@@ -113,13 +114,13 @@
 	return nil
 }
 
-// Kill sends SIGKILL; it is no error if the process has ended.
+// Kill sends SIGKILL and waits. It isn't an error if the process has already ended.
 func (p *process) Kill() error {
 	_ = p.cmd.Process.Kill()
 	<-p.ended
 	return nil
 }
 
-// freeze and thaw stop and continue the process, as a VM that is paused.
-func (p *process) freeze() error { return p.cmd.Process.Signal(syscall.SIGSTOP) }
-func (p *process) thaw() error   { return p.cmd.Process.Signal(syscall.SIGCONT) }
+// pause and resume stop and continue the process, like a paused VM.
+func (p *process) pause() error  { return p.cmd.Process.Signal(syscall.SIGSTOP) }
+func (p *process) resume() error { return p.cmd.Process.Signal(syscall.SIGCONT) }
--- a/integration/scenario_test.go
+++ b/integration/scenario_test.go
@@ -17,60 +17,61 @@
 	"bergamotstall/internal/scenario"
 )
 
-// Environment of longer runs.
+// Environment variables for longer runs.
 const (
-	// lengthVar sets the callers' time of each scenario, such as 60s.
-	lengthVar = "BERGAMOTSTALL_SCENARIO"
-	// reportVar names a folder for a page with plots of each scenario.
-	reportVar = "BERGAMOTSTALL_REPORT"
+	// lengthEnv sets how long callers send requests in each scenario, such as 60s.
+	lengthEnv = "BERGAMOTSTALL_SCENARIO"
+	// reportEnv sets a folder for a report page with plots of each scenario.
+	reportEnv = "BERGAMOTSTALL_REPORT"
 )
 
 const (
-	usualLength = 12 * time.Second
-	seed        = 42
+	defaultLength = 12 * time.Second
+	seed          = 42
 )
 
-// nets hands each fleet a /24 of its own, away from the demo's default.
-var nets atomic.Uint32
+// lastNet counts the nets in use. Each fleet gets its own /24, which differs from the
+// demo's default.
+var lastNet atomic.Uint32
 
-func nextNet() scenario.Net { return scenario.Net(100 + nets.Add(1)) }
+func nextNet() scenario.Net { return scenario.Net(100 + lastNet.Add(1)) }
 
-func length(t *testing.T) time.Duration {
-	text := os.Getenv(lengthVar)
+func scenarioLength(t *testing.T) time.Duration {
+	text := os.Getenv(lengthEnv)
 	if text == "" {
-		return usualLength
+		return defaultLength
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil {
-		t.Fatalf("%s: %v", lengthVar, err)
+		t.Fatalf("%s: %v", lengthEnv, err)
 	}
 	return d
 }
 
-// rig is one fleet of processes.
-type rig struct {
-	*scenario.Play
-	procs *processes
-	links *links
+// testFleet is a fleet whose roles run as processes.
+type testFleet struct {
+	*scenario.Runner
+	processes *processes
+	links     *controlLinks
 }
 
-// newRig starts a fleet; proxied puts toxiproxy on every control link.
-func newRig(t *testing.T, layout scenario.Layout, proxied bool) *rig {
+// newTestFleet starts a fleet. With proxied, toxiproxy is in front of every control VM.
+func newTestFleet(t *testing.T, layout scenario.Layout, proxied bool) *testFleet {
 	t.Helper()
 	folder := t.TempDir()
 	log := logrus.New()
 	log.SetOutput(os.Stderr)
 	log.SetLevel(logrus.ErrorLevel)
-	r := &rig{procs: newProcesses(t, folder)}
-	cfg := scenario.Config{Layout: layout, Net: nextNet(), Folder: folder, Seed: seed, Launch: r.procs, Log: log}
+	f := &testFleet{processes: newProcesses(t, folder)}
+	cfg := scenario.Config{Layout: layout, Net: nextNet(), Folder: folder, Seed: seed, Launcher: f.processes, Log: log}
 	if proxied {
-		r.links = newLinks(t, cfg.Net)
-		cfg.Via, cfg.ProxyIPs = r.links.via, r.links.ips()
+		f.links = newControlLinks(t, cfg.Net)
+		cfg.AdvertiseAddress, cfg.ProxyIPs = f.links.advertisedAddress, f.links.proxyIPs()
 	}
-	f, err := scenario.Open(cfg)
+	fleet, err := scenario.Open(cfg)
 	t.Cleanup(func() {
 		if t.Failed() {
-			keepLogs(t, folder)
+			printLogs(t, folder)
 		}
 	})
 	if err != nil {
@@ -78,23 +79,23 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	r.Play, err = scenario.NewPlay(ctx, f, t.Logf)
+	f.Runner, err = scenario.NewRunner(ctx, fleet, t.Logf)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return f
 }
 
-// play runs a scenario, prints every promise with its counts, and fails the
-// test for each that broke.
-func (r *rig) play(t *testing.T, s scenario.Scenario) scenario.Result {
+// runScenario runs a scenario, prints every promise with its counts, and fails the
+// test for each promise that didn't hold.
+func (f *testFleet) runScenario(t *testing.T, s scenario.Scenario) scenario.Result {
 	t.Helper()
-	result, err := r.Run(t.Context(), s, length(t))
+	result, err := f.Run(t.Context(), s, scenarioLength(t))
 	var text bytes.Buffer
 	result.Write(&text)
 	t.Log("\n" + text.String())
-	if folder := os.Getenv(reportVar); folder != "" {
-		if err := report.Write(filepath.Join(folder, r.Layout.Name+"-"+s.Name), result.Page(r.Layout.Name)); err != nil {
+	if folder := os.Getenv(reportEnv); folder != "" {
+		if err := report.Write(filepath.Join(folder, f.Layout.Name+"-"+s.Name), result.Page(f.Layout.Name)); err != nil {
 			t.Error(err)
 		}
 	}
@@ -107,21 +108,21 @@
 		}
 	}
 	if result.Summary.Whole == 0 {
-		t.Error("no request was answered: the run proves nothing")
+		t.Error("no request was answered, so the run proves nothing")
 	}
 	return result
 }
 
-// close is a graceful stop of the whole fleet; each process must end cleanly.
-func (r *rig) close(t *testing.T) {
+// close stops the whole fleet gracefully; each process must exit without an error.
+func (f *testFleet) close(t *testing.T) {
 	t.Helper()
-	if err := r.Close(); err != nil {
+	if err := f.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// keepLogs prints the ends of the processes' logs.
-func keepLogs(t *testing.T, folder string) {
+// printLogs prints the end of each process's log.
+func printLogs(t *testing.T, folder string) {
 	const tail = 3000
 	files, _ := filepath.Glob(filepath.Join(folder, "*.log"))
 	for _, f := range files {
@@ -133,8 +134,8 @@
 	}
 }
 
-// eachLayout runs a scenario on both users' layouts beside each other.
-func eachLayout(t *testing.T, run func(t *testing.T, l scenario.Layout)) {
+// forEachLayout runs a test for each user's layout, in parallel.
+func forEachLayout(t *testing.T, run func(t *testing.T, l scenario.Layout)) {
 	for _, l := range scenario.Layouts() {
 		t.Run(l.Name, func(t *testing.T) {
 			t.Parallel()
@@ -143,124 +144,130 @@
 	}
 }
 
-// An ordinary day: nothing is done to the system, and nobody notices anything.
+// Guards against errors without any change to the system: no request may be cut.
 func TestOrdinaryDay(t *testing.T) {
-	eachLayout(t, func(t *testing.T, l scenario.Layout) {
+	forEachLayout(t, func(t *testing.T, l scenario.Layout) {
 		is := is.New(t)
-		r := newRig(t, l, false)
-		result := r.play(t, scenario.Scenario{Name: "ordinary-day"})
+		f := newTestFleet(t, l, false)
+		result := f.runScenario(t, scenario.Scenario{Name: "ordinary-day"})
 		is.Equal(result.Summary.Cut, 0)
-		r.close(t)
+		f.close(t)
 	})
 }
 
-// The morning's peak: callers are at work when the peak preset comes into
-// force, and again when the ordinary one does. Open feeds and downloads go on.
+// Guards against a preset switch that disturbs callers: the peak preset comes into
+// force, later the ordinary one. Open feeds and downloads must continue.
 func TestPeakSwitch(t *testing.T) {
-	eachLayout(t, func(t *testing.T, l scenario.Layout) {
-		r := newRig(t, l, false)
-		r.play(t, scenario.Scenario{Name: "peak", Steps: []scenario.Step{
-			{At: 0.25, What: "switch to peak", Do: func(ctx context.Context, p *scenario.Play) error { return p.SwitchTo(ctx, scenario.Peak) }},
-			{At: 0.70, What: "switch to ordinary", Do: func(ctx context.Context, p *scenario.Play) error { return p.SwitchTo(ctx, scenario.Ordinary) }},
+	forEachLayout(t, func(t *testing.T, l scenario.Layout) {
+		f := newTestFleet(t, l, false)
+		f.runScenario(t, scenario.Scenario{Name: "peak", Steps: []scenario.Step{
+			{At: 0.25, Name: "switch to peak", Do: func(ctx context.Context, run *scenario.Runner) error { return run.SwitchTo(ctx, scenario.PresetPeak) }},
+			{At: 0.70, Name: "switch to ordinary", Do: func(ctx context.Context, run *scenario.Runner) error {
+				return run.SwitchTo(ctx, scenario.PresetOrdinary)
+			}},
 		}})
-		r.close(t)
+		f.close(t)
 	})
 }
 
-// A data centre is taken out for maintenance: its hosts get nothing new and are
-// then stopped as planned. Callers with feeds and downloads there lose nothing.
+// Guards against losses in the maintenance of a data centre: its hosts get no new work
+// and are then stopped as planned. Feeds and downloads there must not be cut.
 func TestMaintenanceOfADataCentre(t *testing.T) {
-	eachLayout(t, func(t *testing.T, l scenario.Layout) {
-		r := newRig(t, l, false)
+	forEachLayout(t, func(t *testing.T, l scenario.Layout) {
+		f := newTestFleet(t, l, false)
 		last := l.DataCentres[len(l.DataCentres)-1]
 		steps := []scenario.Step{
-			{At: 0.15, What: "switch to maintenance", Do: func(ctx context.Context, p *scenario.Play) error { return p.SwitchTo(ctx, scenario.Maintenance) }},
+			{At: 0.15, Name: "switch to maintenance", Do: func(ctx context.Context, run *scenario.Runner) error {
+				return run.SwitchTo(ctx, scenario.PresetMaintenance)
+			}},
 		}
 		at := 0.35
-		for _, h := range r.Hosts {
+		for _, h := range f.Hosts {
 			if h.DataCentre != last {
 				continue
 			}
-			steps = append(steps, scenario.Step{At: at, What: "planned stop of " + h.Name, Do: func(ctx context.Context, p *scenario.Play) error {
-				return p.StopHost(ctx, h.Name)
+			steps = append(steps, scenario.Step{At: at, Name: "planned stop of " + h.Name, Do: func(ctx context.Context, run *scenario.Runner) error {
+				return run.StopHost(ctx, h.Name)
 			}})
 			at += 0.15
 		}
-		r.play(t, scenario.Scenario{Name: "maintenance", Steps: steps})
-		r.close(t)
+		f.runScenario(t, scenario.Scenario{Name: "maintenance", Steps: steps})
+		f.close(t)
 	})
 }
 
-// Every balancer is replaced, one after the other, under open feeds.
+// Guards against flows that break when every balancer is replaced in turn while feeds
+// are open.
 func TestRollingBalancers(t *testing.T) {
-	eachLayout(t, func(t *testing.T, l scenario.Layout) {
-		r := newRig(t, l, false)
+	forEachLayout(t, func(t *testing.T, l scenario.Layout) {
+		f := newTestFleet(t, l, false)
 		var steps []scenario.Step
-		for i, e := range r.Entries {
-			steps = append(steps, scenario.Step{At: 0.1 + 0.25*float64(i), What: "replace " + e.Name, Do: func(ctx context.Context, p *scenario.Play) error {
-				if err := p.StopBalancer(i); err != nil {
+		for i, e := range f.Balancers {
+			steps = append(steps, scenario.Step{At: 0.1 + 0.25*float64(i), Name: "replace " + e.Name, Do: func(ctx context.Context, run *scenario.Runner) error {
+				if err := run.StopBalancer(i); err != nil {
 					return err
 				}
-				return p.JoinBalancer(ctx, i)
+				return run.StartBalancerAndWait(ctx, i)
 			}})
 		}
-		r.play(t, scenario.Scenario{Name: "rolling-balancers", Steps: steps})
-		r.close(t)
+		f.runScenario(t, scenario.Scenario{Name: "rolling-balancers", Steps: steps})
+		f.close(t)
 	})
 }
 
-// Every target and its agent restart, one after the other, as planned. No
-// request is cut and no submission runs twice.
+// Guards against losses in a rolling restart of every target and its agent: no request
+// may be cut and no submission may run twice.
 func TestRollingTargets(t *testing.T) {
-	eachLayout(t, func(t *testing.T, l scenario.Layout) {
-		r := newRig(t, l, false)
+	forEachLayout(t, func(t *testing.T, l scenario.Layout) {
+		f := newTestFleet(t, l, false)
 		var steps []scenario.Step
-		for i, h := range r.Hosts {
-			steps = append(steps, scenario.Step{At: 0.05 + 0.085*float64(i), What: "restart " + h.Name, Do: func(ctx context.Context, p *scenario.Play) error {
-				if err := p.StopHost(ctx, h.Name); err != nil {
+		for i, h := range f.Hosts {
+			steps = append(steps, scenario.Step{At: 0.05 + 0.085*float64(i), Name: "restart " + h.Name, Do: func(ctx context.Context, run *scenario.Runner) error {
+				if err := run.StopHost(ctx, h.Name); err != nil {
 					return err
 				}
-				return p.ReturnHost(ctx, h.Name)
+				return run.RestartHost(ctx, h.Name)
 			}})
 		}
-		r.play(t, scenario.Scenario{Name: "rolling-targets", Steps: steps})
-		r.close(t)
+		f.runScenario(t, scenario.Scenario{Name: "rolling-targets", Steps: steps})
+		f.close(t)
 	})
 }
 
-// A balancer dies every second and the one before comes back. The callers'
-// packets to it are lost until the fabric notices; their flows stay whole.
-func TestABalancerDiesEverySecond(t *testing.T) {
-	r := newRig(t, scenario.Layouts()[0], false)
+// Guards against flows that break when balancers crash: one crashes about every second
+// and is restarted. Packets to it are lost until the fabric detects the failure; no flow
+// may break.
+func TestBalancerCrashEverySecond(t *testing.T) {
+	f := newTestFleet(t, scenario.Layouts()[0], false)
 	var steps []scenario.Step
 	for n := range 6 {
-		i := n % len(r.Entries)
-		steps = append(steps, scenario.Step{At: 0.1 + 0.13*float64(n), What: "death of " + r.Entries[i].Name, Do: func(ctx context.Context, p *scenario.Play) error {
-			if err := p.KillBalancer(i); err != nil {
+		i := n % len(f.Balancers)
+		steps = append(steps, scenario.Step{At: 0.1 + 0.13*float64(n), Name: "crash of " + f.Balancers[i].Name, Do: func(ctx context.Context, run *scenario.Runner) error {
+			if err := run.KillBalancer(i); err != nil {
 				return err
 			}
-			return p.JoinBalancer(ctx, i)
+			return run.StartBalancerAndWait(ctx, i)
 		}})
 	}
-	r.play(t, scenario.Scenario{Name: "balancers-die", Steps: steps})
-	r.close(t)
+	f.runScenario(t, scenario.Scenario{Name: "balancers-die", Steps: steps})
+	f.close(t)
 }
 
-// Targets with their agents die without warning. Callers of those lose their
-// flows and open new ones; nothing runs twice, and what was refused as not run
-// was not run.
-func TestTargetsDie(t *testing.T) {
-	r := newRig(t, scenario.Layouts()[1], false)
-	first, second := r.Hosts[1].Name, r.Hosts[4].Name
+// Guards against submissions that run twice when targets and their agents crash.
+// Callers lose the flows to these targets and open new ones. Nothing may run twice, and
+// no request reported as not run may have run.
+func TestTargetCrashes(t *testing.T) {
+	f := newTestFleet(t, scenario.Layouts()[1], false)
+	first, second := f.Hosts[1].Name, f.Hosts[4].Name
 	limits := check.DefaultLimits()
 	limits.Unplanned = true
-	result := r.play(t, scenario.Scenario{Name: "targets-die", Limits: limits, Steps: []scenario.Step{
-		{At: 0.2, What: "death of " + first, Do: func(_ context.Context, p *scenario.Play) error { return p.KillHost(first) }},
-		{At: 0.5, What: "return of " + first, Do: func(ctx context.Context, p *scenario.Play) error { return p.ReturnHost(ctx, first) }},
-		{At: 0.6, What: "death of " + second, Do: func(_ context.Context, p *scenario.Play) error { return p.KillHost(second) }},
+	result := f.runScenario(t, scenario.Scenario{Name: "targets-die", Limits: limits, Steps: []scenario.Step{
+		{At: 0.2, Name: "crash of " + first, Do: func(_ context.Context, run *scenario.Runner) error { return run.KillHost(first) }},
+		{At: 0.5, Name: "restart of " + first, Do: func(ctx context.Context, run *scenario.Runner) error { return run.RestartHost(ctx, first) }},
+		{At: 0.6, Name: "crash of " + second, Do: func(_ context.Context, run *scenario.Runner) error { return run.KillHost(second) }},
 	}})
 	if result.Summary.FlowsBroken == 0 {
-		t.Error("no flow noticed the deaths: the run proves nothing")
+		t.Error("no flow broke when targets crashed, so the run proves nothing")
 	}
-	r.close(t)
+	f.close(t)
 }
--- a/integration/slow_links_test.go
+++ b/integration/slow_links_test.go
@@ -10,40 +10,43 @@
 	"bergamotstall/internal/scenario"
 )
 
-// switchTwice are two switches with time between them.
-func switchTwice() []scenario.Step {
+// twoSwitches returns two preset switches with time between them.
+func twoSwitches() []scenario.Step {
 	return []scenario.Step{
-		{At: 0.2, What: "switch to peak", Do: func(ctx context.Context, p *scenario.Play) error { return p.SwitchTo(ctx, scenario.Peak) }},
-		{At: 0.6, What: "switch to ordinary", Do: func(ctx context.Context, p *scenario.Play) error { return p.SwitchTo(ctx, scenario.Ordinary) }},
+		{At: 0.2, Name: "switch to peak", Do: func(ctx context.Context, run *scenario.Runner) error { return run.SwitchTo(ctx, scenario.PresetPeak) }},
+		{At: 0.6, Name: "switch to ordinary", Do: func(ctx context.Context, run *scenario.Runner) error {
+			return run.SwitchTo(ctx, scenario.PresetOrdinary)
+		}},
 	}
 }
 
-// Every link between control and its subscribers carries 5 KB a second and takes
-// 50 ms each way. The operator's switches are in force within 9 s all the same.
-func TestSwitchOverLinksOfFiveKilobytes(t *testing.T) {
+// Guards against switches that take too long over slow links. Every connection between
+// control and its subscribers is limited to 5 KB/s with 50 ms of latency each way; a
+// switch must be in force within 9 s.
+func TestSwitchOverSlowLinks(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, scenario.Layouts()[1], true)
-	for i := range r.Controls {
-		is.NoErr(poison(r.links.subscribers(i), "bandwidth", `{"rate":5}`))
-		is.NoErr(poison(r.links.subscribers(i), "latency", `{"latency":50}`))
+	f := newTestFleet(t, scenario.Layouts()[1], true)
+	for i := range f.Controls {
+		is.NoErr(addToxic(f.links.subscriberProxy(i), "bandwidth", `{"rate":5}`))
+		is.NoErr(addToxic(f.links.subscriberProxy(i), "latency", `{"latency":50}`))
 	}
-	result := r.play(t, scenario.Scenario{Name: "slow-links", Steps: switchTwice(), Limits: check.DefaultLimits()})
+	result := f.runScenario(t, scenario.Scenario{Name: "slow-links", Steps: twoSwitches(), Limits: check.DefaultLimits()})
 	is.Equal(len(result.Record.Switches), 2)
-	r.close(t)
+	f.close(t)
 }
 
-// The subscribers' connections to one control VM go silent for good, without an
-// end: something between has lost track of them, and new ones are accepted and
-// go silent too. Subscribers find out by missing heartbeats and go elsewhere, so
-// that the operator's switches are in force within 9 s.
-func TestSubscribersLeaveASilentControlVM(t *testing.T) {
+// Guards against subscribers that stay with a silent control VM. Connections to it carry
+// no data but aren't closed, as when a middlebox loses their state; new connections are
+// accepted and stay silent too. Subscribers must detect missing heartbeats and use
+// another control VM, so that a switch is in force within 9 s.
+func TestSubscribersLeaveSilentControlVM(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, scenario.Layouts()[0], true)
-	silent := 0 // the first to be up, where most subscribers are
-	steps := append([]scenario.Step{{At: 0.05, What: "connections to " + r.Controls[silent].Name + " go silent", Do: func(context.Context, *scenario.Play) error {
-		return poison(r.links.subscribers(silent), "timeout", `{"timeout":0}`)
-	}}}, switchTwice()...)
-	result := r.play(t, scenario.Scenario{Name: "silent-links", Steps: steps})
+	f := newTestFleet(t, scenario.Layouts()[0], true)
+	silent := 0 // the first control VM to start, which has most subscribers
+	steps := append([]scenario.Step{{At: 0.05, Name: "connections to " + f.Controls[silent].Name + " go silent", Do: func(context.Context, *scenario.Runner) error {
+		return addToxic(f.links.subscriberProxy(silent), "timeout", `{"timeout":0}`)
+	}}}, twoSwitches()...)
+	result := f.runScenario(t, scenario.Scenario{Name: "silent-links", Steps: steps})
 	is.Equal(len(result.Record.Switches), 2)
-	r.close(t)
+	f.close(t)
 }
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -1,6 +1,6 @@
-// Package check judges a finished run against what must always hold: it
-// compares what callers sent and were told with what targets ran and what
-// balancers had in force. It decides from records alone and touches no network.
+// Package check evaluates a finished run against the system's promises. It compares
+// what callers sent and which answers they got with what the targets ran and which
+// revisions the balancers had in force. It works on records alone, without network.
 package check
 
 import (
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Outcome is what a caller was told about one attempt.
+// Outcome is the result of one attempt as its caller saw it.
 type Outcome uint8
 
 const (
-	// Answered attempts got the target's whole answer.
+	// Answered attempts got the target's complete answer.
 	Answered Outcome = iota + 1
-	// NotRun attempts were refused with the promise that no target saw them.
+	// NotRun attempts were refused with the assurance that no target ran them.
 	NotRun
-	// Unknown attempts may have run: so the system said.
+	// Unknown attempts were reported by the system as possibly run.
 	Unknown
-	// Refused attempts got an answer of neither kind, such as a bad request.
+	// Refused attempts got another error, such as 400 Bad Request.
 	Refused
-	// Cut attempts ended without any answer, or in the middle of one.
+	// Cut attempts ended without an answer or in the middle of one.
 	Cut
-	// Cancelled attempts were given up by the caller itself.
+	// Cancelled attempts were cancelled by the caller.
 	Cancelled
 )
 
@@ -34,22 +34,22 @@
 	return fmt.Sprintf("outcome %d", o)
 }
 
-// Attempt is one request as a caller saw it.
+// Attempt is one request as its caller saw it.
 type Attempt struct {
-	// ID is unique for each attempt; targets see it.
+	// ID is unique for each attempt and is sent to the target.
 	ID string
-	// Submission is the same for each resend of one submission, empty for
+	// Submission is the same for all attempts of one submission. It is empty for
 	// requests that may be repeated.
 	Submission string
 	Service    string
 	Outcome    Outcome
-	// Reason is what a refusal or an unknown outcome gave as its reason, or the
-	// error of a cut attempt.
+	// Reason is the stated reason of a refusal or an unknown outcome, or the error
+	// of a cut attempt.
 	Reason string
-	// Damaged answers have a wrong length, wrong content, or another request's
-	// content.
+	// Damaged tells that the answer has a wrong length, wrong content or the content
+	// of another request.
 	Damaged bool
-	// AnsweredBy is the service that the answer names as its own.
+	// AnsweredBy is the service named in the answer.
 	AnsweredBy string
 	Began      time.Time
 	Took       time.Duration
@@ -57,117 +57,117 @@
 
 // Run is one execution at a target.
 type Run struct {
-	// ID is the attempt's, Submission as in Attempt.
+	// ID and Submission are those of the Attempt.
 	ID         string
 	Submission string
-	// Service and Host are the target's own.
+	// Service and Host are those of the target.
 	Service string
 	Host    string
 	At      time.Time
 }
 
-// Flow is one flow as its caller saw it.
+// Flow is a flow as its caller saw it.
 type Flow struct {
 	Service string
 	Opened  time.Time
-	// Broken tells that the flow ended before its caller closed it, other than
-	// by a graceful shutdown with nothing in progress.
+	// Broken tells that the flow ended before its caller closed it. A graceful
+	// shutdown without a request in progress doesn't count.
 	Broken bool
 	Reason string
 }
 
-// Drain is a target that was told to leave.
+// Drain is the drain of a host's target.
 type Drain struct {
 	Host string
 	At   time.Time
-	// Until is when the drain was lifted; zero is never.
+	// Until is when the drain ended; zero if it didn't.
 	Until time.Time
 }
 
-// InForce is one look at a balancer's revision.
-type InForce struct {
+// RevisionSample is the revision in force at a balancer at one time.
+type RevisionSample struct {
 	Balancer string
 	Revision uint64
 	At       time.Time
 }
 
-// Switch is one accepted change of preset.
+// Switch is an accepted change of preset.
 type Switch struct {
 	Preset string
-	// Took is the time until every balancer had it in force; zero if that was
-	// never seen.
+	// Took is the time until every balancer had it in force; zero if that wasn't
+	// observed.
 	Took time.Duration
 }
 
-// Record is all that is known of a run.
+// Record is everything recorded about a run.
 type Record struct {
-	Attempts []Attempt
-	Runs     []Run
-	Flows    []Flow
-	Drains   []Drain
-	Looks    []InForce
-	Switches []Switch
+	Attempts        []Attempt
+	Runs            []Run
+	Flows           []Flow
+	Drains          []Drain
+	RevisionSamples []RevisionSample
+	Switches        []Switch
 }
 
-// Verdict is the judgement of one promise.
+// Verdict is the result of checking one promise.
 type Verdict struct {
-	// Promise is the line of the contract in short.
+	// Promise is a short form of the promise.
 	Promise string
-	// Looked is how many records were judged. A verdict that looked at none
-	// proves nothing.
+	// Looked is the number of records checked. With 0, the verdict proves nothing.
 	Looked int
-	// Violations lists what broke the promise, at most MaxListed of them.
+	// Violations describes the violations, at most MaxListed of them.
 	Violations []string
-	// Count is the number of violations, listed or not.
+	// Count is the number of all violations.
 	Count int
 }
 
-// Held tells whether the promise held.
+// Held reports whether the promise held.
 func (v Verdict) Held() bool { return v.Count == 0 }
 
-// MaxListed bounds the violations that a verdict spells out.
+// MaxListed bounds the number of violations that a verdict describes.
 const MaxListed = 10
 
-func (v *Verdict) violate(format string, args ...any) {
+func (v *Verdict) addViolation(format string, args ...any) {
 	v.Count++
 	if len(v.Violations) < MaxListed {
 		v.Violations = append(v.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// Limits are the times within which promises bind.
+// Limits are the time limits of the promises.
 type Limits struct {
-	// Leaving is how long after a drain a target may still get new work.
-	Leaving time.Duration
-	// InForce is how long a switch may take to be in force everywhere.
-	InForce time.Duration
-	// Unplanned tells that the run had crashes: flows and requests of a crashed
-	// target may then be cut, and only the promises that hold regardless bind.
+	// DrainTime is how long after a drain a target may still get new work.
+	DrainTime time.Duration
+	// SwitchTime is how long a switch may take until it is in force everywhere.
+	SwitchTime time.Duration
+	// Unplanned tells that the run included crashes. Flows and requests of a crashed
+	// target may be cut, so the promises about planned changes aren't checked.
 	Unplanned bool
 }
 
-// DefaultLimits are the brief's "a few seconds" and the plan's 9 s.
+// DefaultLimits returns 3 s for a drain, which is to take effect within a few seconds,
+// and 9 s for a switch.
 func DefaultLimits() Limits {
-	return Limits{Leaving: 3 * time.Second, InForce: 9 * time.Second}
+	return Limits{DrainTime: 3 * time.Second, SwitchTime: 9 * time.Second}
 }
 
-// All judges every promise.
+// All checks every promise.
 func All(r Record, l Limits) []Verdict {
 	return []Verdict{
 		flowsSurvive(r, l),
-		rightService(r),
+		correctService(r),
 		wholeAnswers(r),
-		notRunIsTrue(r),
-		atMostOnce(r),
-		noneLost(r),
-		leavingGetsNothingNew(r, l),
-		gracefulStop(r, l),
+		notRunDidNotRun(r),
+		ranAtMostOnce(r),
+		answeredRan(r),
+		drainedGetsNoNewWork(r, l),
+		plannedStopCutsNothing(r, l),
 		switchesInForce(r, l),
-		revisionsNeverFall(r),
+		revisionsNeverDecrease(r),
 	}
 }
 
-// Held tells whether every verdict holds.
+// Held reports whether every promise held.
 func Held(all []Verdict) bool {
 	for _, v := range all {
 		if !v.Held() {
@@ -180,18 +180,18 @@
 func flowsSurvive(r Record, l Limits) Verdict {
 	v := Verdict{Promise: "flows survive planned change"}
 	if l.Unplanned {
-		return v // nothing is judged, and the verdict says so
+		return v // Looked is 0: not checked
 	}
 	v.Looked = len(r.Flows)
 	for _, f := range r.Flows {
 		if f.Broken {
-			v.violate("flow to %s opened %s broke: %s", f.Service, stamp(f.Opened), f.Reason)
+			v.addViolation("flow to %s opened %s broke: %s", f.Service, formatTime(f.Opened), f.Reason)
 		}
 	}
 	return v
 }
 
-func rightService(r Record) Verdict {
+func correctService(r Record) Verdict {
 	v := Verdict{Promise: "work reaches its own service only"}
 	services := serviceByAttempt(r.Attempts)
 	for _, a := range r.Attempts {
@@ -200,7 +200,7 @@
 		}
 		v.Looked++
 		if a.AnsweredBy != a.Service {
-			v.violate("attempt %s to %s was answered by %s", a.ID, a.Service, a.AnsweredBy)
+			v.addViolation("attempt %s to %s was answered by %s", a.ID, a.Service, a.AnsweredBy)
 		}
 	}
 	for _, run := range r.Runs {
@@ -210,7 +210,7 @@
 		}
 		v.Looked++
 		if want != run.Service {
-			v.violate("attempt %s to %s ran at %s of %s", run.ID, want, run.Host, run.Service)
+			v.addViolation("attempt %s to %s ran at %s of %s", run.ID, want, run.Host, run.Service)
 		}
 	}
 	return v
@@ -224,13 +224,13 @@
 		}
 		v.Looked++
 		if a.Damaged {
-			v.violate("attempt %s to %s: %s", a.ID, a.Service, a.Reason)
+			v.addViolation("attempt %s to %s: %s", a.ID, a.Service, a.Reason)
 		}
 	}
 	return v
 }
 
-func notRunIsTrue(r Record) Verdict {
+func notRunDidNotRun(r Record) Verdict {
 	v := Verdict{Promise: "not run means not run"}
 	ran := runsByAttempt(r.Runs)
 	for _, a := range r.Attempts {
@@ -239,25 +239,25 @@
 		}
 		v.Looked++
 		if n := ran[a.ID]; n > 0 {
-			v.violate("attempt %s was refused as not run (%s) but ran %d times", a.ID, a.Reason, n)
+			v.addViolation("attempt %s was refused as not run (%s) but ran %d times", a.ID, a.Reason, n)
 		}
 	}
 	return v
 }
 
-func atMostOnce(r Record) Verdict {
+func ranAtMostOnce(r Record) Verdict {
 	v := Verdict{Promise: "at most once"}
 	ran := runsBySubmission(r.Runs)
 	for _, id := range submissions(r.Attempts) {
 		v.Looked++
 		if n := ran[id]; n > 1 {
-			v.violate("submission %s ran %d times", id, n)
+			v.addViolation("submission %s ran %d times", id, n)
 		}
 	}
 	return v
 }
 
-func noneLost(r Record) Verdict {
+func answeredRan(r Record) Verdict {
 	v := Verdict{Promise: "an answered submission ran"}
 	ran := runsBySubmission(r.Runs)
 	for _, a := range r.Attempts {
@@ -266,27 +266,27 @@
 		}
 		v.Looked++
 		if ran[a.Submission] == 0 {
-			v.violate("submission %s was answered but no target ran it", a.Submission)
+			v.addViolation("submission %s was answered but no target ran it", a.Submission)
 		}
 	}
 	return v
 }
 
-func leavingGetsNothingNew(r Record, l Limits) Verdict {
+func drainedGetsNoNewWork(r Record, l Limits) Verdict {
 	v := Verdict{Promise: "a leaving target gets nothing new", Looked: len(r.Drains)}
 	for _, d := range r.Drains {
-		from := d.At.Add(l.Leaving)
+		from := d.At.Add(l.DrainTime)
 		for _, run := range r.Runs {
 			lifted := !d.Until.IsZero() && !run.At.Before(d.Until)
 			if run.Host == d.Host && run.At.After(from) && !lifted {
-				v.violate("%s ran %s %v after its drain", d.Host, run.ID, run.At.Sub(d.At))
+				v.addViolation("%s ran %s %v after its drain", d.Host, run.ID, run.At.Sub(d.At))
 			}
 		}
 	}
 	return v
 }
 
-func gracefulStop(r Record, l Limits) Verdict {
+func plannedStopCutsNothing(r Record, l Limits) Verdict {
 	v := Verdict{Promise: "a planned stop cuts nothing"}
 	if l.Unplanned {
 		return v
@@ -294,7 +294,7 @@
 	v.Looked = len(r.Attempts)
 	for _, a := range r.Attempts {
 		if a.Outcome == Cut || a.Outcome == Unknown {
-			v.violate("attempt %s to %s at %s: %s: %s", a.ID, a.Service, stamp(a.Began), a.Outcome, a.Reason)
+			v.addViolation("attempt %s to %s at %s: %s: %s", a.ID, a.Service, formatTime(a.Began), a.Outcome, a.Reason)
 		}
 	}
 	return v
@@ -303,27 +303,27 @@
 func switchesInForce(r Record, l Limits) Verdict {
 	v := Verdict{Promise: "a switch is in force within seconds", Looked: len(r.Switches)}
 	for _, s := range r.Switches {
-		if s.Took == 0 || s.Took > l.InForce {
-			v.violate("preset %s took %v", s.Preset, s.Took)
+		if s.Took == 0 || s.Took > l.SwitchTime {
+			v.addViolation("preset %s took %v", s.Preset, s.Took)
 		}
 	}
 	return v
 }
 
-func revisionsNeverFall(r Record) Verdict {
-	v := Verdict{Promise: "revisions never fall", Looked: len(r.Looks)}
-	last := map[string]InForce{}
-	for _, look := range r.Looks {
-		before, seen := last[look.Balancer]
-		if seen && look.Revision < before.Revision {
-			v.violate("%s went from revision %d to %d at %s", look.Balancer, before.Revision, look.Revision, stamp(look.At))
+func revisionsNeverDecrease(r Record) Verdict {
+	v := Verdict{Promise: "revisions never fall", Looked: len(r.RevisionSamples)}
+	last := map[string]RevisionSample{}
+	for _, sample := range r.RevisionSamples {
+		previous, seen := last[sample.Balancer]
+		if seen && sample.Revision < previous.Revision {
+			v.addViolation("%s went from revision %d to %d at %s", sample.Balancer, previous.Revision, sample.Revision, formatTime(sample.At))
 		}
-		last[look.Balancer] = look
+		last[sample.Balancer] = sample
 	}
 	return v
 }
 
-func stamp(t time.Time) string { return t.Format("15:04:05.000") }
+func formatTime(t time.Time) string { return t.Format("15:04:05.000") }
 
 func serviceByAttempt(all []Attempt) map[string]string {
 	out := make(map[string]string, len(all))
@@ -349,7 +349,7 @@
 	return out
 }
 
-// submissions returns the distinct submissions in order of first attempt.
+// submissions returns the distinct submissions in the order of their first attempts.
 func submissions(all []Attempt) []string {
 	seen := map[string]bool{}
 	var out []string
--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -9,8 +9,8 @@
 
 var began = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-// sound is a run in which every promise has something to judge and holds.
-func sound() Record {
+// validRecord returns a run in which every promise holds and has records to check.
+func validRecord() Record {
 	return Record{
 		Attempts: []Attempt{
 			{ID: "d1", Service: "archive", Outcome: Answered, AnsweredBy: "archive", Began: began},
@@ -21,27 +21,26 @@
 			{ID: "d1", Service: "archive", Host: "a1", At: began},
 			{ID: "s1-2", Submission: "s1", Service: "desk", Host: "d1", At: began.Add(time.Second)},
 		},
-		Flows:    []Flow{{Service: "desk", Opened: began}},
-		Drains:   []Drain{{Host: "d1", At: began}},
-		Looks:    []InForce{{Balancer: "b1", Revision: 4}, {Balancer: "b1", Revision: 5}},
-		Switches: []Switch{{Preset: "peak", Took: time.Second}},
+		Flows:           []Flow{{Service: "desk", Opened: began}},
+		Drains:          []Drain{{Host: "d1", At: began}},
+		RevisionSamples: []RevisionSample{{Balancer: "b1", Revision: 4}, {Balancer: "b1", Revision: 5}},
+		Switches:        []Switch{{Preset: "peak", Took: time.Second}},
 	}
 }
 
-func TestSoundRunHoldsAndEachPromiseLooked(t *testing.T) {
+func TestValidRunKeepsEveryPromise(t *testing.T) {
 	is := is.New(t)
-	for _, v := range All(sound(), DefaultLimits()) {
+	for _, v := range All(validRecord(), DefaultLimits()) {
 		is.True(v.Held())
-		is.True(v.Looked > 0) // a verdict over nothing proves nothing
+		is.True(v.Looked > 0) // a check of no records proves nothing
 	}
 }
 
-// Each planted violation must fail its own promise and no other; a checker that
-// can't fail would let every run pass.
-func TestPlantedViolationsAreCaught(t *testing.T) {
+// Guards against checks that can't fail, or that fail for another promise's violation.
+func TestEachViolationIsDetected(t *testing.T) {
 	for _, c := range []struct {
-		promise string
-		plant   func(*Record)
+		promise      string
+		breakPromise func(*Record)
 	}{
 		{"flows survive planned change", func(r *Record) { r.Flows[0].Broken = true }},
 		{"work reaches its own service only", func(r *Record) { r.Attempts[0].AnsweredBy = "desk" }},
@@ -57,12 +56,12 @@
 		{"a planned stop cuts nothing", func(r *Record) { r.Attempts = append(r.Attempts, Attempt{ID: "d2", Outcome: Unknown}) }},
 		{"a switch is in force within seconds", func(r *Record) { r.Switches[0].Took = 10 * time.Second }},
 		{"a switch is in force within seconds", func(r *Record) { r.Switches[0].Took = 0 }},
-		{"revisions never fall", func(r *Record) { r.Looks[1].Revision = 3 }},
+		{"revisions never fall", func(r *Record) { r.RevisionSamples[1].Revision = 3 }},
 	} {
 		t.Run(c.promise, func(t *testing.T) {
 			is := is.New(t)
-			r := sound()
-			c.plant(&r)
+			r := validRecord()
+			c.breakPromise(&r)
 			for _, v := range All(r, DefaultLimits()) {
 				is.Equal(v.Held(), v.Promise != c.promise)
 			}
@@ -70,10 +69,11 @@
 	}
 }
 
-// In a run with crashes two promises aren't judged; they must not pass for held.
-func TestUnplannedRunsJudgeFewerPromises(t *testing.T) {
+// Guards against promises that aren't checked in a run with crashes but look kept: the
+// two verdicts must show that nothing was checked.
+func TestUnplannedRunSkipsTwoPromises(t *testing.T) {
 	is := is.New(t)
-	r, limits := sound(), DefaultLimits()
+	r, limits := validRecord(), DefaultLimits()
 	limits.Unplanned = true
 	r.Flows[0].Broken = true
 	empty := 0
--- a/internal/check/spread.go
+++ b/internal/check/spread.go
@@ -6,33 +6,34 @@
 	"slices"
 )
 
-// Share is the work of one host.
+// Share is the number of executions on one host.
 type Share struct {
 	Service string
 	Host    string
 	Runs    int
 }
 
-// Imbalance tells how unevenly work lies on the hosts of one service.
+// Imbalance describes how unevenly work is distributed over a service's hosts.
 type Imbalance struct {
 	Service string
 	Hosts   int
-	// MaxToMean is the busiest host's work over the mean; 1 is even.
+	// MaxToMean is the busiest host's work divided by the mean; 1 is even.
 	MaxToMean float64
-	// Variation is the standard deviation over the mean; 0 is even.
+	// Variation is the coefficient of variation, the standard deviation divided by
+	// the mean; 0 is even.
 	Variation float64
 }
 
-// Shares counts runs by host.
+// Shares counts the executions on each host, sorted by service and host.
 func Shares(runs []Run) []Share {
 	var out []Share
-	at := map[Share]int{}
+	index := map[Share]int{}
 	for _, run := range runs {
 		key := Share{Service: run.Service, Host: run.Host}
-		i, seen := at[key]
+		i, seen := index[key]
 		if !seen {
 			i = len(out)
-			at[key] = i
+			index[key] = i
 			out = append(out, key)
 		}
 		out[i].Runs++
@@ -43,7 +44,8 @@
 	return out
 }
 
-// Imbalances judges the shares service by service.
+// Imbalances computes the imbalance of each service. The shares must be sorted by
+// service.
 func Imbalances(shares []Share) []Imbalance {
 	var out []Imbalance
 	for len(shares) > 0 {
@@ -58,20 +60,20 @@
 }
 
 func imbalance(shares []Share) Imbalance {
-	sum, most := 0.0, 0.0
+	sum, highest := 0.0, 0.0
 	for _, s := range shares {
 		sum += float64(s.Runs)
-		most = max(most, float64(s.Runs))
+		highest = max(highest, float64(s.Runs))
 	}
 	mean := sum / float64(len(shares))
-	square := 0.0
+	squares := 0.0
 	for _, s := range shares {
-		square += (float64(s.Runs) - mean) * (float64(s.Runs) - mean)
+		squares += (float64(s.Runs) - mean) * (float64(s.Runs) - mean)
 	}
 	out := Imbalance{Service: shares[0].Service, Hosts: len(shares)}
 	if mean > 0 {
-		out.MaxToMean = most / mean
-		out.Variation = math.Sqrt(square/float64(len(shares))) / mean
+		out.MaxToMean = highest / mean
+		out.Variation = math.Sqrt(squares/float64(len(shares))) / mean
 	}
 	return out
 }
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -24,123 +24,124 @@
 	"bergamotstall/internal/standin/target"
 )
 
-// Ports of the roles; each VM has an address of its own.
+// Ports that the roles listen on. Each VM has its own address.
 const (
-	ReplicaPort    = 7001
-	SubscriberPort = 7002
-	OperatorPort   = 7003
-	controlVars    = 7004
-	tunnelPort     = 7101
-	balancerVars   = 7104
-	targetPort     = 7200
-	agentTunnel    = 7201
-	agentPeer      = 7202
-	agentVars      = 7204
+	ReplicaPort         = 7001
+	SubscriberPort      = 7002
+	OperatorPort        = 7003
+	controlMetricsPort  = 7004
+	balancerTunnelPort  = 7101
+	balancerMetricsPort = 7104
+	targetPort          = 7200
+	agentTunnelPort     = 7201
+	agentPeerPort       = 7202
+	agentMetricsPort    = 7204
 )
 
-// Last octets of the VMs' addresses.
+// Last octet of the address of the first VM of each kind.
 const (
-	ControlFirst  = 11
-	balancerFirst = 21
-	hostFirst     = 31
+	FirstControlOctet  = 11
+	firstBalancerOctet = 21
+	firstHostOctet     = 31
 )
 
 const (
-	controls  = 3
-	balancers = 3
-	// stopGrace bounds a planned stop of an agent.
-	stopGrace = 20 * time.Second
-	// balancerGrace lets packets in flight through; loopback needs no more.
-	balancerGrace = 200 * time.Millisecond
-	folderMode    = 0o700
+	controlCount  = 3
+	balancerCount = 3
+	// agentStopGrace bounds the graceful stop of an agent.
+	agentStopGrace = 20 * time.Second
+	// balancerStopGrace lets packets in flight arrive; on loopback this is long enough.
+	balancerStopGrace = 200 * time.Millisecond
+	folderMode        = 0o700
 )
 
-// Config is what a fleet is made of.
+// Config describes a fleet.
 type Config struct {
 	Layout Layout
 	Net    Net
-	// Folder holds keys and the state of each VM.
-	Folder string
-	Seed   uint64
-	Launch Launcher
-	Log    logrus.FieldLogger
-	// Via gives the address by which others reach a control VM's address, for
-	// proxies on the links; nil for the address itself.
-	Via func(address string) string
-	// ProxyIPs are addresses of such proxies, for the certificates.
+	// Folder holds the keys and each VM's state.
+	Folder   string
+	Seed     uint64
+	Launcher Launcher
+	Log      logrus.FieldLogger
+	// AdvertiseAddress maps a control VM's listen address to the address that the
+	// other VMs connect to, for tests with proxies in between. If nil, they connect
+	// to the listen address itself.
+	AdvertiseAddress func(address string) string
+	// ProxyIPs are the IP addresses of such proxies; control certificates include them.
 	ProxyIPs []string
 }
 
-// Host is one VM with a target and the agent beside it.
+// Host is a VM that runs a target and its agent.
 type Host struct {
 	Name       string
 	Service    Service
 	DataCentre string
 	Target     *target.Target
 	Agent      Process
-	last       int
-	// past are the ledgers of the host's earlier targets.
-	past []target.Run
+	octet      int
+	// pastRuns are the ledger entries of the host's earlier targets.
+	pastRuns []target.Run
 }
 
-// Entry is one VM with a balancer.
-type Entry struct {
+// Balancer is a VM that runs a balancer.
+type Balancer struct {
 	Name       string
 	DataCentre string
-	last       int
+	octet      int
 
 	mu      sync.Mutex
 	process Process
 }
 
-func (e *Entry) running() bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.process != nil
+func (b *Balancer) running() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.process != nil
 }
 
-// take returns the entry's process and leaves none.
-func (e *Entry) take() Process {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	p := e.process
-	e.process = nil
+// takeProcess returns the balancer's process and sets it to nil.
+func (b *Balancer) takeProcess() Process {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	p := b.process
+	b.process = nil
 	return p
 }
 
-// ControlVM is one control VM.
+// ControlVM is a VM that runs a control replica.
 type ControlVM struct {
 	Name    string
 	Process Process
-	last    int
+	octet   int
 }
 
-// Fleet is the whole system with its stand-ins.
+// Fleet is the whole system: all roles, the stand-in fabric and the stand-in targets.
 type Fleet struct {
 	Config
-	Fabric   *fabric.Fabric
-	Controls []*ControlVM
-	Entries  []*Entry
-	Hosts    []*Host
-	Client   *operator.Client
-	Callers  *tls.Config
+	Fabric    *fabric.Fabric
+	Controls  []*ControlVM
+	Balancers []*Balancer
+	Hosts     []*Host
+	Client    *operator.Client
+	CallerTLS *tls.Config
 }
 
-// Open starts the control VMs, the fabric, the balancers and the hosts. A fleet
-// is returned with an error too, to be closed.
+// Open starts the control VMs, the fabric, the balancers and the hosts. The fleet is
+// also returned with an error; the caller must close it in either case.
 func Open(c Config) (*Fleet, error) {
 	f := &Fleet{Config: c, Fabric: fabric.New(c.Seed)}
-	if err := f.makeKeys(); err != nil {
+	if err := f.createKeys(); err != nil {
 		return f, err
 	}
-	for i := range controls {
-		vm := &ControlVM{Name: fmt.Sprintf("control-%d", i+1), last: ControlFirst + i}
+	for i := range controlCount {
+		vm := &ControlVM{Name: fmt.Sprintf("control-%d", i+1), octet: FirstControlOctet + i}
 		f.Controls = append(f.Controls, vm)
 		if err := f.StartControl(vm); err != nil {
 			return f, err
 		}
 	}
-	if err := f.openClient(); err != nil {
+	if err := f.createClient(); err != nil {
 		return f, err
 	}
 	f.Fabric.SetFaults(fabric.Faults{Delay: c.Layout.Delay})
@@ -149,10 +150,10 @@
 			return f, errors.Wrap(err, "scenario: fabric")
 		}
 	}
-	for i := range balancers {
-		e := &Entry{Name: fmt.Sprintf("balancer-%d", i+1), DataCentre: f.dataCentre(i), last: balancerFirst + i}
-		f.Entries = append(f.Entries, e)
-		if err := f.StartBalancer(e); err != nil {
+	for i := range balancerCount {
+		b := &Balancer{Name: fmt.Sprintf("balancer-%d", i+1), DataCentre: f.dataCentre(i), octet: firstBalancerOctet + i}
+		f.Balancers = append(f.Balancers, b)
+		if err := f.StartBalancer(b); err != nil {
 			return f, err
 		}
 	}
@@ -166,7 +167,7 @@
 		for n := range s.Hosts {
 			h := &Host{
 				Name: fmt.Sprintf("%s-%d", s.Name, n+1), Service: s,
-				DataCentre: f.dataCentre(n), last: hostFirst + len(f.Hosts),
+				DataCentre: f.dataCentre(n), octet: firstHostOctet + len(f.Hosts),
 			}
 			f.Hosts = append(f.Hosts, h)
 			if err := f.StartHost(h); err != nil {
@@ -177,8 +178,9 @@
 	return nil
 }
 
-// makeKeys makes the cluster's authority and the certificate that callers see.
-func (f *Fleet) makeKeys() error {
+// createKeys creates the cluster's certificate authority and the certificate that
+// callers verify.
+func (f *Fleet) createKeys() error {
 	if err := os.MkdirAll(f.Folder, folderMode); err != nil {
 		return errors.Wrap(err, "scenario: folder")
 	}
@@ -187,22 +189,22 @@
 	}
 	cert, pool, err := keys.SelfSigned(f.Net.IP(1), "localhost")
 	if err != nil {
-		return errors.Wrap(err, "scenario: callers' certificate")
+		return errors.Wrap(err, "scenario: caller certificate")
 	}
-	f.Callers = &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13, NextProtos: []string{"h3"}}
-	return keys.WritePEM(cert, f.CallersCertificate(), f.path("callers-key.pem"))
+	f.CallerTLS = &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13, NextProtos: []string{"h3"}}
+	return keys.WritePEM(cert, f.CallerCertificateFile(), f.path("callers-key.pem"))
 }
 
-// CallersCertificate is the file with the certificate that callers see.
-func (f *Fleet) CallersCertificate() string { return f.path("callers.pem") }
+// CallerCertificateFile returns the path of the certificate that callers verify.
+func (f *Fleet) CallerCertificateFile() string { return f.path("callers.pem") }
 
 func (f *Fleet) path(parts ...string) string {
 	return filepath.Join(append([]string{f.Folder}, parts...)...)
 }
 
-// identity issues a certificate for one process.
-func (f *Fleet) identity(role keys.Role, name string, last int) (keys.Settings, error) {
-	ips := []net.IP{netip.MustParseAddr(f.Net.IP(last)).AsSlice()}
+// issueCertificate issues a certificate for one process.
+func (f *Fleet) issueCertificate(role keys.Role, name string, octet int) (keys.Settings, error) {
+	ips := []net.IP{netip.MustParseAddr(f.Net.IP(octet)).AsSlice()}
 	if role == keys.Control {
 		for _, ip := range f.ProxyIPs {
 			ips = append(ips, netip.MustParseAddr(ip).AsSlice())
@@ -210,49 +212,49 @@
 	}
 	files, err := keys.Issue(f.path("keys"), role, name, ips...)
 	if err != nil {
-		return keys.Settings{}, errors.Wrap(err, "scenario: issue")
+		return keys.Settings{}, errors.Wrap(err, "scenario: issue certificate")
 	}
 	return keys.Settings(files), nil
 }
 
-// OperatorIdentity issues an operator's certificate.
-func (f *Fleet) OperatorIdentity(name string) (keys.Settings, error) {
-	return f.identity(keys.Operator, name, 1)
+// IssueOperatorCertificate issues a certificate for an operator.
+func (f *Fleet) IssueOperatorCertificate(name string) (keys.Settings, error) {
+	return f.issueCertificate(keys.Operator, name, 1)
 }
 
-func (f *Fleet) via(address string) string {
-	if f.Via == nil {
+func (f *Fleet) advertisedAddress(address string) string {
+	if f.AdvertiseAddress == nil {
 		return address
 	}
-	return f.Via(address)
+	return f.AdvertiseAddress(address)
 }
 
-// ControlSettings are a control VM's as it is started.
+// ControlSettings returns the settings that a control VM starts with.
 func (f *Fleet) ControlSettings(vm *ControlVM) (control.Settings, error) {
-	identity, err := f.identity(keys.Control, vm.Name, vm.last)
+	certificate, err := f.issueCertificate(keys.Control, vm.Name, vm.octet)
 	if err != nil {
 		return control.Settings{}, err
 	}
-	replica := f.Net.Address(vm.last, ReplicaPort)
+	replica := f.Net.Address(vm.octet, ReplicaPort)
 	s := control.Settings{
-		Name: vm.Name, DataCentre: f.dataCentre(vm.last - ControlFirst), Folder: f.ControlFolder(vm),
+		Name: vm.Name, DataCentre: f.dataCentre(vm.octet - FirstControlOctet), Folder: f.ControlFolder(vm),
 		Replica: control.ReplicaSettings{
-			Listen: replica, Advertise: f.via(replica), Bootstrap: vm.last == ControlFirst,
+			Listen: replica, Advertise: f.advertisedAddress(replica), Bootstrap: vm.octet == FirstControlOctet,
 		},
-		Subscribers: f.Net.Address(vm.last, SubscriberPort), Operators: f.Net.Address(vm.last, OperatorPort),
-		Metrics: f.Net.Address(vm.last, controlVars), TLS: identity,
+		Subscribers: f.Net.Address(vm.octet, SubscriberPort), Operators: f.Net.Address(vm.octet, OperatorPort),
+		Metrics: f.Net.Address(vm.octet, controlMetricsPort), TLS: certificate,
 	}
-	for i := range controls {
-		peer := f.via(f.Net.Address(ControlFirst+i, ReplicaPort))
+	for i := range controlCount {
+		peer := f.advertisedAddress(f.Net.Address(FirstControlOctet+i, ReplicaPort))
 		s.Replica.Peers = append(s.Replica.Peers, control.Peer{Name: fmt.Sprintf("control-%d", i+1), Address: peer})
 	}
 	return s, nil
 }
 
-// ControlFolder is where a control VM's durable state lies.
+// ControlFolder returns the folder of a control VM's durable state.
 func (f *Fleet) ControlFolder(vm *ControlVM) string { return f.path(vm.Name) }
 
-// StartControl starts a control VM on whatever its folder holds.
+// StartControl starts a control VM with the state in its folder, if there is any.
 func (f *Fleet) StartControl(vm *ControlVM) error {
 	s, err := f.ControlSettings(vm)
 	if err != nil {
@@ -261,67 +263,67 @@
 	if err := os.MkdirAll(s.Folder, folderMode); err != nil {
 		return errors.Wrap(err, "scenario: folder")
 	}
-	vm.Process, err = f.Launch.Control(s)
+	vm.Process, err = f.Launcher.Control(s)
 	return err
 }
 
-func (f *Fleet) openClient() error {
-	identity, err := f.OperatorIdentity("scenario-operator")
+func (f *Fleet) createClient() error {
+	certificate, err := f.IssueOperatorCertificate("scenario-operator")
 	if err != nil {
 		return err
 	}
-	store, err := keys.Load(identity.Files(), f.Log, metrics.New())
+	store, err := keys.Load(certificate.Files(), f.Log, metrics.New())
 	if err != nil {
-		return errors.Wrap(err, "scenario: operator's identity")
+		return errors.Wrap(err, "scenario: operator certificate")
 	}
 	f.Client = &operator.Client{Addresses: f.OperatorAddresses(), TLS: store.Client(keys.Control)}
 	return nil
 }
 
-// OperatorAddresses are where the control VMs take operators.
+// OperatorAddresses returns the addresses at which control VMs accept operators.
 func (f *Fleet) OperatorAddresses() []string {
 	var out []string
-	for i := range controls {
-		out = append(out, f.Net.Address(ControlFirst+i, OperatorPort))
+	for i := range controlCount {
+		out = append(out, f.Net.Address(FirstControlOctet+i, OperatorPort))
 	}
 	return out
 }
 
 func (f *Fleet) subscriberAddresses() []string {
 	var out []string
-	for i := range controls {
-		out = append(out, f.via(f.Net.Address(ControlFirst+i, SubscriberPort)))
+	for i := range controlCount {
+		out = append(out, f.advertisedAddress(f.Net.Address(FirstControlOctet+i, SubscriberPort)))
 	}
 	return out
 }
 
-// StartBalancer starts a balancer and adds it to the fabric.
-func (f *Fleet) StartBalancer(e *Entry) error {
-	identity, err := f.identity(keys.Balancer, e.Name, e.last)
+// StartBalancer starts a balancer and adds it to the fabric's set.
+func (f *Fleet) StartBalancer(b *Balancer) error {
+	certificate, err := f.issueCertificate(keys.Balancer, b.Name, b.octet)
 	if err != nil {
 		return err
 	}
-	process, err := f.Launch.Balancer(balancer.Settings{
-		Name: e.Name, DataCentre: e.DataCentre, Bind: f.Net.IP(e.last), Tunnel: f.Net.Address(e.last, tunnelPort),
-		Controls: f.subscriberAddresses(), Metrics: f.Net.Address(e.last, balancerVars),
-		State: f.path(e.Name + ".table"), StopGrace: balancerGrace, TLS: identity,
+	process, err := f.Launcher.Balancer(balancer.Settings{
+		Name: b.Name, DataCentre: b.DataCentre, Bind: f.Net.IP(b.octet), Tunnel: f.Net.Address(b.octet, balancerTunnelPort),
+		Controls: f.subscriberAddresses(), Metrics: f.Net.Address(b.octet, balancerMetricsPort),
+		State: f.path(b.Name + ".table"), StopGrace: balancerStopGrace, TLS: certificate,
 	})
 	if err != nil {
 		return err
 	}
-	e.mu.Lock()
-	e.process = process
-	e.mu.Unlock()
-	f.Fabric.AddBalancer(f.ip(e))
+	b.mu.Lock()
+	b.process = process
+	b.mu.Unlock()
+	f.Fabric.AddBalancer(f.balancerIP(b))
 	return nil
 }
 
-func (f *Fleet) ip(e *Entry) netip.Addr { return netip.MustParseAddr(f.Net.IP(e.last)) }
+func (f *Fleet) balancerIP(b *Balancer) netip.Addr { return netip.MustParseAddr(f.Net.IP(b.octet)) }
 
 // StartHost starts a target and its agent.
 func (f *Fleet) StartHost(h *Host) error {
 	t, err := target.New(target.Config{
-		Service: h.Service.Name, Host: h.Name, Address: f.Net.Address(h.last, targetPort),
+		Service: h.Service.Name, Host: h.Name, Address: f.Net.Address(h.octet, targetPort),
 		Faults: target.Faults{Slots: f.Layout.Slots, Work: h.Service.Work},
 	})
 	if err != nil {
@@ -331,39 +333,39 @@
 	return f.StartAgent(h)
 }
 
-// StartAgent starts the agent beside a running target.
+// StartAgent starts the agent of a running target.
 func (f *Fleet) StartAgent(h *Host) error {
-	identity, err := f.identity(keys.Agent, h.Service.Name+"."+h.Name, h.last)
+	certificate, err := f.issueCertificate(keys.Agent, h.Service.Name+"."+h.Name, h.octet)
 	if err != nil {
 		return err
 	}
-	h.Agent, err = f.Launch.Agent(agent.Settings{
+	h.Agent, err = f.Launcher.Agent(agent.Settings{
 		Service: h.Service.Name, Host: h.Name, DataCentre: h.DataCentre,
-		Target: f.Net.Address(h.last, targetPort), Tunnel: f.Net.Address(h.last, agentTunnel), Peer: f.Net.Address(h.last, agentPeer),
+		Target: f.Net.Address(h.octet, targetPort), Tunnel: f.Net.Address(h.octet, agentTunnelPort), Peer: f.Net.Address(h.octet, agentPeerPort),
 		Slots: f.Layout.Slots, Connections: f.Layout.Connections, Controls: f.subscriberAddresses(),
-		CallerTLS: agent.CallerTLS{Certificate: f.CallersCertificate(), Key: f.path("callers-key.pem")},
-		TLS:       identity, Metrics: f.Net.Address(h.last, agentVars), State: f.path(h.Name + ".table"), StopGrace: stopGrace,
+		CallerTLS: agent.CallerTLS{Certificate: f.CallerCertificateFile(), Key: f.path("callers-key.pem")},
+		TLS:       certificate, Metrics: f.Net.Address(h.octet, agentMetricsPort), State: f.path(h.Name + ".table"), StopGrace: agentStopGrace,
 	})
 	return err
 }
 
-// Close stops everything, callers' side first. The processes of one kind stop
-// at once, each as planned.
+// Close stops the agents, then the balancers, then the control VMs, each gracefully.
+// The processes of one role stop in parallel. It then ends the targets and the fabric.
 func (f *Fleet) Close() error {
-	var agents, entries, controls []Process
+	var agents, balancers, controls []Process
 	for _, h := range f.Hosts {
 		agents = append(agents, h.Agent)
 		if h.Target != nil {
 			h.Target.EndFeeds()
 		}
 	}
-	for _, e := range f.Entries {
-		entries = append(entries, e.take())
+	for _, b := range f.Balancers {
+		balancers = append(balancers, b.takeProcess())
 	}
 	for _, vm := range f.Controls {
 		controls = append(controls, vm.Process)
 	}
-	err := errors.Join(stopAll(agents), stopAll(entries), stopAll(controls))
+	err := errors.Join(stopAll(agents), stopAll(balancers), stopAll(controls))
 	for _, h := range f.Hosts {
 		if h.Target != nil {
 			h.Target.Kill()
--- a/internal/scenario/launcher.go
+++ b/internal/scenario/launcher.go
@@ -11,24 +11,24 @@
 	"bergamotstall/control"
 )
 
-// Process is one running role.
+// Process is a running role.
 type Process interface {
-	// Stop is a graceful stop; it returns when the role has ended.
+	// Stop stops the role gracefully and returns when it has ended.
 	Stop() error
-	// Kill ends the role as a crash does.
+	// Kill ends the role at once, like a crash.
 	Kill() error
 }
 
-// Launcher starts roles: in this process for the demo, as processes of their
-// own for the integration tests.
+// Launcher starts roles: inside this process for the demo, as separate processes
+// for the integration tests.
 type Launcher interface {
 	Control(s control.Settings) (Process, error)
 	Balancer(s balancer.Settings) (Process, error)
 	Agent(s agent.Settings) (Process, error)
 }
 
-// InProcess runs every role in this process. Kill is a graceful stop there, so
-// a crash is told from a stop only by what the fabric does.
+// InProcess runs every role in this process. Its processes implement Kill as a
+// graceful stop, so a crash differs from a stop only in what the fabric does.
 type InProcess struct {
 	Log logrus.FieldLogger
 }
@@ -60,23 +60,23 @@
 	return start(s.Host, role), nil
 }
 
-// runner is any role.
-type runner interface {
-	// Run returns after a graceful stop once ctx is done.
+// role is a balancer, an agent or a control VM.
+type role interface {
+	// Run runs until ctx is done and returns after a graceful stop.
 	Run(ctx context.Context) error
 }
 
-// inProcess is a role that runs here.
+// inProcess is a role that runs in this process.
 type inProcess struct {
 	name   string
 	cancel context.CancelFunc
 	ended  chan error
 }
 
-func start(name string, r runner) *inProcess {
+func start(name string, role role) *inProcess {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &inProcess{name: name, cancel: cancel, ended: make(chan error, 1)}
-	go func() { p.ended <- r.Run(ctx) }()
+	go func() { p.ended <- role.Run(ctx) }()
 	return p
 }
 
--- a/internal/scenario/layout.go
+++ b/internal/scenario/layout.go
@@ -1,7 +1,8 @@
-// Package scenario runs the whole system on loopback, every VM with an address
-// of its own, between a fabric stand-in that sprays each packet and target
-// stand-ins, plays callers and changes, and has package check judge the run. The
-// demo runs it in one process, the integration tests with the built binaries.
+// Package scenario runs the whole system on loopback, with an address for each VM.
+// A stand-in fabric sends each packet to a random balancer, and stand-in targets
+// answer requests. The package generates callers' load, changes the system meanwhile
+// and lets package check evaluate the run. The demo runs it in one process, the
+// integration tests with the built binaries.
 package scenario
 
 import (
@@ -13,24 +14,24 @@
 	"bergamotstall/internal/catalogue"
 )
 
-// Net is the /24 of 127.0.0.0/8 that a run uses, so that several can run beside
-// each other on one machine.
+// Net is the /24 of 127.0.0.0/8 that a run uses, so that several runs can share one
+// machine.
 type Net uint8
 
-// IP is the address of the VM with the given last octet.
-func (n Net) IP(last int) string { return fmt.Sprintf("127.0.%d.%d", n, last) }
+// IP returns the address of the VM with the given last octet.
+func (n Net) IP(octet int) string { return fmt.Sprintf("127.0.%d.%d", n, octet) }
 
-// Address is a port of the VM with the given last octet.
-func (n Net) Address(last, port int) string { return fmt.Sprintf("%s:%d", n.IP(last), port) }
+// Address returns the address and port of the VM with the given last octet.
+func (n Net) Address(octet, port int) string { return fmt.Sprintf("%s:%d", n.IP(octet), port) }
 
-// Layout is one user's installation at its real size.
+// Layout is a user's installation at its real size.
 type Layout struct {
 	Name        string
 	DataCentres []string
 	Slots       int
 	Connections int
 	Services    []Service
-	// Delay is the callers' to the fabric, one way.
+	// Delay is the one-way delay between callers and the fabric.
 	Delay time.Duration
 }
 
@@ -39,12 +40,12 @@
 	Name  string
 	Port  int
 	Hosts int
-	// Work is how long a request holds a slot at the stand-in.
+	// Work is how long a request occupies a slot of the stand-in target.
 	Work time.Duration
 }
 
-// ErrLayout is returned for a layout that isn't known.
-var ErrLayout = errors.New("scenario: no such layout")
+// ErrUnknownLayout is returned for a layout name that doesn't exist.
+var ErrUnknownLayout = errors.New("scenario: unknown layout")
 
 const (
 	deskPort    = 8443
@@ -52,7 +53,7 @@
 	keyWindow   = 10 * time.Minute
 )
 
-// Layouts are the users' installations.
+// Layouts returns the users' installations.
 func Layouts() []Layout {
 	return []Layout{
 		{
@@ -76,54 +77,55 @@
 	}
 }
 
-// LayoutNamed returns a user's installation.
-func LayoutNamed(name string) (Layout, error) {
+// LayoutByName returns the layout with the given name, or ErrUnknownLayout.
+func LayoutByName(name string) (Layout, error) {
 	for _, l := range Layouts() {
 		if l.Name == name {
 			return l, nil
 		}
 	}
-	return Layout{}, errors.Wrapf(ErrLayout, "%q", name)
+	return Layout{}, errors.Wrapf(ErrUnknownLayout, "%q", name)
 }
 
-// Address is where callers reach the service.
+// Address returns the address at which callers reach the service.
 func (s Service) Address(n Net) string { return n.Address(1, s.Port) }
 
-// Names of the layouts' presets.
+// Names of the presets that every layout has.
 const (
-	Ordinary    = "ordinary"
-	Peak        = "peak"
-	Maintenance = "maintenance"
+	PresetOrdinary    = "ordinary"
+	PresetPeak        = "peak"
+	PresetMaintenance = "maintenance"
 )
 
 const (
-	// peakWeight is the last data centre's under the peak preset; 100 is usual.
+	// peakWeight is the weight of the last data centre under the peak preset; the
+	// default weight is 100.
 	peakWeight = 130
-	// queueLimit and retryPercent are those of docs/PLACEMENT.md.
+	// queueLimit and retryPercent are the values from docs/PLACEMENT.md.
 	queueLimit   = 16
 	retryPercent = 20
 )
 
-// Definition is the layout's catalogue: under the peak preset the last data
-// centre takes more, under maintenance it takes no new work.
+// Definition returns the layout's catalogue. Under the peak preset the last data
+// centre has a higher weight; under the maintenance preset it gets no new work.
 func (l Layout) Definition(n Net) catalogue.Definition {
 	var d catalogue.Definition
-	last := l.DataCentres[len(l.DataCentres)-1]
-	peak := catalogue.Preset{Name: Peak}
-	maintenance := catalogue.Preset{Name: Maintenance}
+	lastDataCentre := l.DataCentres[len(l.DataCentres)-1]
+	peak := catalogue.Preset{Name: PresetPeak}
+	maintenance := catalogue.Preset{Name: PresetMaintenance}
 	for _, s := range l.Services {
 		d.Services = append(d.Services, catalogue.ServiceSpec{
 			Name: s.Name, Address: s.Address(n), FlowLimit: l.Connections,
 			QueueLimit: queueLimit, RetryPercent: retryPercent, KeyWindow: keyWindow,
 		})
-		peak.Services = append(peak.Services, weighed(s.Name, last, peakWeight))
-		maintenance.Services = append(maintenance.Services, weighed(s.Name, last, 0))
+		peak.Services = append(peak.Services, presetService(s.Name, lastDataCentre, peakWeight))
+		maintenance.Services = append(maintenance.Services, presetService(s.Name, lastDataCentre, 0))
 	}
-	d.Presets = []catalogue.Preset{{Name: Ordinary}, peak, maintenance}
+	d.Presets = []catalogue.Preset{{Name: PresetOrdinary}, peak, maintenance}
 	return d
 }
 
-func weighed(service, dataCentre string, weight uint32) catalogue.PresetService {
+func presetService(service, dataCentre string, weight uint32) catalogue.PresetService {
 	return catalogue.PresetService{
 		Service:     service,
 		DataCentres: []catalogue.DataCentreWeight{{Name: dataCentre, Weight: weight}},
--- a/internal/scenario/print.go
+++ b/internal/scenario/print.go
@@ -9,7 +9,7 @@
 	"bergamotstall/internal/report"
 )
 
-// Write prints the closing table.
+// Write prints the summary and the verdicts.
 func (r Result) Write(w io.Writer) {
 	r.Summary.Write(w)
 	for _, i := range check.Imbalances(r.Shares) {
@@ -22,7 +22,7 @@
 	report.WriteVerdicts(w, r.Verdicts)
 }
 
-// Page is the result as a report.
+// Page returns the result as a report page.
 func (r Result) Page(layout string) report.Page {
 	return report.Page{
 		Title: r.Scenario + ", " + layout, Machine: report.Machine(), Summary: r.Summary,
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -17,34 +17,34 @@
 	"bergamotstall/internal/wait"
 )
 
-// Step is one thing done to the system, at a fraction of the run.
+// Step is a change to the system. At is when it starts, as a fraction of the run.
 type Step struct {
 	At   float64
-	What string
-	Do   func(ctx context.Context, p *Play) error
+	Name string
+	Do   func(ctx context.Context, r *Runner) error
 }
 
-// Scenario is callers and what is done to the system meanwhile.
+// Scenario is callers' load together with the changes made during it.
 type Scenario struct {
 	Name  string
 	Steps []Step
-	// Loads are the callers'; nil is Play.Usual.
-	Loads func(p *Play, length time.Duration) []loadgen.Spec
-	// Limits are zero for check.DefaultLimits.
+	// Loads returns the callers' loads; nil means Runner.DefaultLoads.
+	Loads func(r *Runner, length time.Duration) []loadgen.Spec
+	// Limits are the limits for the checks; zero means check.DefaultLimits.
 	Limits check.Limits
 }
 
-// Play is one run of a scenario.
-type Play struct {
+// Runner runs scenarios on a fleet.
+type Runner struct {
 	*Fleet
-	Rec      *loadgen.Recorder
+	Recorder *loadgen.Recorder
 	progress func(format string, args ...any)
 
 	mu     sync.Mutex
 	record check.Record
 }
 
-// Result is what came of a run.
+// Result is the outcome of a run.
 type Result struct {
 	Scenario string
 	Record   check.Record
@@ -55,136 +55,139 @@
 	Marks    []loadgen.Mark
 }
 
-// NewPlay prepares a run on a fleet: it applies the layout's catalogue and
-// waits for every target. progress may be nil.
-func NewPlay(ctx context.Context, f *Fleet, progress func(format string, args ...any)) (*Play, error) {
+// NewRunner prepares a fleet for runs: it applies the layout's catalogue and waits
+// until all control VMs vote and all targets are active. progress may be nil.
+func NewRunner(ctx context.Context, f *Fleet, progress func(format string, args ...any)) (*Runner, error) {
 	if progress == nil {
 		progress = func(string, ...any) {}
 	}
-	p := &Play{Fleet: f, progress: progress}
+	r := &Runner{Fleet: f, progress: progress}
 	began := time.Now()
 	definition := f.Layout.Definition(f.Net)
 	for {
-		_, err := p.Command(ctx, catalogue.Command{Apply: &catalogue.ApplyCatalogue{Definition: definition}})
+		_, err := r.Command(ctx, catalogue.Command{Apply: &catalogue.ApplyCatalogue{Definition: definition}})
 		if err == nil {
 			break
 		}
-		if time.Since(began) > readyTime || !wait.For(ctx, pollPause) {
+		if time.Since(began) > readyTimeout || !wait.For(ctx, pollInterval) {
 			return nil, err
 		}
 	}
-	if err := p.AwaitControls(ctx); err != nil {
+	if err := r.AwaitControls(ctx); err != nil {
 		return nil, err
 	}
-	if err := p.AwaitTargets(ctx); err != nil {
+	if err := r.AwaitTargets(ctx); err != nil {
 		return nil, err
 	}
-	p.progress("%s: %d control VMs, %d balancers, %d hosts ready after %v",
-		f.Layout.Name, len(f.Controls), len(f.Entries), len(f.Hosts), time.Since(began).Round(time.Millisecond))
-	return p, nil
+	r.progress("%s: %d control VMs, %d balancers, %d hosts ready after %v",
+		f.Layout.Name, len(f.Controls), len(f.Balancers), len(f.Hosts), time.Since(began).Round(time.Millisecond))
+	return r, nil
 }
 
-// Run plays callers and steps for the given time, or until the steps are done if that is
-// later, and judges the run. The error is of a step that couldn't be done.
-func (p *Play) Run(ctx context.Context, s Scenario, length time.Duration) (Result, error) {
-	p.Rec = loadgen.NewRecorder()
-	p.mu.Lock()
-	p.record = check.Record{}
-	p.mu.Unlock()
+// Run generates load and executes the steps for the given time, or until the last step
+// is done if that is later, then checks the run. The error joins those of failed steps.
+func (r *Runner) Run(ctx context.Context, s Scenario, length time.Duration) (Result, error) {
+	r.Recorder = loadgen.NewRecorder()
+	r.mu.Lock()
+	r.record = check.Record{}
+	r.mu.Unlock()
 	loads := s.Loads
 	if loads == nil {
-		loads = (*Play).Usual
+		loads = (*Runner).DefaultLoads
 	}
 	began := time.Now()
-	callers, endCallers := context.WithCancel(ctx)
-	defer endCallers()
+	callerContext, stopCallers := context.WithCancel(ctx)
+	defer stopCallers()
 	var wg sync.WaitGroup
-	for _, spec := range loads(p, length) {
+	for _, spec := range loads(r, length) {
 		wg.Go(func() {
-			if err := loadgen.Run(callers, spec, p.Rec); err != nil {
-				p.progress("callers of %s: %v", spec.Service, err)
+			if err := loadgen.Run(callerContext, spec, r.Recorder); err != nil {
+				r.progress("callers of %s: %v", spec.Service, err)
 			}
 		})
 	}
-	looking, endLooking := context.WithCancel(ctx)
-	defer endLooking()
-	looks := make(chan []check.InForce, 1)
-	go func() { looks <- p.look(looking) }()
+	pollContext, stopPolling := context.WithCancel(ctx)
+	defer stopPolling()
+	samples := make(chan []check.RevisionSample, 1)
+	go func() { samples <- r.pollRevisions(pollContext) }()
 
-	failed := p.steps(ctx, s, began, length)
+	failed := r.runSteps(ctx, s, began, length)
 	wait.For(ctx, time.Until(began.Add(length)))
-	endCallers()
+	stopCallers()
 	wg.Wait()
-	endLooking()
-	return p.result(s, <-looks), failed
+	stopPolling()
+	return r.result(s, <-samples), failed
 }
 
-// steps does each step in its time, or after the one before if that takes longer.
-func (p *Play) steps(ctx context.Context, s Scenario, began time.Time, length time.Duration) error {
+// runSteps executes each step at its time, or after the previous one if that takes
+// longer.
+func (r *Runner) runSteps(ctx context.Context, s Scenario, began time.Time, length time.Duration) error {
 	var failed error
 	for _, step := range s.Steps {
 		at := time.Duration(float64(length) * step.At)
 		if !wait.For(ctx, time.Until(began.Add(at))) {
-			return errors.Join(failed, errors.Wrap(ctx.Err(), step.What))
+			return errors.Join(failed, errors.Wrap(ctx.Err(), step.Name))
 		}
-		p.progress("%6.1fs  %s", time.Since(began).Seconds(), step.What)
-		p.Rec.Mark(step.What)
-		if err := step.Do(ctx, p); err != nil {
-			p.progress("  failed: %v", err)
-			failed = errors.Join(failed, errors.Wrap(err, step.What))
+		r.progress("%6.1fs  %s", time.Since(began).Seconds(), step.Name)
+		r.Recorder.Mark(step.Name)
+		if err := step.Do(ctx, r); err != nil {
+			r.progress("  failed: %v", err)
+			failed = errors.Join(failed, errors.Wrap(err, step.Name))
 		}
 	}
 	return failed
 }
 
-func (p *Play) result(s Scenario, looks []check.InForce) Result {
-	record := p.Rec.Record()
-	record.Runs = p.ledgers()
-	record.Looks = looks
-	p.mu.Lock()
-	record.Drains, record.Switches = p.record.Drains, p.record.Switches
-	p.mu.Unlock()
+func (r *Runner) result(s Scenario, samples []check.RevisionSample) Result {
+	record := r.Recorder.Record()
+	record.Runs = r.targetRuns()
+	record.RevisionSamples = samples
+	r.mu.Lock()
+	record.Drains, record.Switches = r.record.Drains, r.record.Switches
+	r.mu.Unlock()
 	limits := s.Limits
 	if limits == (check.Limits{}) {
 		limits = check.DefaultLimits()
 	}
 	return Result{
 		Scenario: s.Name, Record: record, Verdicts: check.All(record, limits), Shares: check.Shares(record.Runs),
-		Summary: p.Rec.Report(), Seconds: p.Rec.Seconds(), Marks: p.Rec.Marks(),
+		Summary: r.Recorder.Report(), Seconds: r.Recorder.Seconds(), Marks: r.Recorder.Marks(),
 	}
 }
 
-// lookPause is the time between two looks at the balancers' revisions.
-const lookPause = 100 * time.Millisecond
-
-// look notes the revision in force at each balancer until ctx is done. One
-// without a table in force is left out.
-func (p *Play) look(ctx context.Context) []check.InForce {
-	var out []check.InForce
-	for wait.For(ctx, lookPause) {
-		for _, e := range p.Entries {
-			if n := p.Counter(e.varsAddress(p.Fleet), "balancer_revision"); n > 0 {
-				out = append(out, check.InForce{Balancer: e.Name, Revision: uint64(n), At: time.Now()})
+// revisionPollInterval is the time between two reads of the balancers' revisions.
+const revisionPollInterval = 100 * time.Millisecond
+
+// pollRevisions records the revision in force at each balancer until ctx is done.
+// Balancers without a table are skipped.
+func (r *Runner) pollRevisions(ctx context.Context) []check.RevisionSample {
+	var out []check.RevisionSample
+	for wait.For(ctx, revisionPollInterval) {
+		for _, b := range r.Balancers {
+			if n := r.Counter(b.metricsAddress(r.Fleet), "balancer_revision"); n > 0 {
+				out = append(out, check.RevisionSample{Balancer: b.Name, Revision: uint64(n), At: time.Now()})
 			}
 		}
 	}
 	return out
 }
 
-func (e *Entry) varsAddress(f *Fleet) string { return f.Net.Address(e.last, balancerVars) }
+func (b *Balancer) metricsAddress(f *Fleet) string {
+	return f.Net.Address(b.octet, balancerMetricsPort)
+}
 
-// VarsAddress is where the host's agent publishes its counters.
-func (h *Host) VarsAddress(f *Fleet) string { return f.Net.Address(h.last, agentVars) }
+// MetricsAddress returns the address at which the host's agent serves its counters.
+func (h *Host) MetricsAddress(f *Fleet) string { return f.Net.Address(h.octet, agentMetricsPort) }
 
-// varsTime bounds one look at a process's counters.
-const varsTime = time.Second
+// counterTimeout bounds one read of a process's counters.
+const counterTimeout = time.Second
 
-var varsClient = &http.Client{Timeout: varsTime, Transport: &http.Transport{DisableKeepAlives: true}}
+var counterClient = &http.Client{Timeout: counterTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Counter reads a counter from a process's /debug/vars; 0 where it has none or
-// doesn't answer.
-func (p *Play) Counter(address, name string) int64 {
-	resp, err := varsClient.Get("http://" + address + "/debug/vars")
+// Counter reads a counter from a process's /debug/vars. It returns 0 if the process
+// doesn't have the counter or doesn't answer.
+func (r *Runner) Counter(address, name string) int64 {
+	resp, err := counterClient.Get("http://" + address + "/debug/vars")
 	if err != nil {
 		return 0
 	}
@@ -200,41 +203,41 @@
 	return n
 }
 
-// ledgers gathers what every target ran.
-func (p *Play) ledgers() []check.Run {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// targetRuns collects the executions that all targets recorded.
+func (r *Runner) targetRuns() []check.Run {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []check.Run
-	for _, h := range p.Hosts {
-		runs := h.past
+	for _, h := range r.Hosts {
+		seen := h.pastRuns
 		if h.Target != nil {
-			runs = append(runs, h.Target.Runs()...)
+			seen = append(seen, h.Target.Runs()...)
 		}
-		for _, r := range runs {
-			out = append(out, runsOf(h, r)...)
+		for _, run := range seen {
+			out = append(out, checkRuns(h, run)...)
 		}
 	}
 	return out
 }
 
-func runsOf(h *Host, r target.Run) []check.Run {
-	one := check.Run{
-		ID: r.RequestID, Submission: loadgen.SubmissionOf(r.RequestID),
-		Service: h.Service.Name, Host: h.Name, At: r.FirstSeen,
+func checkRuns(h *Host, run target.Run) []check.Run {
+	execution := check.Run{
+		ID: run.RequestID, Submission: loadgen.SubmissionOf(run.RequestID),
+		Service: h.Service.Name, Host: h.Name, At: run.FirstSeen,
 	}
-	out := make([]check.Run, r.Runs)
+	out := make([]check.Run, run.Runs)
 	for i := range out {
-		out[i] = one
+		out[i] = execution
 	}
 	return out
 }
 
-// Usual is the callers' load of most scenarios: downloads and submissions on
-// every service, feeds that stay open for most of the run, and large downloads.
-func (p *Play) Usual(length time.Duration) []loadgen.Spec {
+// DefaultLoads returns the load of most scenarios: downloads and submissions on every
+// service, feeds that stay open for most of the run, and large downloads.
+func (r *Runner) DefaultLoads(length time.Duration) []loadgen.Spec {
 	var out []loadgen.Spec
-	for i, s := range p.Layout.Services {
-		base := loadgen.Spec{Service: s.Name, Address: s.Address(p.Net), TLS: p.Callers, Seed: p.Seed + uint64(10*i)}
+	for i, s := range r.Layout.Services {
+		base := loadgen.Spec{Service: s.Name, Address: s.Address(r.Net), TLS: r.CallerTLS, Seed: r.Seed + uint64(10*i)}
 		work, feeds, large := base, base, base
 		work.Flows, work.RequestsPerFlow, work.Pause = 24, 12, 20*time.Millisecond
 		work.Mix = loadgen.Mix{Download: 2, Submit: 1}
@@ -248,5 +251,5 @@
 	return out
 }
 
-// String names the result by its scenario.
+// String returns the name of the result's scenario.
 func (r Result) String() string { return fmt.Sprintf("scenario %s", r.Scenario) }
--- a/internal/scenario/steps.go
+++ b/internal/scenario/steps.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	commandTime = 15 * time.Second
-	// NoticeTime is how long the fabric goes on sending to a dead balancer.
-	NoticeTime = 500 * time.Millisecond
-	readyTime  = 30 * time.Second
-	pollPause  = 50 * time.Millisecond
+	commandTimeout = 15 * time.Second
+	// FailureDetectionTime is how long the fabric keeps sending to a dead balancer.
+	FailureDetectionTime = 500 * time.Millisecond
+	readyTimeout         = 30 * time.Second
+	pollInterval         = 50 * time.Millisecond
 )
 
-// ErrHost is returned for a host that the layout doesn't have.
-var ErrHost = errors.New("scenario: no such host")
+// ErrUnknownHost is returned for a host that the layout doesn't have.
+var ErrUnknownHost = errors.New("scenario: unknown host")
 
 // Host returns the named host.
 func (f *Fleet) Host(name string) (*Host, error) {
@@ -31,185 +31,185 @@
 			return h, nil
 		}
 	}
-	return nil, errors.Wrapf(ErrHost, "%q", name)
+	return nil, errors.Wrapf(ErrUnknownHost, "%q", name)
 }
 
-// KillBalancer ends a balancer as a crash does: its packets are lost until the
-// fabric notices.
-func (p *Play) KillBalancer(i int) error {
-	e := p.Entries[i]
-	p.Fabric.Partition(p.ip(e))
-	err := e.take().Kill()
-	time.Sleep(NoticeTime)
-	p.Fabric.RemoveBalancer(p.ip(e))
-	p.Fabric.Heal(p.ip(e))
+// KillBalancer simulates the crash of a balancer: packets to it are lost for
+// FailureDetectionTime, then the fabric removes it.
+func (r *Runner) KillBalancer(i int) error {
+	b := r.Balancers[i]
+	r.Fabric.Partition(r.balancerIP(b))
+	err := b.takeProcess().Kill()
+	time.Sleep(FailureDetectionTime)
+	r.Fabric.RemoveBalancer(r.balancerIP(b))
+	r.Fabric.Heal(r.balancerIP(b))
 	return err
 }
 
-// StopBalancer is a planned stop: the fabric is told first.
-func (p *Play) StopBalancer(i int) error {
-	e := p.Entries[i]
-	p.Fabric.RemoveBalancer(p.ip(e))
-	return e.take().Stop()
+// StopBalancer removes a balancer from the fabric, then stops it gracefully.
+func (r *Runner) StopBalancer(i int) error {
+	b := r.Balancers[i]
+	r.Fabric.RemoveBalancer(r.balancerIP(b))
+	return b.takeProcess().Stop()
 }
 
-// JoinBalancer starts a balancer and waits until it has a table in force.
-func (p *Play) JoinBalancer(ctx context.Context, i int) error {
-	e := p.Entries[i]
-	if err := p.StartBalancer(e); err != nil {
+// StartBalancerAndWait starts a balancer and waits until it has a table in force.
+func (r *Runner) StartBalancerAndWait(ctx context.Context, i int) error {
+	b := r.Balancers[i]
+	if err := r.StartBalancer(b); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	for p.Counter(e.varsAddress(p.Fleet), "balancer_revision") == 0 {
-		if !wait.For(ctx, pollPause) {
-			return errors.Wrapf(ctx.Err(), "scenario: %s has no table", e.Name)
+	for r.Counter(b.metricsAddress(r.Fleet), "balancer_revision") == 0 {
+		if !wait.For(ctx, pollInterval) {
+			return errors.Wrapf(ctx.Err(), "scenario: %s has no table", b.Name)
 		}
 	}
 	return nil
 }
 
-// Command runs an operator's command with a fresh identity.
-func (p *Play) Command(ctx context.Context, cmd catalogue.Command) (catalogue.Outcome, error) {
-	ctx, cancel := context.WithTimeout(ctx, commandTime)
+// Command runs an operator's command under a new command ID.
+func (r *Runner) Command(ctx context.Context, cmd catalogue.Command) (catalogue.Outcome, error) {
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	cmd.ID = operator.NewCommandID()
-	out, err := p.Client.Command(ctx, cmd)
+	out, err := r.Client.Command(ctx, cmd)
 	if err != nil {
 		return out, errors.Wrap(err, "scenario: command")
 	}
 	return out, nil
 }
 
-// SwitchTo switches the preset and notes when every balancer that runs has it
-// in force, by the balancers' own counters.
-func (p *Play) SwitchTo(ctx context.Context, preset string) error {
+// SwitchTo switches the preset and records how long it takes until it is in force on
+// every running balancer, according to the balancers' own counters.
+func (r *Runner) SwitchTo(ctx context.Context, preset string) error {
 	began := time.Now()
-	out, err := p.Command(ctx, catalogue.Command{Switch: &catalogue.SwitchPreset{Preset: preset}})
+	out, err := r.Command(ctx, catalogue.Command{Switch: &catalogue.SwitchPreset{Preset: preset}})
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, commandTime)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	s := check.Switch{Preset: preset}
-	for !p.inForce(out.Revision) && wait.For(ctx, pollPause) {
+	for !r.inForce(out.Revision) && wait.For(ctx, pollInterval) {
 	}
 	if ctx.Err() == nil {
 		s.Took = time.Since(began)
-		p.progress("  %s in force on every balancer after %v", preset, s.Took.Round(time.Millisecond))
+		r.progress("  %s in force on every balancer after %v", preset, s.Took.Round(time.Millisecond))
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.record.Switches = append(p.record.Switches, s)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.record.Switches = append(r.record.Switches, s)
 	return nil
 }
 
-// inForce tells whether every balancer that runs has the revision or a later.
-func (p *Play) inForce(revision table.Revision) bool {
-	for _, e := range p.Entries {
-		if e.running() && p.Counter(e.varsAddress(p.Fleet), "balancer_revision") < int64(revision) {
+// inForce reports whether every running balancer has this or a later revision.
+func (r *Runner) inForce(revision table.Revision) bool {
+	for _, b := range r.Balancers {
+		if b.running() && r.Counter(b.metricsAddress(r.Fleet), "balancer_revision") < int64(revision) {
 			return false
 		}
 	}
 	return true
 }
 
-// Drain takes a host out of new work.
-func (p *Play) Drain(ctx context.Context, name string) error {
-	if _, err := p.Command(ctx, catalogue.Command{Drain: &catalogue.DrainHost{Host: name}}); err != nil {
+// Drain excludes a host from new work.
+func (r *Runner) Drain(ctx context.Context, name string) error {
+	if _, err := r.Command(ctx, catalogue.Command{Drain: &catalogue.DrainHost{Host: name}}); err != nil {
 		return err
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.record.Drains = append(p.record.Drains, check.Drain{Host: name, At: time.Now()})
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.record.Drains = append(r.record.Drains, check.Drain{Host: name, At: time.Now()})
 	return nil
 }
 
-// Undrain gives a host new work again.
-func (p *Play) Undrain(ctx context.Context, name string) error {
-	p.mu.Lock()
-	for i := range p.record.Drains {
-		if d := &p.record.Drains[i]; d.Host == name && d.Until.IsZero() {
+// Undrain ends a drain; the host gets new work again.
+func (r *Runner) Undrain(ctx context.Context, name string) error {
+	r.mu.Lock()
+	for i := range r.record.Drains {
+		if d := &r.record.Drains[i]; d.Host == name && d.Until.IsZero() {
 			d.Until = time.Now()
 		}
 	}
-	p.mu.Unlock()
-	_, err := p.Command(ctx, catalogue.Command{Undrain: &catalogue.UndrainHost{Host: name}})
+	r.mu.Unlock()
+	_, err := r.Command(ctx, catalogue.Command{Undrain: &catalogue.UndrainHost{Host: name}})
 	return err
 }
 
-// StopHost is the planned stop of a target and its agent: the agent drains, the
-// target ends its feeds, and both end when nothing is in progress.
-func (p *Play) StopHost(ctx context.Context, name string) error {
-	h, err := p.Host(name)
+// StopHost stops a target and its agent as planned: the agent drains, the target ends
+// its feeds, and both exit when no request is in progress.
+func (r *Runner) StopHost(ctx context.Context, name string) error {
+	h, err := r.Host(name)
 	if err != nil {
 		return err
 	}
 	stopped := make(chan error, 1)
 	go func() { stopped <- h.Agent.Stop() }()
-	time.Sleep(NoticeTime)
+	time.Sleep(FailureDetectionTime)
 	h.Target.EndFeeds()
 	err = <-stopped
 	h.Agent = nil
-	return errors.Join(err, p.stopTarget(ctx, h))
+	return errors.Join(err, r.stopTarget(ctx, h))
 }
 
-func (p *Play) stopTarget(ctx context.Context, h *Host) error {
-	ctx, cancel := context.WithTimeout(ctx, commandTime)
+func (r *Runner) stopTarget(ctx context.Context, h *Host) error {
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	err := h.Target.Stop(ctx)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	h.past = append(h.past, h.Target.Runs()...)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	h.pastRuns = append(h.pastRuns, h.Target.Runs()...)
 	h.Target = nil
 	return err
 }
 
-// KillHost ends a target and its agent as the loss of their VM does.
-func (p *Play) KillHost(name string) error {
-	h, err := p.Host(name)
+// KillHost ends a target and its agent at once, like the loss of their VM.
+func (r *Runner) KillHost(name string) error {
+	h, err := r.Host(name)
 	if err != nil {
 		return err
 	}
 	err = h.Agent.Kill()
 	h.Agent = nil
 	h.Target.Kill()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	h.past = append(h.past, h.Target.Runs()...)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	h.pastRuns = append(h.pastRuns, h.Target.Runs()...)
 	h.Target = nil
 	return err
 }
 
-// ReturnHost starts a stopped host again and waits until control has it.
-func (p *Play) ReturnHost(ctx context.Context, name string) error {
-	h, err := p.Host(name)
+// RestartHost starts a stopped host again and waits until its target is active.
+func (r *Runner) RestartHost(ctx context.Context, name string) error {
+	h, err := r.Host(name)
 	if err != nil {
 		return err
 	}
-	if err := p.StartHost(h); err != nil {
+	if err := r.StartHost(h); err != nil {
 		return err
 	}
-	return p.AwaitTargets(ctx)
+	return r.AwaitTargets(ctx)
 }
 
-// AwaitControls waits until every control VM that runs is a voter: a fleet that
-// has just started bears no loss of a control VM before.
-func (p *Play) AwaitControls(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+// AwaitControls waits until every control VM is a voter. Until then the fleet doesn't
+// tolerate the loss of a control VM.
+func (r *Runner) AwaitControls(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
 		voters := 0
-		for _, vm := range p.Client.Fleet(ctx).VMs {
+		for _, vm := range r.Client.Fleet(ctx).VMs {
 			if vm.Local != nil {
 				voters = max(voters, countVoters(vm.Local.Replicas))
 			}
 		}
-		if voters >= len(p.Controls) {
+		if voters >= len(r.Controls) {
 			return nil
 		}
-		if !wait.For(ctx, pollPause) {
-			return errors.Wrapf(ctx.Err(), "scenario: %d voters", voters)
+		if !wait.For(ctx, pollInterval) {
+			return errors.Wrapf(ctx.Err(), "scenario: only %d control VMs vote", voters)
 		}
 	}
 }
@@ -224,39 +224,39 @@
 	return n
 }
 
-// AwaitTargets waits until control has an active target for each host that
-// runs.
-func (p *Play) AwaitTargets(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+// AwaitTargets waits until control lists an active target for each running host that
+// isn't drained.
+func (r *Runner) AwaitTargets(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
-		view, err := p.Client.Read(ctx, operator.PartTargets)
-		if err == nil && p.allActive(view) {
+		view, err := r.Client.Read(ctx, operator.PartTargets)
+		if err == nil && r.allActive(view) {
 			return nil
 		}
-		if !wait.For(ctx, pollPause) {
-			return errors.Wrap(ctx.Err(), "scenario: targets not announced in time")
+		if !wait.For(ctx, pollInterval) {
+			return errors.Wrap(ctx.Err(), "scenario: not all targets became active in time")
 		}
 	}
 }
 
-func (p *Play) allActive(v *operator.View) bool {
+func (r *Runner) allActive(v *operator.View) bool {
 	active := map[string]bool{}
 	for _, t := range v.Targets {
 		active[t.Host] = active[t.Host] || t.State == "active"
 	}
-	for _, h := range p.Hosts {
-		if h.Agent != nil && !active[h.Name] && !p.drained(h.Name) {
+	for _, h := range r.Hosts {
+		if h.Agent != nil && !active[h.Name] && !r.drained(h.Name) {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *Play) drained(name string) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, d := range p.record.Drains {
+func (r *Runner) drained(name string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, d := range r.record.Drains {
 		if d.Host == name && d.Until.IsZero() {
 			return true
 		}
