--- a/internal/loadgen/flow.go
+++ b/internal/loadgen/flow.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	handshakeTimeout = 5 * time.Second
-	idleTimeout      = 30 * time.Second
-	keepAlive        = 5 * time.Second
-	// dialAttempts is how often a caller tries to open a flow before it gives
-	// up; a failed handshake is no broken flow, since nothing was open yet.
+	handshakeTimeout  = 5 * time.Second
+	idleTimeout       = 30 * time.Second
+	keepAliveInterval = 5 * time.Second
+	// dialAttempts is how often a caller tries to open a flow. A failed handshake
+	// isn't counted as a broken flow, since no flow was open.
 	dialAttempts = 3
 	dialPause    = 100 * time.Millisecond
-	// closedByCaller is the code of an end that nobody minds, either side's.
-	closedByCaller = quic.ApplicationErrorCode(http3.ErrCodeNoError)
+	// gracefulCloseCode is the error code of a graceful close by either side.
+	gracefulCloseCode = quic.ApplicationErrorCode(http3.ErrCodeNoError)
 )
 
-// flow is one QUIC connection with its caller.
+// flow is one QUIC connection and the state of its caller.
 type flow struct {
 	spec    Spec
 	rec     *Recorder
@@ -39,15 +39,15 @@
 	socket  *net.UDPConn
 	client  *http3.ClientConn
 	opened  time.Time
-	// inProgress tells whether a request was under way when the flow ended.
+	// inProgress tells whether a request was in progress when the flow ended.
 	inProgress bool
 }
 
-// errGoingAway is what a flow reports when the other end shuts it down
-// gracefully: its caller opens another.
+// errGoingAway is returned when the flow can't carry further requests, such as after a
+// graceful shutdown by the server. The caller opens another flow.
 var errGoingAway = errors.New("loadgen: flow is going away")
 
-// open dials a flow. A flow has its own socket, like a caller of its own.
+// open opens a flow, with retries. Each flow has its own socket, like a separate caller.
 func open(ctx context.Context, spec Spec, rec *Recorder, id string, rng *rand.Rand) (*flow, error) {
 	var last error
 	for range dialAttempts {
@@ -75,7 +75,7 @@
 	conn, err := quic.Dial(ctx, socket, addr, spec.TLS, &quic.Config{
 		HandshakeIdleTimeout: handshakeTimeout,
 		MaxIdleTimeout:       idleTimeout,
-		KeepAlivePeriod:      keepAlive,
+		KeepAlivePeriod:      keepAliveInterval,
 		InitialPacketSize:    1200,
 	})
 	if err != nil {
@@ -90,14 +90,14 @@
 	}, nil
 }
 
-// carry plays the flow's requests and closes it.
-func (f *flow) carry(ctx context.Context) {
+// run sends the flow's requests and closes it.
+func (f *flow) run(ctx context.Context) {
 	defer f.close()
 	for n := range f.spec.RequestsPerFlow {
 		if ctx.Err() != nil || f.conn.Context().Err() != nil {
 			return
 		}
-		kind := f.pick()
+		kind := f.pickKind()
 		if err := f.request(ctx, kind, fmt.Sprintf("%s-%d", f.id, n)); err != nil {
 			return
 		}
@@ -107,7 +107,7 @@
 	}
 }
 
-func (f *flow) pick() Kind {
+func (f *flow) pickKind() Kind {
 	m := f.spec.Mix
 	at := f.rng.IntN(m.Download + m.Feed + m.Submit)
 	switch {
@@ -131,37 +131,37 @@
 	}
 }
 
-// close ends the flow and records whether the system had broken it before.
+// close closes the flow and records whether it was already broken.
 func (f *flow) close() {
-	broken, reason := f.state()
-	_ = f.conn.CloseWithError(closedByCaller, "")
+	broken, reason := f.brokenState()
+	_ = f.conn.CloseWithError(gracefulCloseCode, "")
 	_ = f.socket.Close()
 	f.rec.flowEnded(check.Flow{Service: f.service, Opened: f.opened, Broken: broken, Reason: reason})
 }
 
-// state tells whether the flow ended other than by a graceful shutdown with
-// nothing in progress.
-func (f *flow) state() (broken bool, reason string) {
+// brokenState reports whether the flow ended other than by a graceful shutdown with no
+// request in progress, and why.
+func (f *flow) brokenState() (broken bool, reason string) {
 	if f.conn.Context().Err() == nil {
 		return false, ""
 	}
 	cause := context.Cause(f.conn.Context())
 	var app *quic.ApplicationError
-	graceful := errors.As(cause, &app) && app.ErrorCode == closedByCaller
+	graceful := errors.As(cause, &app) && app.ErrorCode == gracefulCloseCode
 	if graceful && !f.inProgress {
 		return false, ""
 	}
-	return true, reasonOf(cause)
+	return true, errorReason(cause)
 }
 
-// reasonOf names an error by its kind, so that reports can count it.
-func reasonOf(err error) string {
+// errorReason classifies an error so that reports can count it.
+func errorReason(err error) string {
 	var (
-		reset *quic.StatelessResetError
-		idle  *quic.IdleTimeoutError
-		hand  *quic.HandshakeTimeoutError
-		app   *quic.ApplicationError
-		h3    *http3.Error
+		reset     *quic.StatelessResetError
+		idle      *quic.IdleTimeoutError
+		handshake *quic.HandshakeTimeoutError
+		app       *quic.ApplicationError
+		h3        *http3.Error
 	)
 	switch {
 	case err == nil:
@@ -170,7 +170,7 @@
 		return "stateless reset"
 	case errors.As(err, &idle):
 		return "idle timeout"
-	case errors.As(err, &hand):
+	case errors.As(err, &handshake):
 		return "handshake timeout"
 	case errors.As(err, &h3):
 		return "stream: " + h3.ErrorCode.String()
@@ -182,7 +182,7 @@
 	return err.Error()
 }
 
-// credential is the caller's own, as the service would check it.
-func (f *flow) credential(r *http.Request) {
+// setCredential sets the caller's own bearer token, as a service would require.
+func (f *flow) setCredential(r *http.Request) {
 	r.Header.Set("Authorization", "Bearer caller-"+f.id)
 }
--- a/internal/loadgen/recorder.go
+++ b/internal/loadgen/recorder.go
@@ -10,67 +10,67 @@
 )
 
 const (
-	lowestMicros  = 1
-	highestMicros = int64(10 * time.Minute / time.Microsecond)
-	digits        = 3
+	lowestMicros      = 1
+	highestMicros     = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Recorder gathers what callers saw. Many flows write to it at once.
+// Recorder collects what callers saw. It is safe for concurrent use.
 type Recorder struct {
-	mu       sync.Mutex
-	began    time.Time
-	attempts []check.Attempt
-	kindOf   []Kind
-	flows    []check.Flow
-	open     int
-	bytes    int64
-	seconds  []Second
-	took     [kinds]*hdrhistogram.Histogram
-	events   []Mark
-	refused  []ReasonCount
+	mu             sync.Mutex
+	began          time.Time
+	attempts       []check.Attempt
+	attemptKinds   []Kind
+	flows          []check.Flow
+	open           int
+	bytes          int64
+	seconds        []Second
+	latencies      [kinds]*hdrhistogram.Histogram
+	marks          []Mark
+	flowsNotOpened []ReasonCount
 }
 
-// Second is what happened in one second of the run, for plots.
+// Second counts what happened in one second of the run, for plots.
 type Second struct {
-	At       int
-	Answered int
-	Refused  int
-	Broken   int
-	Cut      int
-	Opened   int
-	took     *hdrhistogram.Histogram
+	At        int
+	Answered  int
+	Refused   int
+	Broken    int
+	Cut       int
+	Opened    int
+	latencies *hdrhistogram.Histogram
 }
 
-// P50 and P99 are the answer times of downloads and submissions that ended in
-// this second.
-func (s Second) P50() time.Duration { return quantile(s.took, 50) }
+// P50 returns the median answer time of downloads and submissions that ended in this
+// second.
+func (s Second) P50() time.Duration { return quantile(s.latencies, 50) }
 
-// P99 is described at P50.
-func (s Second) P99() time.Duration { return quantile(s.took, 99) }
+// P99 returns the 99th percentile of the same answer times as P50.
+func (s Second) P99() time.Duration { return quantile(s.latencies, 99) }
 
-// Mark is something done to the system during the run, such as a drain.
+// Mark is a change to the system during the run, such as a drain.
 type Mark struct {
 	At   time.Duration
 	What string
 }
 
-// NewRecorder starts a record.
+// NewRecorder returns a recorder whose run begins now.
 func NewRecorder() *Recorder {
 	r := &Recorder{began: time.Now()}
-	for i := range r.took {
-		r.took[i] = hdrhistogram.New(lowestMicros, highestMicros, digits)
+	for i := range r.latencies {
+		r.latencies[i] = hdrhistogram.New(lowestMicros, highestMicros, significantDigits)
 	}
 	return r
 }
 
-// Mark notes an event of the run for reports.
+// Mark records a change to the system, for reports.
 func (r *Recorder) Mark(what string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.events = append(r.events, Mark{At: time.Since(r.began), What: what})
+	r.marks = append(r.marks, Mark{At: time.Since(r.began), What: what})
 }
 
-// Record returns what callers saw so far, for package check.
+// Record returns the attempts and flows recorded so far, for package check.
 func (r *Recorder) Record() check.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,7 +80,7 @@
 	}
 }
 
-// OpenFlows is the number of flows open now.
+// OpenFlows returns the number of flows that are open now.
 func (r *Recorder) OpenFlows() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,7 +91,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open++
-	r.second().Opened++
+	r.currentSecond().Opened++
 }
 
 func (r *Recorder) flowEnded(f check.Flow) {
@@ -100,7 +100,7 @@
 	r.open--
 	r.flows = append(r.flows, f)
 	if f.Broken {
-		r.second().Broken++
+		r.currentSecond().Broken++
 	}
 }
 
@@ -108,9 +108,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.attempts = append(r.attempts, a)
-	r.kindOf = append(r.kindOf, kind)
+	r.attemptKinds = append(r.attemptKinds, kind)
 	r.bytes += bytes
-	sec := r.second()
+	sec := r.currentSecond()
 	switch a.Outcome {
 	case check.Answered:
 		sec.Answered++
@@ -123,19 +123,19 @@
 		return
 	}
 	micros := max(lowestMicros, a.Took.Microseconds())
-	_ = r.took[kind].RecordValue(min(micros, highestMicros))
+	_ = r.latencies[kind].RecordValue(min(micros, highestMicros))
 	if kind != Feed {
-		_ = sec.took.RecordValue(min(micros, highestMicros))
+		_ = sec.latencies.RecordValue(min(micros, highestMicros))
 	}
 }
 
-// second returns the present second; mu is held.
-func (r *Recorder) second() *Second {
+// currentSecond returns the current second; mu is held.
+func (r *Recorder) currentSecond() *Second {
 	at := int(time.Since(r.began) / time.Second)
 	for len(r.seconds) <= at {
 		r.seconds = append(r.seconds, Second{
-			At:   len(r.seconds),
-			took: hdrhistogram.New(lowestMicros, highestMicros, 2),
+			At:        len(r.seconds),
+			latencies: hdrhistogram.New(lowestMicros, highestMicros, 2),
 		})
 	}
 	return &r.seconds[at]
@@ -148,16 +148,16 @@
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Seconds returns the run second by second.
+// Seconds returns the counts of each second of the run.
 func (r *Recorder) Seconds() []Second {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Second(nil), r.seconds...)
 }
 
-// Marks returns the events noted so far.
+// Marks returns the changes recorded so far.
 func (r *Recorder) Marks() []Mark {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]Mark(nil), r.events...)
+	return append([]Mark(nil), r.marks...)
 }
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -10,7 +10,7 @@
 	"bergamotstall/internal/check"
 )
 
-// Report sums a load up.
+// Report is the summary of a load.
 type Report struct {
 	Seconds     float64       `json:"seconds"`
 	FlowsOpened int           `json:"flowsOpened"`
@@ -25,7 +25,8 @@
 	Latencies   []Latency     `json:"latencies"`
 }
 
-// ReasonCount counts one reason of refusals, unknown outcomes or cuts.
+// ReasonCount counts one reason of one kind of failure, such as refused requests or
+// broken flows.
 type ReasonCount struct {
 	Outcome string `json:"outcome"`
 	Reason  string `json:"reason"`
@@ -43,7 +44,7 @@
 	Max   float64 `json:"maxms"`
 }
 
-// Report sums up what was recorded so far.
+// Report returns a summary of what was recorded so far.
 func (r *Recorder) Report() Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,7 +54,7 @@
 		Requests:    len(r.attempts),
 		Bytes:       r.bytes,
 	}
-	out.Reasons = append(out.Reasons, r.refused...)
+	out.Reasons = append(out.Reasons, r.flowsNotOpened...)
 	for _, f := range r.flows {
 		if f.Broken {
 			out.FlowsBroken++
@@ -67,7 +68,7 @@
 		return cmp.Or(cmp.Compare(a.Outcome, b.Outcome), cmp.Compare(b.Count, a.Count), cmp.Compare(a.Reason, b.Reason))
 	})
 	for k := range kinds {
-		h := r.took[k]
+		h := r.latencies[k]
 		if h.TotalCount() == 0 {
 			continue
 		}
--- a/internal/loadgen/request.go
+++ b/internal/loadgen/request.go
@@ -27,28 +27,29 @@
 	notRunHeader  = "Bergamotstall-Not-Run"
 	unknownHeader = "Bergamotstall-Unknown"
 	keyHeader     = "Idempotency-Key"
-	// answerLimit bounds a submission's answer.
-	answerLimit = 1 << 20
-	// retryAfterLimit bounds how long a caller waits before it sends again.
-	retryAfterLimit = 2 * time.Second
-	retryAfterLeast = 50 * time.Millisecond
+	// answerSizeLimit bounds the answer to a submission, in bytes.
+	answerSizeLimit = 1 << 20
+	// retryAfterMax and retryAfterMin bound a caller's wait before the next attempt.
+	retryAfterMax = 2 * time.Second
+	retryAfterMin = 50 * time.Millisecond
 )
 
-// do sends one attempt and lets read judge the answer's body.
+// do sends one attempt and passes a successful response to read, which checks its body.
+// It returns the attempt's outcome and how long to wait before the next attempt.
 func (f *flow) do(ctx context.Context, kind Kind, a check.Attempt, r *http.Request, read func(*http.Response, *check.Attempt) int64) (check.Attempt, time.Duration) {
 	a.Service = f.service
 	a.Began = time.Now()
 	r.Header.Set(target.RequestIDHeader, a.ID)
-	f.credential(r)
+	f.setCredential(r)
 	f.inProgress = true
 	resp, err := f.client.RoundTrip(r)
-	var got int64
+	var received int64
 	var pause time.Duration
 	if err != nil {
-		a.Outcome, a.Reason = failed(ctx, err)
+		a.Outcome, a.Reason = classifyError(ctx, err)
 	} else {
 		pause = retryAfter(resp.Header)
-		got = judge(resp, &a, read)
+		received = classifyResponse(resp, &a, read)
 		_ = resp.Body.Close()
 	}
 	f.inProgress = a.Outcome == check.Cut
@@ -56,38 +57,39 @@
 		return a, pause
 	}
 	a.Took = time.Since(a.Began)
-	f.rec.attempt(kind, a, got)
+	f.rec.attempt(kind, a, received)
 	return a, pause
 }
 
-// notSent is the outcome of a request that never left the caller, because the
-// other end had said goodbye (GOAWAY) before. It is no attempt: the caller
-// sends it over a new flow.
+// notSent is the outcome of a request that wasn't sent because the server had sent
+// GOAWAY before. It doesn't count as an attempt: the caller sends the request over a
+// new flow.
 const notSent = check.Outcome(0)
 
-// rejected is the reason of a request that crossed with the other end's GOAWAY.
-// By RFC 9114, section 4.1.1, it was not processed and may be sent again, so it
-// is held to the promise of a request that was not run.
-const rejected = "H3_REQUEST_REJECTED"
+// rejectedReason is the reason of a request that was sent before the server's GOAWAY
+// arrived. By RFC 9114, section 4.1.1, it was not processed and may be sent again, so
+// it is checked like a request reported as not run.
+const rejectedReason = "H3_REQUEST_REJECTED"
 
-// goneAway is how the HTTP/3 library words that; its error isn't exported.
-const goneAway = "connection in graceful shutdown"
+// goAwayText is in the text of the HTTP/3 library's error after GOAWAY; the error itself
+// isn't exported.
+const goAwayText = "connection in graceful shutdown"
 
-func failed(ctx context.Context, err error) (check.Outcome, string) {
+func classifyError(ctx context.Context, err error) (check.Outcome, string) {
 	if ctx.Err() != nil && errors.Is(context.Cause(ctx), context.Canceled) {
 		return check.Cancelled, "run ended"
 	}
-	if strings.Contains(err.Error(), goneAway) {
-		return notSent, goneAway
+	if strings.Contains(err.Error(), goAwayText) {
+		return notSent, goAwayText
 	}
 	var h3 *http3.Error
 	if errors.As(err, &h3) && h3.Remote && h3.ErrorCode == http3.ErrCodeRequestRejected {
-		return check.NotRun, rejected
+		return check.NotRun, rejectedReason
 	}
-	return check.Cut, reasonOf(err)
+	return check.Cut, errorReason(err)
 }
 
-func judge(resp *http.Response, a *check.Attempt, read func(*http.Response, *check.Attempt) int64) int64 {
+func classifyResponse(resp *http.Response, a *check.Attempt, read func(*http.Response, *check.Attempt) int64) int64 {
 	a.AnsweredBy = resp.Header.Get(target.ServiceHeader)
 	switch {
 	case resp.Header.Get(notRunHeader) != "":
@@ -107,33 +109,33 @@
 func retryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.Atoi(h.Get("Retry-After"))
 	if err != nil {
-		return retryAfterLeast
+		return retryAfterMin
 	}
-	return min(max(time.Duration(seconds)*time.Second, retryAfterLeast), retryAfterLimit)
+	return min(max(time.Duration(seconds)*time.Second, retryAfterMin), retryAfterMax)
 }
 
-// download fetches content that only this service has for this seed, and
-// compares every byte.
+// download requests content that is unique to the service and a random seed, and
+// verifies its length and hash.
 func (f *flow) download(ctx context.Context, id string) error {
-	own, cancel := context.WithTimeout(context.WithoutCancel(ctx), f.spec.Timeout)
+	requestContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), f.spec.Timeout)
 	defer cancel()
 	seed := f.rng.Uint64()
 	url := fmt.Sprintf("https://%s/download?bytes=%d&seed=%d", f.spec.Address, f.spec.DownloadBytes, seed)
-	r, err := http.NewRequestWithContext(own, http.MethodGet, url, nil)
+	r, err := http.NewRequestWithContext(requestContext, http.MethodGet, url, nil)
 	if err != nil {
 		return errors.Wrap(err, "loadgen: download")
 	}
-	a, pause := f.do(own, Download, check.Attempt{ID: id}, r, func(resp *http.Response, a *check.Attempt) int64 {
-		return f.compare(own, resp, a, seed)
+	a, pause := f.do(requestContext, Download, check.Attempt{ID: id}, r, func(resp *http.Response, a *check.Attempt) int64 {
+		return f.verifyDownload(requestContext, resp, a, seed)
 	})
-	return f.after(ctx, a, pause)
+	return f.checkContinue(ctx, a, pause)
 }
 
-func (f *flow) compare(ctx context.Context, resp *http.Response, a *check.Attempt, seed uint64) int64 {
+func (f *flow) verifyDownload(ctx context.Context, resp *http.Response, a *check.Attempt, seed uint64) int64 {
 	sum := sha256.New()
 	n, err := io.Copy(sum, resp.Body)
 	if err != nil {
-		a.Outcome, a.Reason = failed(ctx, err)
+		a.Outcome, a.Reason = classifyError(ctx, err)
 		return n
 	}
 	if want := int64(f.spec.DownloadBytes); n != want {
@@ -146,30 +148,31 @@
 	return n
 }
 
-// feed holds a feed open for FeedFor. A feed that the target ends by itself, as
-// at a graceful stop, is whole; one that falls silent or breaks is cut.
+// feed keeps a feed open for FeedFor. A feed that the target ends by itself, as at a
+// graceful stop, is complete; one that fails is cut.
 func (f *flow) feed(ctx context.Context, id string) error {
-	open, cancel := context.WithTimeout(ctx, f.spec.FeedFor)
+	feedContext, cancel := context.WithTimeout(ctx, f.spec.FeedFor)
 	defer cancel()
-	r, err := http.NewRequestWithContext(open, http.MethodGet, "https://"+f.spec.Address+"/feed", nil)
+	r, err := http.NewRequestWithContext(feedContext, http.MethodGet, "https://"+f.spec.Address+"/feed", nil)
 	if err != nil {
 		return errors.Wrap(err, "loadgen: feed")
 	}
-	a, pause := f.do(open, Feed, check.Attempt{ID: id}, r, func(resp *http.Response, a *check.Attempt) int64 {
+	a, pause := f.do(feedContext, Feed, check.Attempt{ID: id}, r, func(resp *http.Response, a *check.Attempt) int64 {
 		n, err := io.Copy(io.Discard, resp.Body)
-		if err != nil && open.Err() == nil {
-			a.Outcome, a.Reason = check.Cut, reasonOf(err)
+		if err != nil && feedContext.Err() == nil {
+			a.Outcome, a.Reason = check.Cut, errorReason(err)
 		}
 		return n
 	})
-	return f.after(ctx, a, pause)
+	return f.checkContinue(ctx, a, pause)
 }
 
-// submit files one submission, again with the same key after a refusal, an
-// unknown outcome or a cut, as far as the flow lives.
+// submit sends one submission. After any outcome but an answer or an error status it
+// sends it again with the same idempotency key; without a key, only if the submission
+// surely wasn't run.
 func (f *flow) submit(ctx context.Context, id string) error {
 	body := make([]byte, f.spec.SubmitBytes)
-	fill(body, f.rng)
+	fillRandom(body, f.rng)
 	var a check.Attempt
 	var pause time.Duration
 	for n := range f.spec.Resends + 1 {
@@ -192,11 +195,11 @@
 			break
 		}
 	}
-	return f.after(ctx, a, 0)
+	return f.checkContinue(ctx, a, 0)
 }
 
-// resendElsewhere sends a submission again over a new flow, after its own flow
-// went away before an answer came.
+// resendElsewhere sends a submission again over a new flow, after its flow ended
+// before an answer arrived.
 func (f *flow) resendElsewhere(ctx context.Context, id string, from int, body []byte) {
 	other, err := open(ctx, f.spec, f.rec, f.id, f.rng)
 	if err != nil {
@@ -232,14 +235,14 @@
 }
 
 func readSubmission(ctx context.Context, resp *http.Response, a *check.Attempt, body []byte) int64 {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, answerLimit))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, answerSizeLimit))
 	if err != nil {
-		a.Outcome, a.Reason = failed(ctx, err)
+		a.Outcome, a.Reason = classifyError(ctx, err)
 		return int64(len(data))
 	}
 	var got target.Submission
 	if err := json.Unmarshal(data, &got); err != nil {
-		a.Damaged, a.Reason = true, "answer is no JSON"
+		a.Damaged, a.Reason = true, "answer is not JSON"
 		return int64(len(data))
 	}
 	sum := sha256.Sum256(body)
@@ -249,8 +252,9 @@
 	return int64(len(data))
 }
 
-// after decides whether the flow goes on once a request has ended.
-func (f *flow) after(ctx context.Context, a check.Attempt, pause time.Duration) error {
+// checkContinue returns errGoingAway if the flow can't carry another request. After a
+// request that was not run it first waits for the given time.
+func (f *flow) checkContinue(ctx context.Context, a check.Attempt, pause time.Duration) error {
 	if a.Outcome == check.Cut || a.Outcome == notSent || f.conn.Context().Err() != nil {
 		return errGoingAway
 	}
@@ -260,26 +264,26 @@
 	return nil
 }
 
-// attemptMark parts a submission's name from the number of the attempt.
-const attemptMark = "~"
+// attemptSeparator separates a submission's ID from the number of the attempt.
+const attemptSeparator = "~"
 
-// AttemptID names one attempt of a submission.
+// AttemptID returns the ID of a submission's attempt n.
 func AttemptID(submission string, n int) string {
-	return submission + attemptMark + strconv.Itoa(n)
+	return submission + attemptSeparator + strconv.Itoa(n)
 }
 
-// SubmissionOf returns the submission of an attempt's ID, empty where the ID is
-// of a request that may be repeated.
+// SubmissionOf returns the submission that an attempt's ID belongs to. It is empty for
+// requests that may be repeated.
 func SubmissionOf(attempt string) string {
 	for i := len(attempt) - 1; i >= 0; i-- {
-		if attempt[i] == attemptMark[0] {
+		if attempt[i] == attemptSeparator[0] {
 			return attempt[:i]
 		}
 	}
 	return ""
 }
 
-func fill(body []byte, rng *rand.Rand) {
+func fillRandom(body []byte, rng *rand.Rand) {
 	var word [8]byte
 	for at := 0; at < len(body); at += len(word) {
 		binary.LittleEndian.PutUint64(word[:], rng.Uint64())
--- a/internal/loadgen/spec.go
+++ b/internal/loadgen/spec.go
@@ -1,6 +1,6 @@
-// Package loadgen plays callers: it opens flows to a service, downloads, keeps
-// feeds open and submits, in a closed loop (a number of flows at once) or an
-// open loop (a rate of new flows), and records what each caller was told.
+// Package loadgen generates callers' load on a service over HTTP/3: downloads, feeds
+// and submissions. The load is a closed loop (a number of concurrent flows) or an open
+// loop (a rate of new flows). The package records the outcome of each request.
 package loadgen
 
 import (
@@ -10,13 +10,13 @@
 	"github.com/go-faster/errors"
 )
 
-// Kind is what a request does.
+// Kind is the kind of a request.
 type Kind uint8
 
 const (
 	// Download fetches a drawing or map; it may be repeated.
 	Download Kind = iota
-	// Feed stays open for FeedFor.
+	// Feed keeps a response stream open for FeedFor.
 	Feed
 	// Submit files a revision or note, which may not be repeated.
 	Submit
@@ -25,23 +25,24 @@
 
 func (k Kind) String() string { return [...]string{"download", "feed", "submit"}[k] }
 
-// Mix weighs the kinds of requests; a zero weight leaves the kind out.
+// Mix holds the relative weights of the kinds of requests; a kind with weight 0 isn't
+// sent.
 type Mix struct {
 	Download int
 	Feed     int
 	Submit   int
 }
 
-// Spec is one load on one service.
+// Spec describes a load on one service.
 type Spec struct {
 	Service string
 	// Address is the service's UDP address, "ip:port".
 	Address string
 	TLS     *tls.Config
-	// Flows is the number of flows held open at once (closed loop).
+	// Flows is the number of concurrent flows (closed loop).
 	Flows int
-	// Rate is the number of new flows a second (open loop); 0 is a closed loop.
-	// Flows then bounds the flows open at once.
+	// Rate is the number of new flows a second (open loop); Flows then limits the
+	// number of concurrent flows. 0 means a closed loop.
 	Rate float64
 	// RequestsPerFlow is how many requests a flow carries before its caller
 	// closes it.
@@ -50,31 +51,31 @@
 	DownloadBytes   int
 	SubmitBytes     int
 	FeedFor         time.Duration
-	// Timeout bounds each request but a feed.
+	// Timeout bounds each request except feeds.
 	Timeout time.Duration
-	// Pause is the caller's own time between two requests of a flow.
+	// Pause is the time that a caller waits between two requests of a flow.
 	Pause time.Duration
-	// Keyed submissions carry an Idempotency-Key and are sent again with it
-	// after an outcome other than an answer.
+	// Keyed tells that submissions carry an Idempotency-Key and are sent again with
+	// it if they weren't answered.
 	Keyed bool
-	// Resends bounds the attempts after the first.
+	// Resends limits the number of attempts after the first.
 	Resends int
-	// Callers is the number of distinct credentials.
+	// Callers is the number of distinct callers in an open loop.
 	Callers int
 	Seed    uint64
 }
 
-// ErrSpec is returned for a load that can't be played.
-var ErrSpec = errors.New("loadgen: impossible specification")
+// ErrInvalidSpec is returned for a Spec with missing or negative values.
+var ErrInvalidSpec = errors.New("loadgen: invalid load specification")
 
-// withDefaults fills what was left out.
+// withDefaults sets defaults for fields that are zero.
 func (s Spec) withDefaults() Spec {
-	setInt(&s.Flows, 10)
-	setInt(&s.RequestsPerFlow, 10)
-	setInt(&s.DownloadBytes, 256<<10)
-	setInt(&s.SubmitBytes, 2<<10)
-	setInt(&s.Callers, s.Flows)
-	setInt(&s.Resends, 5)
+	defaultInt(&s.Flows, 10)
+	defaultInt(&s.RequestsPerFlow, 10)
+	defaultInt(&s.DownloadBytes, 256<<10)
+	defaultInt(&s.SubmitBytes, 2<<10)
+	defaultInt(&s.Callers, s.Flows)
+	defaultInt(&s.Resends, 5)
 	if s.Mix == (Mix{}) {
 		s.Mix = Mix{Download: 1, Submit: 1}
 	}
@@ -87,7 +88,7 @@
 	return s
 }
 
-func setInt(field *int, value int) {
+func defaultInt(field *int, value int) {
 	if *field == 0 {
 		*field = value
 	}
@@ -96,13 +97,13 @@
 func (s Spec) check() error {
 	switch {
 	case s.Service == "":
-		return errors.Wrap(ErrSpec, "no service")
+		return errors.Wrap(ErrInvalidSpec, "no service")
 	case s.Address == "":
-		return errors.Wrap(ErrSpec, "no address")
+		return errors.Wrap(ErrInvalidSpec, "no address")
 	case s.Flows < 0, s.Rate < 0, s.RequestsPerFlow < 0, s.DownloadBytes < 0:
-		return errors.Wrap(ErrSpec, "a negative number")
+		return errors.Wrap(ErrInvalidSpec, "negative number")
 	case s.Mix.Download < 0 || s.Mix.Feed < 0 || s.Mix.Submit < 0:
-		return errors.Wrap(ErrSpec, "a negative weight in the mix")
+		return errors.Wrap(ErrInvalidSpec, "negative weight in the mix")
 	}
 	return nil
 }
