--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -1,7 +1,7 @@
-// Package fabric stands in for the platform's network fabric, on loopback: it
-// takes callers' packets on a service's address and hands each to a balancer
-// picked at random, whatever flow it belongs to. For the demo and tests; nothing
-// of the product depends on it.
+// Package fabric is a stand-in for the platform's network fabric on loopback. It
+// receives callers' packets on a service's address and forwards each one to a random
+// balancer, regardless of its flow. It can inject network faults. It is used by the
+// demo and by tests only.
 package fabric
 
 import (
@@ -16,88 +16,91 @@
 )
 
 const (
-	bufferSize   = 2048
-	socketBuffer = 4 << 20
-	// sessionIdle closes the socket of a caller that is gone.
-	sessionIdle = time.Minute
-	// sessionLimit bounds the callers, as each takes a socket.
+	packetBufferSize = 2048
+	socketBufferSize = 4 << 20
+	// sessionIdleTimeout is after how long without packets from balancers a caller's
+	// socket is closed.
+	sessionIdleTimeout = time.Minute
+	// sessionLimit bounds the number of callers, since each needs a socket.
 	sessionLimit = 4096
 )
 
-// Faults are what the fabric does to packets, each way.
+// Faults are the network faults injected in each direction.
 type Faults struct {
 	// Loss, Duplicate and Reorder are probabilities for each packet. A reordered
-	// packet is held back for Hold.
+	// packet is delayed by Hold.
 	Loss, Duplicate, Reorder float64
 	Hold                     time.Duration
-	// Delay is added to every packet, one way.
+	// Delay is the one-way delay added to every packet.
 	Delay time.Duration
 }
 
 // Stats counts packets since the start.
 type Stats struct {
-	// FromCallers and ToCallers passed; Lost were dropped by a fault; NoBalancer
-	// found no balancer to go to.
+	// FromCallers and ToCallers are the packets received in each direction, lost ones
+	// included; Lost were dropped by a fault; NoBalancer were dropped because the set
+	// of balancers was empty.
 	FromCallers, ToCallers, Lost, NoBalancer int
 }
 
-// Fabric relays between callers and balancers. Its settings may change while
+// Fabric forwards packets between callers and balancers. Its settings may change while
 // it runs.
 type Fabric struct {
-	mu        sync.Mutex
-	random    *rand.Rand
-	faults    Faults
-	balancers []netip.Addr
-	blocked   map[netip.Addr]bool
-	silent    map[netip.AddrPort]bool
-	stats     Stats
-	fronts    []*front
-	closed    bool
-	readers   sync.WaitGroup
+	mu          sync.Mutex
+	random      *rand.Rand
+	faults      Faults
+	balancers   []netip.Addr
+	partitioned map[netip.Addr]bool
+	silenced    map[netip.AddrPort]bool
+	stats       Stats
+	frontends   []*frontend
+	closed      bool
+	readers     sync.WaitGroup
 }
 
-// front is one service address.
-type front struct {
+// frontend is the socket of one service address.
+type frontend struct {
 	fabric   *Fabric
 	address  netip.AddrPort
 	socket   *net.UDPConn
 	sessions map[netip.AddrPort]*session
 }
 
-// session is one caller's socket towards the balancers, so that they see one
-// source address for each caller.
+// session is a caller's socket towards the balancers. With one socket per caller,
+// balancers see one source address per caller.
 type session struct {
 	caller netip.AddrPort
 	socket *net.UDPConn
 }
 
-// ErrOpen is returned where a service address can't be opened.
-var ErrOpen = errors.New("fabric: can't open address")
+// ErrOpen is returned if the fabric can't listen on a service address.
+var ErrOpen = errors.New("fabric: can't listen on service address")
 
-// New returns a fabric that picks balancers and faults by the seed.
+// New returns a fabric that draws balancers and faults from a random generator with the
+// given seed.
 func New(seed uint64) *Fabric {
 	return &Fabric{
-		random:  rand.New(rand.NewPCG(seed, seed)),
-		blocked: make(map[netip.Addr]bool),
-		silent:  make(map[netip.AddrPort]bool),
+		random:      rand.New(rand.NewPCG(seed, seed)),
+		partitioned: make(map[netip.Addr]bool),
+		silenced:    make(map[netip.AddrPort]bool),
 	}
 }
 
-// Open takes callers' packets on a service's address and hands them to the
-// balancers' addresses, on the same port.
+// Open listens for callers on a service's address and forwards their packets to the
+// same port of the balancers' addresses.
 func (f *Fabric) Open(address netip.AddrPort) error {
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return errors.Wrapf(ErrOpen, "%v: %v", address, err)
 	}
-	_ = socket.SetReadBuffer(socketBuffer)
-	_ = socket.SetWriteBuffer(socketBuffer)
-	x := &front{fabric: f, address: address, socket: socket, sessions: make(map[netip.AddrPort]*session)}
+	_ = socket.SetReadBuffer(socketBufferSize)
+	_ = socket.SetWriteBuffer(socketBufferSize)
+	fe := &frontend{fabric: f, address: address, socket: socket, sessions: make(map[netip.AddrPort]*session)}
 	f.mu.Lock()
-	f.fronts = append(f.fronts, x)
+	f.frontends = append(f.frontends, fe)
 	f.readers.Add(1)
 	f.mu.Unlock()
-	go x.read()
+	go fe.readCallers()
 	return nil
 }
 
@@ -108,54 +111,54 @@
 	f.balancers = slices.Clone(all)
 }
 
-// AddBalancer adds one to the set.
+// AddBalancer adds a balancer to the set.
 func (f *Fabric) AddBalancer(b netip.Addr) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.balancers = append(f.balancers, b)
 }
 
-// RemoveBalancer takes one out of the set.
+// RemoveBalancer removes a balancer from the set.
 func (f *Fabric) RemoveBalancer(b netip.Addr) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.balancers = slices.DeleteFunc(f.balancers, func(x netip.Addr) bool { return x == b })
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (f *Fabric) SetFaults(x Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = x
 }
 
-// Partition cuts a balancer off, both ways, while the fabric still hands it
-// packets; Heal ends that.
-func (f *Fabric) Partition(b netip.Addr) { f.setBlocked(b, true) }
+// Partition drops all packets to and from a balancer that stays in the set; Heal ends
+// that.
+func (f *Fabric) Partition(b netip.Addr) { f.setPartitioned(b, true) }
 
 // Heal ends a partition.
-func (f *Fabric) Heal(b netip.Addr) { f.setBlocked(b, false) }
+func (f *Fabric) Heal(b netip.Addr) { f.setPartitioned(b, false) }
 
-func (f *Fabric) setBlocked(b netip.Addr, on bool) {
+func (f *Fabric) setPartitioned(b netip.Addr, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.blocked[b] = on
+	f.partitioned[b] = on
 }
 
-// Silence loses everything of one caller from now on, both ways.
+// Silence drops all packets to and from a caller from now on.
 func (f *Fabric) Silence(caller netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.silent[caller] = true
+	f.silenced[caller] = true
 }
 
-// Callers returns the addresses of all callers that the fabric has a socket for.
+// Callers returns the addresses of all callers with a session.
 func (f *Fabric) Callers() []netip.AddrPort {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []netip.AddrPort
-	for _, x := range f.fronts {
-		for caller := range x.sessions {
+	for _, fe := range f.frontends {
+		for caller := range fe.sessions {
 			out = append(out, caller)
 		}
 	}
@@ -169,13 +172,13 @@
 	return f.stats
 }
 
-// Close ends the fabric and returns once its goroutines have ended.
+// Close stops the fabric and returns once its goroutines have ended.
 func (f *Fabric) Close() {
 	f.mu.Lock()
 	f.closed = true
-	for _, x := range f.fronts {
-		_ = x.socket.Close()
-		for _, s := range x.sessions {
+	for _, fe := range f.frontends {
+		_ = fe.socket.Close()
+		for _, s := range fe.sessions {
 			_ = s.socket.Close()
 		}
 	}
@@ -183,21 +186,21 @@
 	f.readers.Wait()
 }
 
-// fate is what becomes of one packet.
-type fate struct {
+// decision is how the faults affect one packet.
+type decision struct {
 	lost   bool
 	copies int
 	delay  time.Duration
 }
 
-// fateLocked draws a packet's fate.
-func (f *Fabric) fateLocked(caller netip.AddrPort, balancer netip.Addr) fate {
+// decideLocked draws the faults of one packet.
+func (f *Fabric) decideLocked(caller netip.AddrPort, balancer netip.Addr) decision {
 	x := f.faults
-	if f.silent[caller] || f.blocked[balancer] || x.Loss > 0 && f.random.Float64() < x.Loss {
+	if f.silenced[caller] || f.partitioned[balancer] || x.Loss > 0 && f.random.Float64() < x.Loss {
 		f.stats.Lost++
-		return fate{lost: true}
+		return decision{lost: true}
 	}
-	out := fate{copies: 1, delay: x.Delay}
+	out := decision{copies: 1, delay: x.Delay}
 	if x.Duplicate > 0 && f.random.Float64() < x.Duplicate {
 		out.copies = 2
 	}
@@ -207,16 +210,15 @@
 	return out
 }
 
-// send carries out a packet's fate. The packet's memory is the caller's again
-// when it returns.
-func send(x fate, by *net.UDPConn, packet []byte, to netip.AddrPort) {
-	if x.delay > 0 {
-		held := slices.Clone(packet)
-		copies := x.copies
-		time.AfterFunc(x.delay, func() { write(by, held, to, copies) })
+// send sends a packet as decided. It doesn't keep a reference to packet.
+func send(d decision, by *net.UDPConn, packet []byte, to netip.AddrPort) {
+	if d.delay > 0 {
+		copied := slices.Clone(packet)
+		copies := d.copies
+		time.AfterFunc(d.delay, func() { write(by, copied, to, copies) })
 		return
 	}
-	write(by, packet, to, x.copies)
+	write(by, packet, to, d.copies)
 }
 
 func write(by *net.UDPConn, packet []byte, to netip.AddrPort, copies int) {
@@ -225,26 +227,26 @@
 	}
 }
 
-// read takes callers' packets.
-func (x *front) read() {
-	defer x.fabric.readers.Done()
-	buffer := make([]byte, bufferSize)
+// readCallers reads callers' packets until the socket is closed.
+func (fe *frontend) readCallers() {
+	defer fe.fabric.readers.Done()
+	buffer := make([]byte, packetBufferSize)
 	for {
-		n, from, err := x.socket.ReadFromUDPAddrPort(buffer)
+		n, from, err := fe.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err == nil {
-			x.up(unmap(from), buffer[:n])
+			fe.toBalancer(unmap(from), buffer[:n])
 		}
 	}
 }
 
-// up hands a caller's packet to a balancer.
-func (x *front) up(caller netip.AddrPort, packet []byte) {
-	f := x.fabric
+// toBalancer forwards a caller's packet to a random balancer.
+func (fe *frontend) toBalancer(caller netip.AddrPort, packet []byte) {
+	f := fe.fabric
 	f.mu.Lock()
-	s := x.sessionLocked(caller)
+	s := fe.sessionLocked(caller)
 	if s == nil {
 		f.mu.Unlock()
 		return
@@ -255,68 +257,68 @@
 		return
 	}
 	balancer := f.balancers[f.random.IntN(len(f.balancers))]
-	fate := f.fateLocked(caller, balancer)
+	d := f.decideLocked(caller, balancer)
 	f.stats.FromCallers++
 	f.mu.Unlock()
-	if !fate.lost {
-		send(fate, s.socket, packet, netip.AddrPortFrom(balancer, x.address.Port()))
+	if !d.lost {
+		send(d, s.socket, packet, netip.AddrPortFrom(balancer, fe.address.Port()))
 	}
 }
 
-func (x *front) sessionLocked(caller netip.AddrPort) *session {
-	if s := x.sessions[caller]; s != nil {
+func (fe *frontend) sessionLocked(caller netip.AddrPort) *session {
+	if s := fe.sessions[caller]; s != nil {
 		return s
 	}
-	if x.fabric.closed || len(x.sessions) >= sessionLimit {
+	if fe.fabric.closed || len(fe.sessions) >= sessionLimit {
 		return nil
 	}
-	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(x.address.Addr(), 0)))
+	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(fe.address.Addr(), 0)))
 	if err != nil {
 		return nil
 	}
-	_ = socket.SetReadBuffer(socketBuffer)
+	_ = socket.SetReadBuffer(socketBufferSize)
 	s := &session{caller: caller, socket: socket}
-	x.sessions[caller] = s
-	x.fabric.readers.Add(1)
-	go x.back(s)
+	fe.sessions[caller] = s
+	fe.fabric.readers.Add(1)
+	go fe.readBalancers(s)
 	return s
 }
 
-// back carries what balancers send for one caller.
-func (x *front) back(s *session) {
-	defer x.fabric.readers.Done()
-	defer x.drop(s)
-	buffer := make([]byte, bufferSize)
+// readBalancers forwards balancers' packets to one caller.
+func (fe *frontend) readBalancers(s *session) {
+	defer fe.fabric.readers.Done()
+	defer fe.closeSession(s)
+	buffer := make([]byte, packetBufferSize)
 	for {
-		_ = s.socket.SetReadDeadline(time.Now().Add(sessionIdle))
+		_ = s.socket.SetReadDeadline(time.Now().Add(sessionIdleTimeout))
 		n, from, err := s.socket.ReadFromUDPAddrPort(buffer)
 		var timeout net.Error
 		if errors.Is(err, net.ErrClosed) || errors.As(err, &timeout) && timeout.Timeout() {
 			return
 		}
 		if err == nil {
-			x.down(s, unmap(from), buffer[:n])
+			fe.toCaller(s, unmap(from), buffer[:n])
 		}
 	}
 }
 
-func (x *front) down(s *session, from netip.AddrPort, packet []byte) {
-	f := x.fabric
+func (fe *frontend) toCaller(s *session, from netip.AddrPort, packet []byte) {
+	f := fe.fabric
 	f.mu.Lock()
-	fate := f.fateLocked(s.caller, from.Addr())
+	d := f.decideLocked(s.caller, from.Addr())
 	f.stats.ToCallers++
 	f.mu.Unlock()
-	if !fate.lost {
-		send(fate, x.socket, packet, s.caller)
+	if !d.lost {
+		send(d, fe.socket, packet, s.caller)
 	}
 }
 
-func (x *front) drop(s *session) {
-	x.fabric.mu.Lock()
-	defer x.fabric.mu.Unlock()
+func (fe *frontend) closeSession(s *session) {
+	fe.fabric.mu.Lock()
+	defer fe.fabric.mu.Unlock()
 	_ = s.socket.Close()
-	if x.sessions[s.caller] == s {
-		delete(x.sessions, s.caller)
+	if fe.sessions[s.caller] == s {
+		delete(fe.sessions, s.caller)
 	}
 }
 
--- a/internal/standin/target/faults.go
+++ b/internal/standin/target/faults.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Cut says where in a request the target drops the connection.
+// Cut is the point in a request at which the target drops the connection.
 type Cut string
 
 // The points at which a connection is cut.
@@ -16,45 +16,49 @@
 	CutNever Cut = ""
 	// CutBefore drops the connection before the body is read.
 	CutBefore Cut = "before"
-	// CutDuring drops it with half of the body read; nothing has run.
+	// CutDuring drops it after half of the body was transferred. A submission hasn't
+	// run then.
 	CutDuring Cut = "during"
-	// CutAfter drops it after the submission ran, without an answer.
+	// CutAfter drops it after the submission has run, without an answer.
 	CutAfter Cut = "after"
 )
 
-// Shed says when the target turns requests away with status 503.
+// Shed is when the target rejects requests with status 503.
 type Shed string
 
 // When load is shed.
 const (
 	ShedNever Shed = ""
-	// ShedFull sheds where all slots are taken; otherwise requests wait.
+	// ShedFull sheds requests while all slots are in use. The other modes let them
+	// wait for a slot.
 	ShedFull Shed = "full"
 	// ShedAlways sheds every request.
 	ShedAlways Shed = "always"
 )
 
-// Health says what the health endpoint answers.
+// Health is how the health endpoint answers.
 type Health string
 
-// Answers of the health endpoint.
+// Modes of the health endpoint.
 const (
-	// HealthTrue answers 503 while the target sheds, drains or cuts.
+	// HealthTrue answers 503 while the target sheds every request, drains, drops
+	// connections or is silent, otherwise 200.
 	HealthTrue Health = ""
-	// HealthSaysWell answers 200 whatever happens.
+	// HealthSaysWell always answers 200.
 	HealthSaysWell Health = "well"
-	// HealthSaysIll answers 503 whatever happens.
+	// HealthSaysIll always answers 503.
 	HealthSaysIll Health = "ill"
 )
 
-// Faults is how a target behaves. The zero value is a sound target.
+// Faults describes how a target behaves. The zero value is a target without faults. It
+// is encoded as JSON for /_faults.
 type Faults struct {
 	// Slots is how many requests run at once; 0 means 4.
 	Slots int
-	// Work is how long a request holds its slot.
+	// Work is how long a request occupies its slot.
 	Work time.Duration
-	// ColdStart is the time after the start during which work takes longer: at
-	// first ColdFactor times as long, falling evenly to once.
+	// ColdStart is how long after its start the target is cold. Requests take
+	// ColdFactor times as long at first; the factor falls linearly to 1.
 	ColdStart  time.Duration
 	ColdFactor float64
 	// Slow multiplies Work; 0 means 1.
@@ -62,14 +66,14 @@
 	Shed  Shed
 	Drain bool
 	Cut   Cut
-	// Silent reads requests and answers nothing until the caller gives up.
+	// Silent targets read requests but send no answer before the caller disconnects.
 	Silent bool
 	Health Health
-	// LoadAge is how old the figures of the load endpoint are.
+	// LoadAge is how old the load endpoint's values may be before they are renewed.
 	LoadAge time.Duration
 }
 
-// SetFaults changes the target's behaviour for requests from now on.
+// SetFaults replaces the target's behaviour for later requests.
 func (t *Target) SetFaults(f Faults) {
 	if f.Slots <= 0 {
 		f.Slots = defaultSlots
@@ -80,14 +84,14 @@
 	t.slots.resize(f.Slots)
 }
 
-// Faults returns the behaviour in force.
+// Faults returns the current behaviour.
 func (t *Target) Faults() Faults {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.faults
 }
 
-func (t *Target) takeFaults(w http.ResponseWriter, r *http.Request) {
+func (t *Target) handleSetFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	dec := json.NewDecoder(r.Body)
 	dec.DisallowUnknownFields()
@@ -98,9 +102,9 @@
 	t.SetFaults(f)
 }
 
-func (t *Target) answerFaults(w http.ResponseWriter, _ *http.Request) { writeJSON(w, t.Faults()) }
+func (t *Target) handleGetFaults(w http.ResponseWriter, _ *http.Request) { writeJSON(w, t.Faults()) }
 
-// workTime is how long a request that starts now holds its slot.
+// workTime returns how long a request that starts now occupies its slot.
 func (t *Target) workTime(f Faults) time.Duration {
 	factor := 1.0
 	if f.Slow > 0 {
@@ -108,13 +112,13 @@
 	}
 	age := time.Since(t.started)
 	if age < f.ColdStart && f.ColdFactor > 1 {
-		left := 1 - float64(age)/float64(f.ColdStart)
-		factor *= 1 + (f.ColdFactor-1)*left
+		remaining := 1 - float64(age)/float64(f.ColdStart)
+		factor *= 1 + (f.ColdFactor-1)*remaining
 	}
 	return time.Duration(float64(f.Work) * factor)
 }
 
-// slots is a semaphore whose size may change while it is held.
+// slots is a semaphore whose size may change while it is in use.
 type slots struct {
 	mu      sync.Mutex
 	size    int
@@ -129,8 +133,9 @@
 	s.wake()
 }
 
-// take waits for a slot until ctx is done. Where wait is false it doesn't wait.
-func (s *slots) take(ctx context.Context, wait bool) bool {
+// acquire waits for a slot until ctx is done, or doesn't wait if wait is false. It
+// reports whether it got a slot.
+func (s *slots) acquire(ctx context.Context, wait bool) bool {
 	s.mu.Lock()
 	if s.running < s.size {
 		s.running++
@@ -148,12 +153,12 @@
 	case <-ready:
 		return true
 	case <-ctx.Done():
-		return !s.leave(ready)
+		return !s.cancelWait(ready)
 	}
 }
 
-// leave takes a waiter out; it returns false where the waiter has a slot.
-func (s *slots) leave(ready chan struct{}) bool {
+// cancelWait removes a waiter. It returns false if the waiter already has a slot.
+func (s *slots) cancelWait(ready chan struct{}) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, x := range s.waiting {
--- a/internal/standin/target/handlers.go
+++ b/internal/standin/target/handlers.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// ServiceHeader and HostHeader name the target that answered.
+	// ServiceHeader and HostHeader identify the target that answered.
 	ServiceHeader = "X-Service"
 	HostHeader    = "X-Host"
-	// SumTrailer carries the SHA-256 of a download, in hex.
+	// SumTrailer is the trailer with the SHA-256 of a download, in hex.
 	SumTrailer = "X-Content-Sha256"
 
 	chunkSize = 64 << 10
-	// ledgerBodyLimit bounds a submission, so that a stand-in can't be made to
-	// hold an endless body.
-	ledgerBodyLimit = 64 << 20
+	// bodyLimit bounds the body of a submission, so that a request can't occupy the
+	// target forever.
+	bodyLimit = 64 << 20
 )
 
-// Submission is the answer to POST /submit, in JSON.
+// Submission is the JSON answer to POST /submit.
 type Submission struct {
 	Service    string
 	Host       string
@@ -34,17 +34,17 @@
 	BodySHA256 string
 }
 
-// Load is the answer to GET /load, in JSON.
+// Load is the JSON answer to GET /load.
 type Load struct {
 	Slots   int
 	Running int
 	Waiting int
-	// MeasuredAt is when the figures were true.
+	// MeasuredAt is when the values were taken.
 	MeasuredAt time.Time
 }
 
-// Content returns the endless content of a service's download with a seed. Two
-// services never share content, so a checker sees an answer that crossed.
+// Content returns the unlimited content of a service's download for a seed. It differs
+// between services, so that a checker detects an answer from another service.
 func Content(service string, seed uint64) io.Reader {
 	key := sha256.Sum256(binary.BigEndian.AppendUint64([]byte(service+"\x00"), seed))
 	return rand.NewChaCha8(key)
@@ -57,12 +57,12 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// withFaults applies the faults that don't depend on what the request asks for
-// and holds a slot until next has sent the head of its answer.
+// withFaults records the request and applies the faults that are the same for all kinds
+// of requests, then calls next.
 func (t *Target) withFaults(next func(http.ResponseWriter, *http.Request, Faults)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get(RequestIDHeader)
-		t.ledger.change(id, func(x *Run) { x.Seen++ })
+		t.ledger.update(id, func(x *Run) { x.Seen++ })
 		w.Header().Set(ServiceHeader, t.cfg.Service)
 		w.Header().Set(HostHeader, t.cfg.Host)
 		f := t.Faults()
@@ -70,31 +70,31 @@
 			panic(http.ErrAbortHandler)
 		}
 		if f.Shed == ShedAlways || f.Drain {
-			shed(w)
+			rejectShed(w)
 			return
 		}
 		next(w, r, f)
 	}
 }
 
-func shed(w http.ResponseWriter) {
+func rejectShed(w http.ResponseWriter) {
 	w.Header().Set("Retry-After", "1")
 	http.Error(w, "shedding load", http.StatusServiceUnavailable)
 }
 
-// work holds a slot for the work time. It returns false where the request was
-// shed, or ended early because the other side left or its deadline passed; then
-// the answer is written.
-func (t *Target) work(w http.ResponseWriter, r *http.Request, f Faults) bool {
+// runInSlot occupies a slot for the work time. It returns false after writing an error
+// if the request was shed, or ended early because the client disconnected or its
+// deadline passed.
+func (t *Target) runInSlot(w http.ResponseWriter, r *http.Request, f Faults) bool {
 	id := r.Header.Get(RequestIDHeader)
 	ctx, cancel := withDeadline(r)
 	defer cancel()
-	if !t.slots.take(ctx, f.Shed != ShedFull) {
-		shed(w)
+	if !t.slots.acquire(ctx, f.Shed != ShedFull) {
+		rejectShed(w)
 		return false
 	}
 	defer t.slots.release()
-	t.ledger.change(id, func(x *Run) { x.Runs++ })
+	t.ledger.update(id, func(x *Run) { x.Runs++ })
 	if f.Silent {
 		<-r.Context().Done()
 	}
@@ -102,11 +102,11 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		t.ledger.change(id, func(x *Run) { x.Finished++ })
+		t.ledger.update(id, func(x *Run) { x.Finished++ })
 		return true
 	case <-ctx.Done():
-		t.ledger.change(id, func(x *Run) { x.Cancelled++ })
-		http.Error(w, "out of time", http.StatusGatewayTimeout)
+		t.ledger.update(id, func(x *Run) { x.Cancelled++ })
+		http.Error(w, "deadline exceeded", http.StatusGatewayTimeout)
 		return false
 	}
 }
@@ -120,7 +120,7 @@
 }
 
 func (t *Target) feed(w http.ResponseWriter, r *http.Request, f Faults) {
-	if !t.work(w, r, f) {
+	if !t.runInSlot(w, r, f) {
 		return
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -138,7 +138,7 @@
 		case <-tick.C:
 		case <-r.Context().Done():
 			return
-		case <-t.stopping:
+		case <-t.feedsEnding:
 			_, _ = io.WriteString(w, "event: end\ndata: end\n\n")
 			return
 		}
@@ -148,11 +148,11 @@
 func (t *Target) download(w http.ResponseWriter, r *http.Request, f Faults) {
 	size, err := strconv.ParseInt(r.URL.Query().Get("bytes"), 10, 64)
 	if err != nil || size < 0 {
-		http.Error(w, "bytes: a number from 0", http.StatusBadRequest)
+		http.Error(w, "bytes: must be a number >= 0", http.StatusBadRequest)
 		return
 	}
 	seed, _ := strconv.ParseUint(r.URL.Query().Get("seed"), 10, 64)
-	if !t.work(w, r, f) {
+	if !t.runInSlot(w, r, f) {
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
@@ -160,17 +160,17 @@
 	sum := sha256.New()
 	content := Content(t.cfg.Service, seed)
 	buf := make([]byte, chunkSize)
-	for left := size; left > 0; {
-		n := min(left, chunkSize)
+	for remaining := size; remaining > 0; {
+		n := min(remaining, chunkSize)
 		_, _ = io.ReadFull(content, buf[:n])
 		sum.Write(buf[:n])
-		if f.Cut == CutDuring && left <= size/2 {
+		if f.Cut == CutDuring && remaining <= size/2 {
 			panic(http.ErrAbortHandler)
 		}
 		if _, err := w.Write(buf[:n]); err != nil {
 			return
 		}
-		left -= n
+		remaining -= n
 	}
 	w.Header().Set(SumTrailer, hex.EncodeToString(sum.Sum(nil)))
 }
@@ -182,13 +182,13 @@
 		panic(http.ErrAbortHandler)
 	}
 	sum := sha256.New()
-	if _, err := io.Copy(sum, http.MaxBytesReader(w, r.Body, ledgerBodyLimit)); err != nil {
-		http.Error(w, "body not whole", http.StatusBadRequest)
+	if _, err := io.Copy(sum, http.MaxBytesReader(w, r.Body, bodyLimit)); err != nil {
+		http.Error(w, "incomplete or too large body", http.StatusBadRequest)
 		return
 	}
 	hash := hex.EncodeToString(sum.Sum(nil))
-	t.ledger.change(id, func(x *Run) { x.BodySHA256 = hash })
-	if !t.work(w, r, f) {
+	t.ledger.update(id, func(x *Run) { x.BodySHA256 = hash })
+	if !t.runInSlot(w, r, f) {
 		return
 	}
 	if f.Cut == CutAfter {
@@ -199,15 +199,15 @@
 
 func (t *Target) health(w http.ResponseWriter, _ *http.Request) {
 	f := t.Faults()
-	ill := f.Shed == ShedAlways || f.Drain || f.Cut != CutNever || f.Silent
-	if f.Health == HealthSaysIll || (ill && f.Health != HealthSaysWell) {
+	unhealthy := f.Shed == ShedAlways || f.Drain || f.Cut != CutNever || f.Silent
+	if f.Health == HealthSaysIll || (unhealthy && f.Health != HealthSaysWell) {
 		http.Error(w, "ill", http.StatusServiceUnavailable)
 		return
 	}
 	_, _ = io.WriteString(w, "well\n")
 }
 
-func (t *Target) answerLoad(w http.ResponseWriter, _ *http.Request) {
+func (t *Target) handleLoad(w http.ResponseWriter, _ *http.Request) {
 	f := t.Faults()
 	running, waiting := t.slots.counts()
 	t.mu.Lock()
--- a/internal/standin/target/ledger.go
+++ b/internal/standin/target/ledger.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// Run is what the target did about one request identity.
+// Run is the ledger's entry for one request ID.
 type Run struct {
 	RequestID string
-	// FirstSeen is when the first head arrived.
+	// FirstSeen is when the first request with the ID arrived.
 	FirstSeen time.Time
-	// Seen counts requests whose head arrived, whatever came of them.
+	// Seen counts requests whose header arrived, whatever their outcome.
 	Seen int
-	// Runs counts how often the request's work began. Over one for a submission
-	// is a doubled submission.
+	// Runs counts how often the request's work began. More than 1 means that a
+	// submission ran twice.
 	Runs int
-	// Finished counts runs that came to their end.
+	// Finished counts runs that completed.
 	Finished int
-	// Cancelled counts runs that ended early because the other side left.
+	// Cancelled counts runs that ended early, because the client disconnected or the
+	// deadline passed.
 	Cancelled int
-	// BodySHA256 is the hash of the last body run, in hex.
+	// BodySHA256 is the hash of the last body received, in hex.
 	BodySHA256 string
 }
 
@@ -31,7 +32,7 @@
 	index map[string]int
 }
 
-func (l *ledger) change(id string, f func(*Run)) {
+func (l *ledger) update(id string, f func(*Run)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	i, ok := l.index[id]
@@ -46,13 +47,13 @@
 	f(&l.runs[i])
 }
 
-func (l *ledger) all() []Run {
+func (l *ledger) entries() []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Run(nil), l.runs...)
 }
 
-func (l *ledger) one(id string) Run {
+func (l *ledger) entry(id string) Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if i, ok := l.index[id]; ok {
@@ -61,14 +62,14 @@
 	return Run{RequestID: id}
 }
 
-// LedgerPage is the answer of GET /_ledger, in JSON.
+// LedgerPage is the JSON answer to GET /_ledger.
 type LedgerPage struct {
 	Service string
 	Host    string
 	Runs    []Run
 }
 
-func (t *Target) answerLedger(w http.ResponseWriter, _ *http.Request) {
+func (t *Target) handleLedger(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, LedgerPage{Service: t.cfg.Service, Host: t.cfg.Host, Runs: t.Runs()})
 }
 
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -1,7 +1,6 @@
-// Package target is a stand-in for the users' back ends: an HTTP/1.1 service
-// with slots, feeds, downloads and submissions, whose faults can be set while
-// it runs. Its ledger says what was really seen and run, so that a checker
-// needn't believe what callers were told.
+// Package target is a stand-in for the users' back ends: an HTTP/1.1 service with
+// slots, feeds, downloads and submissions. Faults can be injected while it runs. Its
+// ledger records which requests arrived and ran, independently of what callers saw.
 package target
 
 import (
@@ -14,11 +13,10 @@
 	"github.com/go-faster/errors"
 )
 
-// RequestIDHeader carries the identity under which the ledger records a
-// request.
+// RequestIDHeader carries the ID under which the ledger records a request.
 const RequestIDHeader = "X-Request-Id"
 
-// DeadlineHeader carries the time that is left to the caller, in milliseconds.
+// DeadlineHeader carries the time until the request's deadline, in milliseconds.
 const DeadlineHeader = "Bergamotstall-Deadline-Ms"
 
 const (
@@ -26,36 +24,36 @@
 	defaultFeedInterval = 200 * time.Millisecond
 )
 
-// Config describes one target.
+// Config is the configuration of a target.
 type Config struct {
-	// Service and Host name the target in answers.
+	// Service and Host identify the target in answers.
 	Service string
 	Host    string
 	// Address is the TCP address to listen on, "ip:port"; port 0 picks one.
 	Address string
 	// FeedInterval is the time between two events of a feed; 0 means 200 ms.
 	FeedInterval time.Duration
-	// Faults are in force from the start.
+	// Faults are the initial faults.
 	Faults Faults
 }
 
-// Target is one running stand-in.
+// Target is a running stand-in target.
 type Target struct {
-	cfg      Config
-	listener net.Listener
-	server   *http.Server
-	started  time.Time
-	stopping chan struct{}
-	ledger   ledger
-	slots    slots
-
-	mu     sync.Mutex
-	faults Faults
-	load   Load
-	closed bool
+	cfg         Config
+	listener    net.Listener
+	server      *http.Server
+	started     time.Time
+	feedsEnding chan struct{}
+	ledger      ledger
+	slots       slots
+
+	mu         sync.Mutex
+	faults     Faults
+	load       Load
+	feedsEnded bool
 }
 
-// New listens on the configured address and serves at once.
+// New starts a target that listens on the configured address.
 func New(cfg Config) (*Target, error) {
 	if cfg.FeedInterval <= 0 {
 		cfg.FeedInterval = defaultFeedInterval
@@ -64,7 +62,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "target: listen")
 	}
-	t := &Target{cfg: cfg, listener: ln, started: time.Now(), stopping: make(chan struct{})}
+	t := &Target{cfg: cfg, listener: ln, started: time.Now(), feedsEnding: make(chan struct{})}
 	t.SetFaults(cfg.Faults)
 	t.server = &http.Server{Handler: t.routes()}
 	go func() { _ = t.server.Serve(ln) }()
@@ -77,10 +75,10 @@
 	mux.HandleFunc("GET /download", t.withFaults(t.download))
 	mux.HandleFunc("POST /submit", t.withFaults(t.submit))
 	mux.HandleFunc("GET /health", t.health)
-	mux.HandleFunc("GET /load", t.answerLoad)
-	mux.HandleFunc("GET /_ledger", t.answerLedger)
-	mux.HandleFunc("GET /_faults", t.answerFaults)
-	mux.HandleFunc("POST /_faults", t.takeFaults)
+	mux.HandleFunc("GET /load", t.handleLoad)
+	mux.HandleFunc("GET /_ledger", t.handleLedger)
+	mux.HandleFunc("GET /_faults", t.handleGetFaults)
+	mux.HandleFunc("POST /_faults", t.handleSetFaults)
 	return mux
 }
 
@@ -90,7 +88,8 @@
 // Host returns the target's host name.
 func (t *Target) Host() string { return t.cfg.Host }
 
-// Stop is a graceful stop: feeds get their last event, requests in progress end.
+// Stop stops the target gracefully: it ends feeds with a last event and waits for
+// requests in progress.
 func (t *Target) Stop(ctx context.Context) error {
 	t.endFeeds()
 	if err := t.server.Shutdown(ctx); err != nil {
@@ -99,28 +98,28 @@
 	return nil
 }
 
-// Kill cuts every connection at once, as the death of the process does.
+// Kill closes all connections at once, like a crash of the process.
 func (t *Target) Kill() {
 	t.endFeeds()
 	_ = t.server.Close()
 }
 
-// EndFeeds gives open feeds their last event, as the first step of a planned
-// stop; new requests are still answered.
+// EndFeeds ends open feeds with a last event, as the first step of a planned stop. New
+// requests are still answered.
 func (t *Target) EndFeeds() { t.endFeeds() }
 
 func (t *Target) endFeeds() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.closed {
-		t.closed = true
-		close(t.stopping)
+	if !t.feedsEnded {
+		t.feedsEnded = true
+		close(t.feedsEnding)
 	}
 }
 
-// Runs returns the ledger, in order of first sight.
-func (t *Target) Runs() []Run { return t.ledger.all() }
+// Runs returns the ledger, in order of first arrival.
+func (t *Target) Runs() []Run { return t.ledger.entries() }
 
-// Run returns the ledger's entry for one request identity; its counts are zero
-// where the target never saw it.
-func (t *Target) Run(id string) Run { return t.ledger.one(id) }
+// Run returns the ledger's entry for a request ID. Its counts are zero if no such
+// request arrived.
+func (t *Target) Run(id string) Run { return t.ledger.entry(id) }
--- a/internal/standin/target/target_test.go
+++ b/internal/standin/target/target_test.go
@@ -36,7 +36,7 @@
 	return c.Do(req)
 }
 
-func TestDownloadCarriesItsSum(t *testing.T) {
+func TestDownloadChecksumTrailer(t *testing.T) {
 	is := is.New(t)
 	x, c := start(t, Faults{})
 	resp, err := c.Get("http://" + x.Address() + "/download?bytes=200000&seed=7")
@@ -51,8 +51,8 @@
 	is.True(ContentSum("archive", 7, 200000) != hex.EncodeToString(sum[:]))
 }
 
-// A checker must be able to tell "never ran" from "ran, but the answer was
-// lost": the four cut points leave different traces in the ledger.
+// Guards against a ledger that can't distinguish a request that never ran from one that
+// ran but whose answer was lost, for each point at which the connection is dropped.
 func TestCutPointsInLedger(t *testing.T) {
 	for _, c := range []struct {
 		cut     Cut
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestFaultsOverHTTPAndFeedEndsOnStop(t *testing.T) {
+func TestFaultsSetOverHTTPAndFeedEndsOnStop(t *testing.T) {
 	is := is.New(t)
 	x, c := start(t, Faults{})
 	resp, err := c.Get("http://" + x.Address() + "/feed")
@@ -96,6 +96,6 @@
 
 	is.NoErr(x.Stop(context.Background()))
 	data, err := io.ReadAll(resp.Body)
-	is.NoErr(err) // the feed ends whole
+	is.NoErr(err) // the feed ends without an error
 	is.True(strings.HasSuffix(string(data), "event: end\ndata: end\n\n"))
 }
