--- a/internal/experiment/budget.go
+++ b/internal/experiment/budget.go
@@ -9,60 +9,60 @@
 	"bergamotstall/internal/retry"
 )
 
-// trouble is a service in which attempts fail.
-type trouble struct {
+// failureCase is a service in which some attempts fail.
+type failureCase struct {
 	name string
-	// fails tells whether an attempt fails, from the load as a multiple of the
-	// capacity, retries included.
-	fails func(rng *rand.Rand, load float64) bool
-	fresh float64 // load of fresh requests
+	// fails draws whether an attempt fails. load is the load including retries, as a
+	// multiple of the capacity.
+	fails       func(rng *rand.Rand, load float64) bool
+	requestLoad float64 // load without retries, as a multiple of the capacity
 }
 
-var troubles = []trouble{
+var failureCases = []failureCase{
 	{"one target of seven dead", func(r *rand.Rand, _ float64) bool { return r.IntN(7) == 0 }, 0.6},
 	{"three of seven dead", func(r *rand.Rand, _ float64) bool { return r.IntN(7) < 3 }, 0.5},
 	{"overload by a third", func(r *rand.Rand, load float64) bool { return r.Float64() > 1/load }, 1.33},
 }
 
-// play sends requests, a thousand a second, and returns the share that failed in
-// the end, in percent, and the load with retries.
-func play(t trouble, percent int) (failed, load float64) {
+// simulateRetries sends a thousand requests a second and returns the percentage of
+// requests that failed after retries, and the mean load including retries.
+func simulateRetries(c failureCase, percent int) (failed, load float64) {
 	rng := rand.New(rand.NewPCG(1, 5))
 	b := retry.NewBudget(percent)
 	const requests = 60_000
-	errors, window := 0, 0
+	errors, attemptsInSecond := 0, 0
 	sum := 0.0
 	now := time.Duration(0)
-	lastLoad := t.fresh
+	lastLoad := c.requestLoad
 	for i := range requests {
 		now += time.Millisecond
 		b.Fresh(now)
-		for made := 1; ; made++ {
-			window++
-			if !t.fails(rng, lastLoad) {
+		for attempt := 1; ; attempt++ {
+			attemptsInSecond++
+			if !c.fails(rng, lastLoad) {
 				break
 			}
-			if _, again := b.Again(now, retry.Attempt{Outcome: retry.NotRun, Made: made}); !again {
+			if _, retried := b.Again(now, retry.Attempt{Outcome: retry.NotRun, Made: attempt}); !retried {
 				errors++
 				break
 			}
 		}
-		if i%1000 == 999 { // the load of each second shapes the next
-			lastLoad = t.fresh * float64(window) / 1000
+		if i%1000 == 999 { // the load of one second decides on failures in the next
+			lastLoad = c.requestLoad * float64(attemptsInSecond) / 1000
 			sum += lastLoad
-			window = 0
+			attemptsInSecond = 0
 		}
 	}
 	return 100 * float64(errors) / requests, sum / (requests / 1000)
 }
 
-// Retries writes what each budget does to failures and to the load.
+// Retries writes a table of failures and load for several retry budgets.
 func Retries(w io.Writer) {
-	fmt.Fprintf(w, "\n| budget %% | %s: failed %%, load | %s | %s |\n|---|---|---|---|\n", troubles[0].name, troubles[1].name, troubles[2].name)
+	fmt.Fprintf(w, "\n| budget %% | %s: failed %%, load | %s | %s |\n|---|---|---|---|\n", failureCases[0].name, failureCases[1].name, failureCases[2].name)
 	for _, percent := range []int{1, 5, 10, 20, 50, 200} {
 		fmt.Fprintf(w, "| %d |", percent)
-		for _, x := range troubles {
-			failed, load := play(x, percent)
+		for _, c := range failureCases {
+			failed, load := simulateRetries(c, percent)
 			fmt.Fprintf(w, " %.1f, %.2f |", failed, load)
 		}
 		fmt.Fprintln(w)
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,9 +1,9 @@
-// Package experiment drives the decisions of packages admission, placement, slowstart
-// and retry under load, in small seeded event loops with a simulated clock and
-// against baselines, so that defaults and thresholds are chosen from figures that anyone can repeat:
+// Package experiment evaluates the decisions of packages admission, placement, slowstart
+// and retry under load and compares them with baselines. It uses small discrete-event
+// simulations with a simulated clock; a seed makes each run repeatable:
 //
 //	bergamotctl experiment placement|sweeps|slots|retries
 //
-// It knows no packets and no lost messages; its targets have no trait but a time
-// per request. docs/PLACEMENT.md has its tables.
+// It doesn't simulate packets or lost messages, and a target is described only by its
+// time per request. The tables are in docs/PLACEMENT.md.
 package experiment
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -8,44 +8,46 @@
 	"bergamotstall/internal/retry"
 )
 
-// The choice must hold: against the simpler policies the kept one spreads work
-// better, with no worse p99 or refusals.
-func TestKeptPolicyBeatsTheBaselines(t *testing.T) {
+// Guards against a placement policy that is worse than the simpler ones: it must
+// distribute work at least as evenly, without a higher p99 or more refusals.
+func TestCurrentPolicyBeatsBaselines(t *testing.T) {
 	for _, name := range []string{"burst", "few heavy callers", "one slow target", "data centre drained"} {
 		t.Run(name, func(t *testing.T) {
-			kept := measure(sizes[2], named(name), product(), standard, 1)
+			current := runSeeds(sizes[2], scenarioByName(name), currentPolicy(), defaultTuning, 1)
 			for _, p := range policies[:7] {
-				base := measure(sizes[2], named(name), p, standard, 1)
-				if kept.mean.maxMean > base.mean.maxMean+0.05 {
-					t.Errorf("work max/mean %.2f, %s has %.2f", kept.mean.maxMean, p.name, base.mean.maxMean)
+				baseline := runSeeds(sizes[2], scenarioByName(name), p, defaultTuning, 1)
+				if current.mean.maxToMean > baseline.mean.maxToMean+0.05 {
+					t.Errorf("work max/mean %.2f, %s has %.2f", current.mean.maxToMean, p.name, baseline.mean.maxToMean)
 				}
-				if kept.mean.p99 > 1.2*base.mean.p99 {
-					t.Errorf("p99 %.0f ms, %s has %.0f ms", kept.mean.p99, p.name, base.mean.p99)
+				if current.mean.p99 > 1.2*baseline.mean.p99 {
+					t.Errorf("p99 %.0f ms, %s has %.0f ms", current.mean.p99, p.name, baseline.mean.p99)
 				}
-				if kept.mean.refused > base.mean.refused+0.1 {
-					t.Errorf("refused %.2f%%, %s has %.2f%%", kept.mean.refused, p.name, base.mean.refused)
+				if current.mean.refusedPercent > baseline.mean.refusedPercent+0.1 {
+					t.Errorf("refused %.2f%%, %s has %.2f%%", current.mean.refusedPercent, p.name, baseline.mean.refusedPercent)
 				}
 			}
 		})
 	}
 }
 
-// Long among short: kept to the end of the answer, slots go to feeds and
-// downloads until the host refuses nearly everything, with its cores idle.
-func TestSlotsAreNotHeldByStreams(t *testing.T) {
+// Guards against slots that are occupied by streams. If feeds and downloads keep their
+// slots until the end of the answer, the host refuses most short requests while its
+// cores are idle.
+func TestStreamsReleaseSlots(t *testing.T) {
 	is := is.New(t)
-	toTheEnd := runSlots(4, slotRule{"", never, never}, 1)
-	kept := runSlots(4, keptRule, 1)
-	is.True(toTheEnd.refused > toTheEnd.shorts/2)
-	is.True(kept.refused < kept.shorts/4)
-	is.True(kept.busy > 2*toTheEnd.busy)
+	untilEnd := runSlots(4, slotRule{"", forever, forever}, 1)
+	current := runSlots(4, currentSlotRule, 1)
+	is.True(untilEnd.shortRefused > untilEnd.shortRequests/2)
+	is.True(current.shortRefused < current.shortRequests/4)
+	is.True(current.coreTime > 2*untilEnd.coreTime)
 }
 
-// The default must hide a dead target and must not feed an overload.
-func TestDefaultBudget(t *testing.T) {
+// Guards against a default retry budget that is too small to hide a failed target or so
+// large that retries increase an overload.
+func TestDefaultRetryBudget(t *testing.T) {
 	is := is.New(t)
-	failed, _ := play(troubles[0], retry.DefaultPercent)
+	failed, _ := simulateRetries(failureCases[0], retry.DefaultPercent)
 	is.True(failed < 1)
-	_, load := play(troubles[2], retry.DefaultPercent)
+	_, load := simulateRetries(failureCases[2], retry.DefaultPercent)
 	is.True(load < 1.33*1.25)
 }
--- a/internal/experiment/placement_loop.go
+++ b/internal/experiment/placement_loop.go
@@ -13,73 +13,74 @@
 	"bergamotstall/internal/table"
 )
 
-// The event loop plays callers' flows against hosts whose admission is the real
-// decision code, and one policy for what a host does with a request that it
-// can't run at once. Times are simulated; a seed gives the same run each time.
+// The event loop simulates callers' flows to hosts. Hosts use the real admission code,
+// and a policy decides what a host does with a request that it can't run at once. Time
+// is simulated; the same seed gives the same run.
 
 const (
-	loopTime   = 40 * time.Second
-	loopWarmUp = 5 * time.Second // not counted
-	loopChange = 20 * time.Second
-	baseWork   = 50 * time.Millisecond
-	patience   = 2 * time.Second
-	flowLife   = 15 * time.Second
-	nearRTT    = 500 * time.Microsecond
-	farRTT     = 3 * time.Millisecond
-	reportAge  = 10 * time.Second
-	flowsEach  = 12 // flows per host
-	maxTries   = 3  // of a request whose own host takes none
+	simulatedTime    = 40 * time.Second
+	warmUpTime       = 5 * time.Second // excluded from the results
+	changeAt         = 20 * time.Second
+	meanWork         = 50 * time.Millisecond
+	callerTimeout    = 2 * time.Second
+	meanFlowLifetime = 15 * time.Second
+	nearRTT          = 500 * time.Microsecond
+	farRTT           = 3 * time.Millisecond
+	reportInterval   = 10 * time.Second
+	flowsPerHost     = 12
+	maxAttempts      = 3 // of a request whose home host is draining
 )
 
-// size is one user's service.
+// size is the size of a user's service.
 type size struct {
 	name         string
 	hosts, slots int
 }
 
-// scenario is one pattern of load.
+// scenario is a load pattern with optional disturbances.
 type scenario struct {
 	name string
-	load float64 // of the capacity
-	// mean is the mean of work, where it isn't baseWork.
-	mean time.Duration
-	// work draws a request's time in its slot.
+	load float64 // as a multiple of the capacity
+	// meanWork is the mean of work; 0 means the constant meanWork.
+	meanWork time.Duration
+	// work draws how long a request occupies a slot.
 	work func(*rand.Rand) time.Duration
-	// heavy callers send half of the requests.
-	heavy int
-	// slow is how much slower host 0 is.
-	slow float64
-	// coldAt is when host 0 joins, and answers coldFactor times slower at first.
+	// heavyCallers is the number of callers that together send half of the requests.
+	heavyCallers int
+	// slowFactor is how many times slower host 0 is.
+	slowFactor float64
+	// coldAt is when host 0 joins; it is coldFactor times slower at first.
 	coldAt time.Duration
-	// burst multiplies the load of a third of the flows for a second in five.
-	burst float64
-	// drain takes the hosts of data centre 0 out at loopChange.
-	drain bool
-	// shift changes the weights at loopChange.
-	shift bool
+	// burstFactor multiplies the load of a third of the flows during one second in
+	// five.
+	burstFactor float64
+	// drainDataCentre drains the hosts of data centre "a" at changeAt.
+	drainDataCentre bool
+	// shiftWeights changes the hosts' weights at changeAt.
+	shiftWeights bool
 }
 
 const (
-	coldFactor = 4.0
-	coldTime   = 10 * time.Second
+	coldFactor   = 4.0
+	coldDuration = 10 * time.Second
 )
 
-// tuning holds the thresholds that sweeps vary.
+// tuning holds the thresholds that Sweeps varies.
 type tuning struct {
-	draws     int
-	from      float64 // part of the slots from which probes are sent
-	queue     int
-	patience  time.Duration
-	slowStart time.Duration // 0: ramp's own
-	noRamp    bool
-	noTold    bool // callers show no deadline
+	probesPerRound int
+	probeThreshold float64 // fraction of busy slots from which probes are sent
+	queueLimit     int
+	overloadAfter  time.Duration
+	slowStart      time.Duration // 0 means slowstart.SlowStartMS
+	noSlowStart    bool
+	noDeadlines    bool // requests carry no deadline
 }
 
 type loopHost struct {
 	queue  *admission.Queue
 	target table.Target
-	busy   time.Duration  // slot time given out after the warm-up
-	report placement.Load // as the load endpoint had it at the last report
+	busy   time.Duration  // slot time used after the warm-up
+	report placement.Load // at the last reportInterval
 	flows  int
 }
 
@@ -90,13 +91,13 @@
 }
 
 type loopRequest struct {
-	flow   int
-	home   int
-	at     time.Duration
-	work   time.Duration
-	host   int
-	ticket admission.Ticket
-	tries  []int
+	flow       int
+	home       int
+	at         time.Duration
+	work       time.Duration
+	host       int
+	ticket     admission.Ticket
+	triedHosts []int
 }
 
 type event struct {
@@ -120,63 +121,64 @@
 	return x
 }
 
-// policy is what a host does with a request that it can't run at once.
+// policy decides what a host does with a request that it can't run at once.
 type policy struct {
 	name string
-	// overflow sends the request on, or lets it wait at l.hosts[r.home].
+	// overflow sends the request to a peer or lets it wait at its home host.
 	overflow func(l *loop, r *loopRequest)
-	// always uses overflow also where the home host has a free slot.
-	always bool
-	// early uses overflow from a part of the slots on.
-	early bool
-	// bounded places a new flow elsewhere where a host has a quarter more than
-	// its share of flows.
-	bounded bool
+	// everyRequest calls overflow also if the home host has a free slot.
+	everyRequest bool
+	// belowLimit calls overflow already when tuning.probeThreshold of the slots are
+	// busy.
+	belowLimit bool
+	// boundedFlows assigns a new flow to another host if the drawn one has over 25%
+	// more flows than the mean.
+	boundedFlows bool
 }
 
 type loop struct {
-	rng     *rand.Rand
-	now     time.Duration
-	queue   events
-	seq     int
-	sc      scenario
-	pol     policy
-	tune    tuning
-	hosts   []*loopHost
-	flows   []*loopFlow
-	pending map[admission.Ticket]*loopRequest
-	last    admission.Ticket
-	turn    int
-
-	answers []float64 // milliseconds
-	sent    int
-	refused int
-	probes  int
+	rng        *rand.Rand
+	now        time.Duration
+	queue      events
+	seq        int
+	scenario   scenario
+	policy     policy
+	tuning     tuning
+	hosts      []*loopHost
+	flows      []*loopFlow
+	pending    map[admission.Ticket]*loopRequest
+	lastTicket admission.Ticket
+	nextPeer   int
+
+	answerTimes []float64 // milliseconds
+	sent        int
+	refused     int
+	probes      int
 }
 
 func newLoop(sz size, sc scenario, p policy, tune tuning, seed uint64) *loop {
-	l := &loop{rng: rand.New(rand.NewPCG(seed, 11)), sc: sc, pol: p, tune: tune, pending: map[admission.Ticket]*loopRequest{}}
+	l := &loop{rng: rand.New(rand.NewPCG(seed, 11)), scenario: sc, policy: p, tuning: tune, pending: map[admission.Ticket]*loopRequest{}}
 	for i := range sz.hosts {
 		h := &loopHost{
-			queue:  admission.New(admission.Config{Slots: sz.slots, Queue: tune.queue, Patience: tune.patience}),
+			queue:  admission.New(admission.Config{Slots: sz.slots, Queue: tune.queueLimit, Patience: tune.overloadAfter}),
 			target: table.Target{Agent: table.AgentNumber(i + 1), State: table.Active, Weight: 100, PreviousWeight: 100, Slots: sz.slots, DataCentre: string(rune('a' + i%3))},
 		}
-		// The rest joined long ago.
+		// All other hosts joined long ago.
 		h.target.JoinedAtMS, h.target.ChangedAtMS = -1_000_000, -1_000_000
 		if sc.coldAt > 0 && i == 0 {
 			h.target.JoinedAtMS = sc.coldAt.Milliseconds()
 		}
 		l.hosts = append(l.hosts, h)
 	}
-	mean := baseWork
-	if sc.mean > 0 {
-		mean = sc.mean
+	mean := meanWork
+	if sc.meanWork > 0 {
+		mean = sc.meanWork
 	}
 	capacity := float64(sz.hosts*sz.slots) / mean.Seconds()
-	l.openFlows(sz.hosts*flowsEach, sc.load*capacity)
-	l.every(reportAge, l.reportLoads)
-	if sc.drain || sc.shift {
-		l.after(loopChange, l.change)
+	l.openFlows(sz.hosts*flowsPerHost, sc.load*capacity)
+	l.every(reportInterval, l.reportLoads)
+	if sc.drainDataCentre || sc.shiftWeights {
+		l.after(changeAt, l.applyChange)
 	}
 	return l
 }
@@ -192,7 +194,7 @@
 }
 
 func (l *loop) run() {
-	for len(l.queue) > 0 && l.queue[0].at < loopTime {
+	for len(l.queue) > 0 && l.queue[0].at < simulatedTime {
 		e := heap.Pop(&l.queue).(event)
 		l.now = e.at
 		e.step()
@@ -203,37 +205,37 @@
 	return time.Duration(l.rng.ExpFloat64() * float64(mean))
 }
 
-// openFlows opens the flows and spreads the rate over them.
+// openFlows opens n flows and divides the request rate among them.
 func (l *loop) openFlows(n int, rate float64) {
 	for i := range n {
 		f := &loopFlow{host: -1, caller: string(rune('A' + i)), rate: rate / float64(n)}
-		if l.sc.heavy > 0 {
-			f.rate = rate / 2 / float64(n-l.sc.heavy)
-			if i < l.sc.heavy {
-				f.rate = rate / 2 / float64(l.sc.heavy)
+		if l.scenario.heavyCallers > 0 {
+			f.rate = rate / 2 / float64(n-l.scenario.heavyCallers)
+			if i < l.scenario.heavyCallers {
+				f.rate = rate / 2 / float64(l.scenario.heavyCallers)
 			}
 		}
 		l.flows = append(l.flows, f)
-		l.reopen(i)
+		l.assignHost(i)
 		l.nextRequest(i)
 	}
 }
 
-// reopen gives a flow its host by the keyed hash, which a random draw by share
-// stands in for.
-func (l *loop) reopen(i int) {
+// assignHost assigns a host to a flow, and again after the flow's lifetime. A random
+// draw weighted by share replaces the keyed hash of the flow.
+func (l *loop) assignHost(i int) {
 	f := l.flows[i]
 	if f.host >= 0 {
 		l.hosts[f.host].flows--
 	}
 	f.host = l.drawHost()
-	if l.pol.bounded {
-		for try := 0; try < 3 && float64(l.hosts[f.host].flows+1) > 1.25*flowsEach; try++ {
+	if l.policy.boundedFlows {
+		for try := 0; try < 3 && float64(l.hosts[f.host].flows+1) > 1.25*flowsPerHost; try++ {
 			f.host = l.drawHost()
 		}
 	}
 	l.hosts[f.host].flows++
-	l.after(l.exp(flowLife), func() { l.reopen(i) })
+	l.after(l.exp(meanFlowLifetime), func() { l.assignHost(i) })
 }
 
 func (l *loop) share(h *loopHost) float64 {
@@ -241,11 +243,11 @@
 		return 0
 	}
 	t := h.target
-	if l.tune.noRamp {
+	if l.tuning.noSlowStart {
 		t.JoinedAtMS, t.ChangedAtMS = -1_000_000, -1_000_000
-	} else if l.tune.slowStart > 0 && t.JoinedAtMS > 0 {
-		// Stretch the age so that ramp's slow start takes this long.
-		age := float64(l.now.Milliseconds()-t.JoinedAtMS) * slowstart.SlowStartMS / float64(l.tune.slowStart.Milliseconds())
+	} else if l.tuning.slowStart > 0 && t.JoinedAtMS > 0 {
+		// Scale the age so that package slowstart takes tuning.slowStart.
+		age := float64(l.now.Milliseconds()-t.JoinedAtMS) * slowstart.SlowStartMS / float64(l.tuning.slowStart.Milliseconds())
 		t.JoinedAtMS = l.now.Milliseconds() - int64(age)
 	}
 	return slowstart.Share(t, l.now.Milliseconds())
@@ -269,8 +271,8 @@
 func (l *loop) nextRequest(i int) {
 	rate := l.flows[i].rate
 	second := l.now.Seconds()
-	if l.sc.burst > 0 && i%3 == 0 && math.Mod(second, 5) < 1 {
-		rate *= l.sc.burst
+	if l.scenario.burstFactor > 0 && i%3 == 0 && math.Mod(second, 5) < 1 {
+		rate *= l.scenario.burstFactor
 	}
 	l.after(l.exp(time.Duration(float64(time.Second)/rate)), func() {
 		l.arrive(i)
@@ -279,32 +281,33 @@
 }
 
 func (l *loop) arrive(i int) {
-	r := &loopRequest{flow: i, home: l.flows[i].host, at: l.now, work: l.sc.work(l.rng)}
-	if l.now > loopWarmUp {
+	r := &loopRequest{flow: i, home: l.flows[i].host, at: l.now, work: l.scenario.work(l.rng)}
+	if l.now > warmUpTime {
 		l.sent++
 	}
 	h := l.hosts[r.home]
 	home := l.loadOf(h)
-	look := !home.Room()
-	if l.pol.early {
-		look = placement.LookAroundFrom(home, l.tune.from)
+	overflow := !home.Room()
+	if l.policy.belowLimit {
+		overflow = placement.LookAroundFrom(home, l.tuning.probeThreshold)
 	}
-	if !l.pol.always && !look {
+	if !l.policy.everyRequest && !overflow {
 		l.offer(r, r.home)
 		return
 	}
-	l.pol.overflow(l, r)
+	l.policy.overflow(l, r)
 }
 
-// offer asks a host's admission. A peer that turns the request away sends it
-// home, where it may wait, or to another peer where home drains.
+// offer offers a request to a host's admission queue. A request rejected by a peer goes
+// back to its home host, where it may wait, or to another peer if the home host is
+// draining.
 func (l *loop) offer(r *loopRequest, host int) {
-	l.last++
-	r.ticket, r.host = l.last, host
+	l.lastTicket++
+	r.ticket, r.host = l.lastTicket, host
 	l.pending[r.ticket] = r
 	q := admission.Request{Ticket: r.ticket, Caller: l.flows[r.flow].caller}
-	if !l.tune.noTold {
-		q.Deadline = r.at + patience
+	if !l.tuning.noDeadlines {
+		q.Deadline = r.at + callerTimeout
 	}
 	v := l.hosts[host].queue.Offer(l.now, q)
 	if v.Displaced != 0 {
@@ -316,13 +319,13 @@
 	case admission.TurnAway:
 		delete(l.pending, r.ticket)
 		home := l.hosts[r.home].target.State == table.Active
-		if host != r.home && home && !slices.Contains(r.tries, r.home) {
-			r.tries = append(r.tries, r.home)
+		if host != r.home && home && !slices.Contains(r.triedHosts, r.home) {
+			r.triedHosts = append(r.triedHosts, r.home)
 			l.after(nearRTT, func() { l.offer(r, r.home) })
 			return
 		}
-		if !home && len(r.tries) < maxTries {
-			l.after(nearRTT, func() { l.stay(r) })
+		if !home && len(r.triedHosts) < maxAttempts {
+			l.after(nearRTT, func() { l.waitAtHome(r) })
 			return
 		}
 		l.countRefused(r)
@@ -336,25 +339,25 @@
 }
 
 func (l *loop) countRefused(r *loopRequest) {
-	if r.at > loopWarmUp {
+	if r.at > warmUpTime {
 		l.refused++
 	}
 }
 
 func (l *loop) start(r *loopRequest) {
 	h := l.hosts[r.host]
-	took := time.Duration(float64(r.work) * l.factor(r.host))
-	if l.now > loopWarmUp {
-		h.busy += took
+	duration := time.Duration(float64(r.work) * l.slowdown(r.host))
+	if l.now > warmUpTime {
+		h.busy += duration
 	}
-	l.after(took, func() {
+	l.after(duration, func() {
 		delete(l.pending, r.ticket)
 		switch {
-		case r.at <= loopWarmUp:
-		case l.now-r.at > patience:
-			l.refused++ // the caller has given up: as good as none
+		case r.at <= warmUpTime:
+		case l.now-r.at > callerTimeout:
+			l.refused++ // the caller's timeout has passed
 		default:
-			l.answers = append(l.answers, float64(l.now-r.at)/1e6)
+			l.answerTimes = append(l.answerTimes, float64(l.now-r.at)/1e6)
 		}
 		change := h.queue.Leave(l.now, r.ticket)
 		for _, t := range change.Drop {
@@ -366,17 +369,17 @@
 	})
 }
 
-// factor is how much slower than usual a host is now.
-func (l *loop) factor(host int) float64 {
+// slowdown returns how many times slower than usual a host is now.
+func (l *loop) slowdown(host int) float64 {
 	if host != 0 {
 		return 1
 	}
-	if l.sc.slow > 0 {
-		return l.sc.slow
+	if l.scenario.slowFactor > 0 {
+		return l.scenario.slowFactor
 	}
-	if l.sc.coldAt > 0 {
-		left := 1 - (l.now-l.sc.coldAt).Seconds()/coldTime.Seconds()
-		return 1 + (coldFactor-1)*min(max(left, 0), 1)
+	if l.scenario.coldAt > 0 {
+		remaining := 1 - (l.now-l.scenario.coldAt).Seconds()/coldDuration.Seconds()
+		return 1 + (coldFactor-1)*min(max(remaining, 0), 1)
 	}
 	return 1
 }
@@ -392,13 +395,13 @@
 	return placement.Load{Slots: q.Slots, Running: q.Running, Waiting: q.Waiting, Hold: q.Hold, Closed: h.target.State != table.Active}
 }
 
-// change drains a data centre or shifts the weights.
-func (l *loop) change() {
+// applyChange drains a data centre or changes the weights.
+func (l *loop) applyChange() {
 	for i, h := range l.hosts {
-		if l.sc.drain && h.target.DataCentre == "a" {
+		if l.scenario.drainDataCentre && h.target.DataCentre == "a" {
 			h.target.State = table.Draining
 		}
-		if l.sc.shift {
+		if l.scenario.shiftWeights {
 			h.target.ChangedAtMS = l.now.Milliseconds()
 			h.target.Weight = 50
 			if i%2 == 0 {
@@ -408,8 +411,8 @@
 	}
 }
 
-// rtt is the way to a peer and back.
-func (l *loop) rtt(a, b int) time.Duration {
+// roundTripTime returns the network round trip time between two hosts.
+func (l *loop) roundTripTime(a, b int) time.Duration {
 	if l.hosts[a].target.DataCentre == l.hosts[b].target.DataCentre {
 		return nearRTT
 	}
--- a/internal/experiment/placement_policies.go
+++ b/internal/experiment/placement_policies.go
@@ -15,31 +15,32 @@
 	{"3 hosts x 4 slots", 3, 4},
 }
 
-func short(rng *rand.Rand) time.Duration {
-	return time.Duration(rng.ExpFloat64() * float64(baseWork))
+func shortWork(rng *rand.Rand) time.Duration {
+	return time.Duration(rng.ExpFloat64() * float64(meanWork))
 }
 
-// longAmongShort keeps the mean: 2% take 25 times as long as the rest.
-func longAmongShort(rng *rand.Rand) time.Duration {
+// mixedWork makes 2% of the requests take 25 times as long as the mean of the rest, and
+// keeps the overall mean close to meanWork.
+func mixedWork(rng *rand.Rand) time.Duration {
 	if rng.IntN(50) == 0 {
-		return 25 * baseWork * 2 / 3
+		return 25 * meanWork * 2 / 3
 	}
-	return time.Duration(rng.ExpFloat64() * float64(baseWork) * 2 / 3)
+	return time.Duration(rng.ExpFloat64() * float64(meanWork) * 2 / 3)
 }
 
 var scenarios = []scenario{
-	{name: "even load", load: 0.6, work: short},
-	{name: "burst", load: 0.4, work: short, burst: 4},
-	{name: "few heavy callers", load: 0.6, work: short, heavy: 3},
-	{name: "one slow target", load: 0.5, work: short, slow: 4},
-	{name: "long among short", load: 0.6, work: longAmongShort},
-	{name: "saturation", load: 1.3, work: short},
-	{name: "cold start", load: 0.6, work: short, coldAt: 10 * time.Second},
-	{name: "data centre drained", load: 0.5, work: short, drain: true},
-	{name: "preset switched at peak", load: 0.8, work: short, shift: true},
+	{name: "even load", load: 0.6, work: shortWork},
+	{name: "burst", load: 0.4, work: shortWork, burstFactor: 4},
+	{name: "few heavy callers", load: 0.6, work: shortWork, heavyCallers: 3},
+	{name: "one slow target", load: 0.5, work: shortWork, slowFactor: 4},
+	{name: "long among short", load: 0.6, work: mixedWork},
+	{name: "saturation", load: 1.3, work: shortWork},
+	{name: "cold start", load: 0.6, work: shortWork, coldAt: 10 * time.Second},
+	{name: "data centre drained", load: 0.5, work: shortWork, drainDataCentre: true},
+	{name: "preset switched at peak", load: 0.8, work: shortWork, shiftWeights: true},
 }
 
-// active tells whether a host may get new work.
+// active reports whether a host may get new work.
 func (l *loop) active(i int) bool {
 	return l.hosts[i].target.State == table.Active && l.share(l.hosts[i]) > 0
 }
@@ -54,21 +55,22 @@
 	return out
 }
 
-// send moves the request to a peer, half a round trip away.
-func (l *loop) send(r *loopRequest, to int) {
-	r.tries = append(r.tries, to)
-	l.after(l.rtt(r.home, to)/2, func() { l.offer(r, to) })
+// sendToPeer sends the request to a peer; it arrives after half a round trip.
+func (l *loop) sendToPeer(r *loopRequest, to int) {
+	r.triedHosts = append(r.triedHosts, to)
+	l.after(l.roundTripTime(r.home, to)/2, func() { l.offer(r, to) })
 }
 
-// stay lets the request wait at home, or at any peer where home takes nothing.
-func (l *loop) stay(r *loopRequest) {
+// waitAtHome offers the request to its home host, or to any active peer if the home
+// host isn't active.
+func (l *loop) waitAtHome(r *loopRequest) {
 	if l.active(r.home) {
 		l.offer(r, r.home)
 		return
 	}
 	for i := range l.hosts {
 		if peer := (r.home + i + l.rng.IntN(len(l.hosts))) % len(l.hosts); l.active(peer) {
-			l.send(r, peer)
+			l.sendToPeer(r, peer)
 			return
 		}
 	}
@@ -78,24 +80,24 @@
 func overflowRandom(l *loop, r *loopRequest) {
 	peers := l.peersOf(r.home)
 	if len(peers) == 0 {
-		l.stay(r)
+		l.waitAtHome(r)
 		return
 	}
-	l.send(r, int(peers[l.rng.IntN(len(peers))].Agent)-1)
+	l.sendToPeer(r, int(peers[l.rng.IntN(len(peers))].Agent)-1)
 }
 
 func overflowRoundRobin(l *loop, r *loopRequest) {
 	peers := l.peersOf(r.home)
 	if len(peers) == 0 {
-		l.stay(r)
+		l.waitAtHome(r)
 		return
 	}
-	l.turn++
-	l.send(r, int(peers[l.turn%len(peers)].Agent)-1)
+	l.nextPeer++
+	l.sendToPeer(r, int(peers[l.nextPeer%len(peers)].Agent)-1)
 }
 
-// overflowStale sends to the peer that looked least loaded in its last report.
-func overflowStale(l *loop, r *loopRequest) {
+// overflowLeastReported sends to the peer with the lowest load in the last reports.
+func overflowLeastReported(l *loop, r *loopRequest) {
 	best := -1
 	for _, p := range l.peersOf(r.home) {
 		i := int(p.Agent) - 1
@@ -104,19 +106,21 @@
 		}
 	}
 	if best < 0 {
-		l.stay(r)
+		l.waitAtHome(r)
 		return
 	}
-	l.send(r, best)
+	l.sendToPeer(r, best)
 }
 
-// overflowProbes is the product's: placement.Draw and placement.Best, near peers first.
+// overflowProbes probes drawn peers and picks one by placement.Best, near peers first,
+// like package proxy.
 func overflowProbes(l *loop, r *loopRequest) { l.probe(r, true, placement.Best) }
 
-// overflowAny draws near and far peers alike.
-func overflowAny(l *loop, r *loopRequest) { l.probe(r, false, placement.Best) }
+// overflowProbesAnyDistance draws from near and far peers alike.
+func overflowProbesAnyDistance(l *loop, r *loopRequest) { l.probe(r, false, placement.Best) }
 
-// overflowByRunning compares only what runs, not how long it takes there.
+// overflowByRunning compares only the number of running requests, not how long they
+// take.
 func overflowByRunning(l *loop, r *loopRequest) { l.probe(r, true, leastRunning) }
 
 func leastRunning(_ placement.Load, loads []placement.Load) int {
@@ -129,8 +133,8 @@
 	return best
 }
 
-// overflowNearEarly asks far peers only where home is full.
-func overflowNearEarly(l *loop, r *loopRequest) {
+// overflowFarOnlyWhenFull probes far peers only if the home host is full.
+func overflowFarOnlyWhenFull(l *loop, r *loopRequest) {
 	if l.loadOf(l.hosts[r.home]).Room() {
 		l.probeNear(r)
 		return
@@ -139,9 +143,9 @@
 }
 
 func (l *loop) probeNear(r *loopRequest) {
-	drawn := placement.DrawUpTo(l.rng, l.peersOf(r.home), true, nil, l.tune.draws)
+	drawn := placement.DrawUpTo(l.rng, l.peersOf(r.home), true, nil, l.tuning.probesPerRound)
 	if len(drawn) == 0 {
-		l.stay(r)
+		l.waitAtHome(r)
 		return
 	}
 	l.probes += len(drawn)
@@ -151,14 +155,15 @@
 			loads = append(loads, l.loadOf(l.hosts[p.Agent-1]))
 		}
 		if i := placement.Best(l.loadOf(l.hosts[r.home]), loads); i >= 0 {
-			l.send(r, int(drawn[i].Agent)-1)
+			l.sendToPeer(r, int(drawn[i].Agent)-1)
 			return
 		}
-		l.stay(r)
+		l.waitAtHome(r)
 	})
 }
 
-// probe asks in rounds; each takes a round trip, then the loads are a half old.
+// probe probes peers in rounds. A round takes one round trip, so the loads it compares
+// are half a round trip old.
 func (l *loop) probe(r *loopRequest, nearFirst bool, choose func(placement.Load, []placement.Load) int) {
 	peers := l.peersOf(r.home)
 	if !nearFirst {
@@ -168,7 +173,7 @@
 	}
 	var round func(near bool)
 	round = func(near bool) {
-		drawn := placement.DrawUpTo(l.rng, peers, near, nil, l.tune.draws)
+		drawn := placement.DrawUpTo(l.rng, peers, near, nil, l.tuning.probesPerRound)
 		if len(drawn) == 0 {
 			l.nextRound(near, round, r)
 			return
@@ -186,7 +191,7 @@
 		})
 		l.after(rtt, func() {
 			if i := choose(l.loadOf(l.hosts[r.home]), loads); i >= 0 {
-				l.send(r, int(drawn[i].Agent)-1)
+				l.sendToPeer(r, int(drawn[i].Agent)-1)
 				return
 			}
 			l.nextRound(near, round, r)
@@ -200,12 +205,13 @@
 		round(false)
 		return
 	}
-	l.stay(r)
+	l.waitAtHome(r)
 }
 
-// overflowPriority is the paper's idea: a fixed list for each host, from a plan
-// that sends overflow to near and distinct hosts; the next choice only where
-// the one before is busy. A busy host costs a round trip.
+// overflowPriority tries a fixed list of hosts in order, a different list for each home
+// host, near hosts first. It tries the next host only if the previous one is busy, and
+// each busy host costs a round trip. The tables name the policy after the paper it comes
+// from.
 func overflowPriority(l *loop, r *loopRequest) {
 	var list []int
 	n := len(l.hosts)
@@ -220,42 +226,42 @@
 	var next func(k int)
 	next = func(k int) {
 		if k == len(list) || k == 3 {
-			l.stay(r)
+			l.waitAtHome(r)
 			return
 		}
 		l.probes++
-		l.after(l.rtt(r.home, list[k])/2, func() {
+		l.after(l.roundTripTime(r.home, list[k])/2, func() {
 			if l.loadOf(l.hosts[list[k]]).Room() {
-				r.tries = append(r.tries, list[k])
+				r.triedHosts = append(r.triedHosts, list[k])
 				l.offer(r, list[k])
 				return
 			}
-			l.after(l.rtt(r.home, list[k])/2, func() { next(k + 1) })
+			l.after(l.roundTripTime(r.home, list[k])/2, func() { next(k + 1) })
 		})
 	}
 	next(0)
 }
 
-func wait(l *loop, r *loopRequest) { l.stay(r) }
+func noOverflow(l *loop, r *loopRequest) { l.waitAtHome(r) }
 
 var policies = []policy{
-	{name: "hash only", overflow: wait},
-	{name: "hash, bounded flows", overflow: wait, bounded: true},
-	{name: "random, all requests", overflow: overflowRandom, always: true},
-	{name: "round robin, all requests", overflow: overflowRoundRobin, always: true},
+	{name: "hash only", overflow: noOverflow},
+	{name: "hash, bounded flows", overflow: noOverflow, boundedFlows: true},
+	{name: "random, all requests", overflow: overflowRandom, everyRequest: true},
+	{name: "round robin, all requests", overflow: overflowRoundRobin, everyRequest: true},
 	{name: "overflow: random", overflow: overflowRandom},
-	{name: "overflow: least loaded, 10 s old", overflow: overflowStale},
+	{name: "overflow: least loaded, 10 s old", overflow: overflowLeastReported},
 	{name: "overflow: priority list (paper)", overflow: overflowPriority},
-	{name: "overflow: two probes, any", overflow: overflowAny},
+	{name: "overflow: two probes, any", overflow: overflowProbesAnyDistance},
 	{name: "overflow: two probes, by running", overflow: overflowByRunning},
 	{name: "overflow: two probes", overflow: overflowProbes},
-	{name: "early: two probes, any", overflow: overflowAny, early: true},
-	{name: "early: two probes, far only when full", overflow: overflowNearEarly, early: true},
-	{name: productPolicy, overflow: overflowProbes, early: true},
-	{name: "early: two probes, bounded flows", overflow: overflowProbes, early: true, bounded: true},
+	{name: "early: two probes, any", overflow: overflowProbesAnyDistance, belowLimit: true},
+	{name: "early: two probes, far only when full", overflow: overflowFarOnlyWhenFull, belowLimit: true},
+	{name: currentPolicyName, overflow: overflowProbes, belowLimit: true},
+	{name: "early: two probes, bounded flows", overflow: overflowProbes, belowLimit: true, boundedFlows: true},
 }
 
-// productPolicy is what package proxy does.
-const productPolicy = "early: two probes (kept)"
+// currentPolicyName is the policy that package proxy implements.
+const currentPolicyName = "early: two probes (kept)"
 
-var standard = tuning{draws: placement.Draws, from: placement.From, queue: 16, patience: 500 * time.Millisecond}
+var defaultTuning = tuning{probesPerRound: placement.Draws, probeThreshold: placement.From, queueLimit: 16, overloadAfter: 500 * time.Millisecond}
--- a/internal/experiment/slots.go
+++ b/internal/experiment/slots.go
@@ -11,27 +11,29 @@
 	"bergamotstall/internal/admission"
 )
 
-// A target with as many cores as slots, which share themselves evenly over what
-// computes. Some answers go on computing behind their head, downloads and feeds
-// only stream. The question is when the agent takes a slot for free.
+// This file simulates a target with as many cores as slots; the running requests share
+// the cores evenly. Some answers still compute after their header was sent, while
+// downloads and feeds only stream. The experiment compares rules for when the agent
+// treats a slot as free.
 
 type slotJob struct {
-	kind    string
-	ticket  admission.Ticket
-	at      time.Duration
-	work    time.Duration // left, of the present part
-	tail    time.Duration // computing behind the head
-	stream  time.Duration // after that
-	headOut bool
+	kind          string
+	ticket        admission.Ticket
+	at            time.Duration
+	remainingWork time.Duration // of the current part
+	workAfterHead time.Duration // computing after the header was sent
+	streamTime    time.Duration // streaming after all computing
+	headSent      bool
 }
 
-const never = time.Duration(math.MaxInt64)
+const forever = time.Duration(math.MaxInt64)
 
-// slotRule says how long after the head a slot is kept; never is to the end.
+// slotRule is how long a slot stays occupied after the response header; forever means
+// until the end of the answer.
 type slotRule struct {
-	name  string
-	feeds time.Duration
-	rest  time.Duration
+	name      string
+	feedHold  time.Duration
+	otherHold time.Duration
 }
 
 type slotTimer struct {
@@ -40,29 +42,29 @@
 }
 
 type slotLoop struct {
-	rng      *rand.Rand
-	now      time.Duration
-	queue    *admission.Queue
-	cores    int
-	rule     slotRule
-	active   []*slotJob
-	waiting  map[admission.Ticket]*slotJob
-	timers   []slotTimer
-	answers  []float64 // of short requests, ms
-	shorts   int
-	refused  int
-	busy     time.Duration // core time used
-	crowded  time.Duration // time with more computing than cores
-	lastTick admission.Ticket
-}
-
-const slotRun = 60 * time.Second
+	rng           *rand.Rand
+	now           time.Duration
+	queue         *admission.Queue
+	cores         int
+	rule          slotRule
+	active        []*slotJob
+	waiting       map[admission.Ticket]*slotJob
+	timers        []slotTimer
+	answerTimes   []float64 // of short requests, ms
+	shortRequests int
+	shortRefused  int
+	coreTime      time.Duration // core time used
+	overcommitted time.Duration // time with more computing requests than cores
+	lastTicket    admission.Ticket
+}
+
+const slotRunTime = 60 * time.Second
 
 func runSlots(cores int, rule slotRule, seed uint64) *slotLoop {
 	l := &slotLoop{rng: rand.New(rand.NewPCG(seed, 3)), cores: cores, rule: rule, waiting: map[admission.Ticket]*slotJob{}}
 	l.queue = admission.New(admission.Config{Slots: cores, Queue: 8, Connections: 2000})
-	l.arriveLater()
-	for l.now < slotRun {
+	l.scheduleArrival()
+	for l.now < slotRunTime {
 		l.step()
 	}
 	return l
@@ -72,12 +74,12 @@
 	l.timers = append(l.timers, slotTimer{l.now + d, do})
 }
 
-func (l *slotLoop) arriveLater() {
-	const meanWork = 66.75e6 // nanoseconds a request, by the kinds of newJob
-	mean := meanWork / (0.8 * float64(l.cores))
+func (l *slotLoop) scheduleArrival() {
+	const meanWorkNanos = 66.75e6 // mean computing time per request, from newJob
+	mean := meanWorkNanos / (0.8 * float64(l.cores))
 	l.after(time.Duration(l.rng.ExpFloat64()*mean), func() {
 		l.arrive()
-		l.arriveLater()
+		l.scheduleArrival()
 	})
 }
 
@@ -85,21 +87,21 @@
 	ms := func(mean float64) time.Duration { return time.Duration(l.rng.ExpFloat64() * mean * 1e6) }
 	switch p := l.rng.IntN(100); {
 	case p < 60:
-		return &slotJob{kind: "short", work: ms(30)}
+		return &slotJob{kind: "short", remainingWork: ms(30)}
 	case p < 75:
-		return &slotJob{kind: "generated", work: ms(10), tail: ms(300)}
+		return &slotJob{kind: "generated", remainingWork: ms(10), workAfterHead: ms(300)}
 	case p < 95:
-		return &slotJob{kind: "download", work: ms(10), stream: ms(3000)}
+		return &slotJob{kind: "download", remainingWork: ms(10), streamTime: ms(3000)}
 	}
-	return &slotJob{kind: "feed", work: ms(5), stream: slotRun}
+	return &slotJob{kind: "feed", remainingWork: ms(5), streamTime: slotRunTime}
 }
 
 func (l *slotLoop) arrive() {
 	j := l.newJob()
-	l.lastTick++
-	j.ticket, j.at = l.lastTick, l.now
+	l.lastTicket++
+	j.ticket, j.at = l.lastTicket, l.now
 	if j.kind == "short" {
-		l.shorts++
+		l.shortRequests++
 	}
 	v := l.queue.Offer(l.now, admission.Request{Ticket: j.ticket, Caller: fmt.Sprint(l.rng.IntN(50)), Deadline: l.now + 2*time.Second})
 	if v.Displaced != 0 {
@@ -118,7 +120,7 @@
 func (l *slotLoop) refuse(j *slotJob) {
 	delete(l.waiting, j.ticket)
 	if j.kind == "short" {
-		l.refused++
+		l.shortRefused++
 	}
 }
 
@@ -132,12 +134,12 @@
 	}
 }
 
-// step goes to the next timer or the next end of computing.
+// step advances the clock to the next timer or to the end of some request's computing.
 func (l *slotLoop) step() {
 	rate := min(1, float64(l.cores)/float64(max(len(l.active), 1)))
-	next := never
+	next := forever
 	for _, j := range l.active {
-		next = min(next, l.now+time.Duration(float64(j.work)/rate)+1)
+		next = min(next, l.now+time.Duration(float64(j.remainingWork)/rate)+1)
 	}
 	due := -1
 	for i, t := range l.timers {
@@ -154,62 +156,62 @@
 		return
 	}
 	for i := len(l.active) - 1; i >= 0; i-- {
-		if j := l.active[i]; j.work <= 0 {
-			l.part(j)
+		if j := l.active[i]; j.remainingWork <= 0 {
+			l.finishPart(j)
 		}
 	}
 }
 
 func (l *slotLoop) compute(d time.Duration, rate float64) {
 	if len(l.active) > l.cores {
-		l.crowded += d
+		l.overcommitted += d
 	}
-	l.busy += time.Duration(float64(d) * rate * float64(len(l.active)))
+	l.coreTime += time.Duration(float64(d) * rate * float64(len(l.active)))
 	for _, j := range l.active {
-		j.work -= time.Duration(float64(d) * rate)
+		j.remainingWork -= time.Duration(float64(d) * rate)
 	}
 }
 
-// part ends a part of a job: the head, or the computing behind it.
-func (l *slotLoop) part(j *slotJob) {
-	if !j.headOut {
-		j.headOut = true
-		keep := l.rule.rest
+// finishPart ends a part of a job: the one before the header, or the one after it.
+func (l *slotLoop) finishPart(j *slotJob) {
+	if !j.headSent {
+		j.headSent = true
+		hold := l.rule.otherHold
 		if j.kind == "feed" {
-			keep = l.rule.feeds
+			hold = l.rule.feedHold
 		}
-		if keep != never {
-			l.after(keep, func() { l.apply(l.queue.Stream(l.now, j.ticket)) })
+		if hold != forever {
+			l.after(hold, func() { l.apply(l.queue.Stream(l.now, j.ticket)) })
 		}
-		if j.tail > 0 {
-			j.work = j.tail
+		if j.workAfterHead > 0 {
+			j.remainingWork = j.workAfterHead
 			return
 		}
 	}
 	l.active = slices.DeleteFunc(l.active, func(x *slotJob) bool { return x == j })
-	l.after(j.stream, func() {
+	l.after(j.streamTime, func() {
 		if j.kind == "short" {
-			l.answers = append(l.answers, float64(l.now-j.at)/1e6)
+			l.answerTimes = append(l.answerTimes, float64(l.now-j.at)/1e6)
 		}
 		l.apply(l.queue.Leave(l.now, j.ticket))
 	})
 }
 
 func (l *slotLoop) row() string {
-	slices.Sort(l.answers)
-	at := func(q float64) float64 { return l.answers[int(q*float64(len(l.answers)-1))] }
-	return fmt.Sprintf("| %s | %.0f | %.0f | %.1f | %.0f | %.0f |", l.rule.name, at(0.5), at(0.99),
-		100*float64(l.refused)/float64(l.shorts), 100*l.crowded.Seconds()/slotRun.Seconds(),
-		100*l.busy.Seconds()/slotRun.Seconds()/float64(l.cores))
+	slices.Sort(l.answerTimes)
+	quantile := func(q float64) float64 { return l.answerTimes[int(q*float64(len(l.answerTimes)-1))] }
+	return fmt.Sprintf("| %s | %.0f | %.0f | %.1f | %.0f | %.0f |", l.rule.name, quantile(0.5), quantile(0.99),
+		100*float64(l.shortRefused)/float64(l.shortRequests), 100*l.overcommitted.Seconds()/slotRunTime.Seconds(),
+		100*l.coreTime.Seconds()/slotRunTime.Seconds()/float64(l.cores))
 }
 
-var keptRule = slotRule{"feeds at the head, others 100 ms after (kept)", 0, 100 * time.Millisecond}
+var currentSlotRule = slotRule{"feeds at the head, others 100 ms after (kept)", 0, 100 * time.Millisecond}
 
-// Slots writes what callers get for each rule of when a slot is free again.
+// Slots writes a table of the results for each rule of when a slot is free again.
 func Slots(w io.Writer) {
 	rules := []slotRule{
-		{"end of the answer", never, never},
-		{"feeds at the head, others at the end", 0, never},
+		{"end of the answer", forever, forever},
+		{"feeds at the head, others at the end", 0, forever},
 		{"head of the answer", 0, 0},
 	}
 	for _, d := range []int{50, 100, 250, 500, 1000} {
