--- a/internal/passthrough/simulation/caller.go
+++ b/internal/passthrough/simulation/caller.go
@@ -6,30 +6,30 @@
 	"bergamotstall/internal/passthrough/packet"
 )
 
-// callerVM is one VM of callers.
+// callerVM is a VM that runs callers.
 type callerVM struct {
 	n, zone int
 	port    uint16
-	// idle are open flows without a request, by class.
+	// idle are the open flows without a request, by class.
 	idle map[int][]*callerFlow
 }
 
-// request is what a caller wants, over all its tries.
+// request is a caller's request, with all its attempts.
 type request struct {
 	class    int
 	caller   *callerVM
 	at       time.Duration
 	deadline time.Duration
 	work     time.Duration
-	tries    int
-	// flow is the one that it is tried over now.
+	attempts int
+	// flow is the flow of the current attempt; nil between attempts.
 	flow *callerFlow
-	// runs counts how often targets began it.
+	// runs counts how often targets started it.
 	runs int
-	// servedAt is when its answer came; 0 if none did. over is set once it was
-	// answered or given up.
+	// servedAt is when its answer arrived; 0 if none did. done is set once it was
+	// answered or its caller stopped trying.
 	servedAt time.Duration
-	over     bool
+	done     bool
 }
 
 // callerFlow is a flow as its caller sees it.
@@ -38,99 +38,100 @@
 	flow   packet.Flow
 	req    *request
 	open   bool
-	// seq numbers the caller's next byte, end the last one sent, ack acknowledges
-	// the target's.
-	seq, end, ack uint32
-	// acked says that the target has the request.
-	acked bool
+	// nextSeq is the sequence number of the caller's next byte, endSeq that after the
+	// last byte sent; ack acknowledges the target's bytes.
+	nextSeq, endSeq, ack uint32
+	// requestAcked tells that the target has the request.
+	requestAcked bool
 }
 
 const (
-	// requestSize is the bytes of a request.
+	// requestSize is the size of a request in bytes.
 	requestSize = 200
-	// retryPause is the mean wait of a caller before its next try.
-	retryPause = 30 * time.Millisecond
-	// resendFirst and resendMost bound the wait before data is sent again.
-	resendFirst = 200 * time.Millisecond
-	resendMost  = 1600 * time.Millisecond
+	// meanRetryDelay is the mean time that a caller waits before its next attempt.
+	meanRetryDelay = 30 * time.Millisecond
+	// initialResendDelay and maxResendDelay bound the delay before data is sent again;
+	// it doubles with each resend.
+	initialResendDelay = 200 * time.Millisecond
+	maxResendDelay     = 1600 * time.Millisecond
 )
 
-// copiesAfter is when copies of a first packet are sent.
-var copiesAfter = [...]time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
+// synCopyDelays are the delays after which the copies of a flow's first packet are sent.
+var synCopyDelays = [...]time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
 
-// arrivals makes requests of one class until the run's end.
-func (w *world) arrivals(class int) {
-	mean := time.Duration(float64(time.Second) / (w.d.Classes[class].Rate * w.load))
+// scheduleArrivals makes requests of one class until arrivals are stopped.
+func (w *world) scheduleArrivals(class int) {
+	mean := time.Duration(float64(time.Second) / (w.d.Classes[class].Rate * w.loadFactor))
 	w.after(w.exp(mean), func() {
-		if w.stopped {
+		if w.arrivalsStopped {
 			return
 		}
-		w.ask(class)
-		w.arrivals(class)
+		w.makeRequest(class)
+		w.scheduleArrivals(class)
 	})
 }
 
-// ask has a caller make a request.
-func (w *world) ask(class int) {
+// makeRequest creates a request of a random caller.
+func (w *world) makeRequest(class int) {
 	c := &w.d.Classes[class]
 	r := &request{class: class, caller: w.pickCaller(), at: w.now, deadline: w.now + c.Deadline, work: w.drawWork(c.Work)}
 	w.requests = append(w.requests, r)
-	w.after(c.Deadline, func() { w.giveUp(r) })
+	w.after(c.Deadline, func() { w.expire(r) })
 	if w.reference != nil {
 		w.reference.add(r)
 		return
 	}
-	w.try(r)
+	w.attempt(r)
 }
 
-// giveUp ends a request whose deadline has come, and resets its flow.
-func (w *world) giveUp(r *request) {
-	if r.over {
+// expire ends a request at its deadline and resets its flow.
+func (w *world) expire(r *request) {
+	if r.done {
 		return
 	}
-	r.over = true
+	r.done = true
 	cf := r.flow
 	if cf == nil {
-		return // between two tries
+		return // between two attempts
 	}
-	w.unassign(cf)
-	w.drop(cf)
+	w.detach(cf)
+	w.removeFlow(cf)
 	if cf.open {
-		w.send(cf, packet.Packet{Flags: packet.RST | packet.ACK, Seq: cf.end, Ack: cf.ack})
+		w.sendToService(cf, packet.Packet{Flags: packet.RST | packet.ACK, Seq: cf.endSeq, Ack: cf.ack})
 	}
 }
 
-// try makes the next try of a request, over an idle flow if there is one.
-func (w *world) try(r *request) {
-	if r.over {
+// attempt starts the next attempt of a request, over an idle flow if there is one.
+func (w *world) attempt(r *request) {
+	if r.done {
 		return
 	}
-	r.tries++
+	r.attempts++
 	idle := r.caller.idle[r.class]
 	if n := len(idle); n > 0 {
 		cf := idle[n-1]
 		r.caller.idle[r.class] = idle[:n-1]
 		w.assign(cf, r)
-		w.sendRequest(cf, r, resendFirst)
+		w.sendRequest(cf, r, initialResendDelay)
 		return
 	}
 	r.caller.port++
-	cf := &callerFlow{caller: r.caller, seq: 1, flow: packet.Flow{
+	cf := &callerFlow{caller: r.caller, nextSeq: 1, flow: packet.Flow{
 		Client:  packet.Endpoint{IP: [4]byte{100, 64, 0, byte(r.caller.n)}, Port: r.caller.port},
-		Service: w.d.address(r.class),
+		Service: w.d.serviceAddress(r.class),
 	}}
 	w.flows[cf.flow] = cf
 	w.assign(cf, r)
-	for n, after := range copiesAfter {
+	for n, after := range synCopyDelays {
 		w.after(after, func() {
 			if cf.req == r && !cf.open {
-				w.send(cf, packet.Packet{Flags: packet.SYN, Ack: uint32(n)})
+				w.sendToService(cf, packet.Packet{Flags: packet.SYN, Ack: uint32(n)})
 			}
 		})
 	}
 	w.after(packet.OpenPatience, func() {
 		if cf.req == r && !cf.open {
-			w.failed(cf, true)
+			w.attemptFailed(cf, true)
 		}
 	})
 }
@@ -140,48 +141,50 @@
 	r.flow = cf
 }
 
-// unassign parts a flow from its request.
-func (w *world) unassign(cf *callerFlow) *request {
+// detach separates a flow from its request and returns the request.
+func (w *world) detach(cf *callerFlow) *request {
 	r := cf.req
 	cf.req = nil
 	r.flow = nil
 	return r
 }
 
-// send sends a packet to one of the balancers of the caller's data centre.
-func (w *world) send(cf *callerFlow, p packet.Packet) {
+// sendToService sends a packet to one of the balancers of the caller's data centre.
+func (w *world) sendToService(cf *callerFlow, p packet.Packet) {
 	p.Src, p.Dst = cf.flow.Client, cf.flow.Service
-	raw := w.wire(p, false)
-	b := w.fabric(cf)
-	w.after(w.d.CallerDelay, func() { b.fromCaller(raw) })
+	raw := w.encode(p, false)
+	b := w.balancerFor(cf)
+	w.after(w.d.CallerDelay, func() { b.handleCallerPacket(raw) })
 }
 
-// fabric hands a flow's packets to one of the balancers of the caller's zone.
-func (w *world) fabric(cf *callerFlow) *balancer {
-	each := w.d.Balancers / w.d.Zones
-	return w.balancers[cf.caller.zone*each+int(cf.flow.Client.Port)%each]
+// balancerFor returns the balancer in the caller's data centre that the fabric selects
+// for a flow.
+func (w *world) balancerFor(cf *callerFlow) *balancer {
+	balancersPerZone := w.d.Balancers / w.d.Zones
+	return w.balancers[cf.caller.zone*balancersPerZone+int(cf.flow.Client.Port)%balancersPerZone]
 }
 
-// sendRequest sends a request, again and again until the target has it.
-func (w *world) sendRequest(cf *callerFlow, r *request, again time.Duration) {
-	if cf.req != r || cf.acked {
+// sendRequest sends a request, and resends it with growing delays until the target has
+// acknowledged it.
+func (w *world) sendRequest(cf *callerFlow, r *request, delay time.Duration) {
+	if cf.req != r || cf.requestAcked {
 		return
 	}
-	cf.end = cf.seq + requestSize
-	w.send(cf, packet.Packet{Flags: packet.ACK, Seq: cf.seq, Ack: cf.ack, Data: requestSize})
-	w.after(again, func() { w.sendRequest(cf, r, min(2*again, resendMost)) })
+	cf.endSeq = cf.nextSeq + requestSize
+	w.sendToService(cf, packet.Packet{Flags: packet.ACK, Seq: cf.nextSeq, Ack: cf.ack, Data: requestSize})
+	w.after(delay, func() { w.sendRequest(cf, r, min(2*delay, maxResendDelay)) })
 }
 
-// requestOn is the request that a flow is for now.
-func (w *world) requestOn(f packet.Flow) *request {
+// requestOf returns the current request of a flow, or nil.
+func (w *world) requestOf(f packet.Flow) *request {
 	if cf := w.flows[f]; cf != nil {
 		return cf.req
 	}
 	return nil
 }
 
-// toCaller hands a target's packet to the caller.
-func (w *world) toCaller(s sent) {
+// toCaller delivers a target's packet to the caller.
+func (w *world) toCaller(s sentPacket) {
 	cf := w.flows[s.p.FromTarget()]
 	if cf == nil {
 		return
@@ -191,38 +194,39 @@
 		if !cf.open && cf.req != nil {
 			cf.open = true
 			cf.ack = s.p.Seq + 1
-			w.sendRequest(cf, cf.req, resendFirst)
+			w.sendRequest(cf, cf.req, initialResendDelay)
 		}
 	case cf.req == nil:
-	case s.p.Data > 0 && s.p.Ack == cf.end:
-		w.answered(cf, s.shed)
-	case s.p.Ack == cf.end:
-		cf.acked = true
+	case s.p.Data > 0 && s.p.Ack == cf.endSeq:
+		w.handleAnswer(cf, s.shed)
+	case s.p.Ack == cf.endSeq:
+		cf.requestAcked = true
 	}
 }
 
-// answered takes an answer.
-func (w *world) answered(cf *callerFlow, shed bool) {
+// handleAnswer handles an answer; shed tells that the request wasn't run.
+func (w *world) handleAnswer(cf *callerFlow, shed bool) {
 	if shed {
-		w.send(cf, packet.Packet{Flags: packet.FIN | packet.ACK, Seq: cf.end, Ack: cf.ack})
-		w.failed(cf, true)
+		w.sendToService(cf, packet.Packet{Flags: packet.FIN | packet.ACK, Seq: cf.endSeq, Ack: cf.ack})
+		w.attemptFailed(cf, true)
 		return
 	}
-	r := w.unassign(cf)
+	r := w.detach(cf)
 	r.servedAt = w.now
-	r.over = true
-	cf.acked = false
-	cf.seq = cf.end
-	if w.d.Classes[r.class].Feed && !w.leaving(cf) {
+	r.done = true
+	cf.requestAcked = false
+	cf.nextSeq = cf.endSeq
+	if w.d.Classes[r.class].Feed && !w.targetDraining(cf) {
 		cf.caller.idle[r.class] = append(cf.caller.idle[r.class], cf)
 		return
 	}
-	w.send(cf, packet.Packet{Flags: packet.FIN | packet.ACK, Seq: cf.end, Ack: cf.ack})
-	w.drop(cf)
+	w.sendToService(cf, packet.Packet{Flags: packet.FIN | packet.ACK, Seq: cf.endSeq, Ack: cf.ack})
+	w.removeFlow(cf)
 }
 
-// leaving tells whether the flow's target closes it after an answer.
-func (w *world) leaving(cf *callerFlow) bool {
+// targetDraining reports whether the flow's target is draining and so closes the flow
+// after an answer.
+func (w *world) targetDraining(cf *callerFlow) bool {
 	for _, a := range w.agents {
 		if a.target.flows[cf.flow] != nil {
 			return a.target.draining
@@ -231,35 +235,36 @@
 	return false
 }
 
-// reset tells a caller that its flow is over.
-func (w *world) reset(f packet.Flow) {
-	w.afterEvent(f, w.d.CallerDelay, func() {
+// resetFlow delivers a reset of a flow to its caller.
+func (w *world) resetFlow(f packet.Flow) {
+	w.scheduleOrdered(f, w.d.CallerDelay, func() {
 		cf := w.flows[f]
 		if cf == nil {
 			return
 		}
 		if cf.req == nil {
-			w.drop(cf)
+			w.removeFlow(cf)
 			return
 		}
-		w.failed(cf, !cf.open)
+		w.attemptFailed(cf, !cf.open)
 	})
 }
 
-// failed ends a try; notRun says that the request surely hasn't run.
-func (w *world) failed(cf *callerFlow, notRun bool) {
-	r := w.unassign(cf)
-	w.drop(cf)
+// attemptFailed ends an attempt and schedules the next one, if the caller may retry.
+// notRun tells that the request certainly hasn't run.
+func (w *world) attemptFailed(cf *callerFlow, notRun bool) {
+	r := w.detach(cf)
+	w.removeFlow(cf)
 	c := &w.d.Classes[r.class]
-	if c.Once && !notRun || r.tries > w.d.Retries {
-		r.over = true
+	if c.AtMostOnce && !notRun || r.attempts > w.d.Retries {
+		r.done = true
 		return
 	}
-	w.after(w.exp(retryPause), func() { w.try(r) })
+	w.after(w.exp(meanRetryDelay), func() { w.attempt(r) })
 }
 
-// drop forgets a flow.
-func (w *world) drop(cf *callerFlow) {
+// removeFlow removes a flow.
+func (w *world) removeFlow(cf *callerFlow) {
 	delete(w.flows, cf.flow)
 	for class, idle := range cf.caller.idle {
 		for i, x := range idle {
--- a/internal/passthrough/simulation/compare.go
+++ b/internal/passthrough/simulation/compare.go
@@ -10,21 +10,22 @@
 	"time"
 )
 
-// Variant is what is compared with the policies in use.
+// Variant is a change of the current policies to compare them with.
 type Variant struct {
 	Name string
-	// Change makes a policy of the one in use.
+	// Change modifies the current policies.
 	Change func(p *Policies)
-	// Reference plays the reference in place of the nodes.
+	// Reference replaces balancers and agents by the reference.
 	Reference bool
 }
 
-// Reference is the variant that no policy can be; see reference.
+// Reference returns the variant with a single ideal queue, an upper bound that no policy
+// can reach; see reference.
 func Reference() Variant {
 	return Variant{Name: "one queue that knows all (reference)", Change: func(*Policies) {}, Reference: true}
 }
 
-// Ablation is each mechanism switched off by itself.
+// Ablation returns variants in which one mechanism each is switched off.
 func Ablation() []Variant {
 	return []Variant{
 		{Name: "no waiting at agents: all through to the target", Change: func(p *Policies) { p.Flowtable.Unlimited = true }},
@@ -46,12 +47,13 @@
 	}
 }
 
-// Sweep is each threshold a third and three times as large.
+// Sweep returns variants with one threshold each set to a third of its value or to three
+// times its value.
 func Sweep() []Variant {
 	var out []Variant
 	for _, t := range []struct {
-		name string
-		of   func(p *Policies, by float64)
+		name  string
+		scale func(p *Policies, by float64)
 	}{
 		{"MaxWait", func(p *Policies, by float64) { p.Flowtable.MaxWait = scaled(p.Flowtable.MaxWait, by) }},
 		{"ExpectFor", func(p *Policies, by float64) { p.Flowtable.ExpectFor = scaled(p.Flowtable.ExpectFor, by) }},
@@ -65,51 +67,51 @@
 		{"ColdSlowdown", func(p *Policies, by float64) { p.Forward.Place.ColdSlowdown *= by }},
 	} {
 		out = append(out,
-			Variant{Name: t.name + " / 3", Change: func(p *Policies) { t.of(p, 1.0/3) }},
-			Variant{Name: t.name + " x 3", Change: func(p *Policies) { t.of(p, 3) }})
+			Variant{Name: t.name + " / 3", Change: func(p *Policies) { t.scale(p, 1.0/3) }},
+			Variant{Name: t.name + " x 3", Change: func(p *Policies) { t.scale(p, 3) }})
 	}
 	return out
 }
 
 func scaled(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
 
-// Comparison is what a policy gives over the drawn deployments.
+// Comparison holds the outcomes of a variant on the random deployments.
 type Comparison struct {
 	Name string
-	// Outcomes has one for each scenario and deployment.
+	// Outcomes is indexed by scenario and deployment.
 	Outcomes [][]Outcome
 }
 
-// Compare plays every scenario on drawn deployments, by the policy in use and by
+// Compare runs every scenario on random deployments, with the current policies and with
 // each variant. The same seed and count give the same comparisons.
 func Compare(variants []Variant, scenarios []Scenario, deployments int, seed uint64) []Comparison {
 	all := append([]Variant{{Name: "as it is", Change: func(*Policies) {}}}, variants...)
 	out := make([]Comparison, len(all))
 	var jobs []func()
 	for v := range all {
-		p := InUse()
+		p := CurrentPolicies()
 		all[v].Change(&p)
 		out[v] = Comparison{Name: all[v].Name, Outcomes: make([][]Outcome, len(scenarios))}
 		for s := range scenarios {
 			out[v].Outcomes[s] = make([]Outcome, deployments)
 			for n := range deployments {
 				jobs = append(jobs, func() {
-					d := Draw(rand.New(rand.NewPCG(seed, uint64(n))))
-					play := Play
+					d := RandomDeployment(rand.New(rand.NewPCG(seed, uint64(n))))
+					run := Run
 					if all[v].Reference {
-						play = PlayReference
+						run = RunReference
 					}
-					out[v].Outcomes[s][n] = play(d, scenarios[s], p, seed+uint64(n))
+					out[v].Outcomes[s][n] = run(d, scenarios[s], p, seed+uint64(n))
 				})
 			}
 		}
 	}
-	inParallel(jobs)
+	runParallel(jobs)
 	return out
 }
 
-// inParallel runs all jobs on half of the processors.
-func inParallel(jobs []func()) {
+// runParallel runs all jobs on half of the processors.
+func runParallel(jobs []func()) {
 	var wg sync.WaitGroup
 	next := make(chan func())
 	for range max(1, runtime.NumCPU()/2) {
@@ -126,21 +128,21 @@
 	wg.Wait()
 }
 
-// Write prints for each scenario and policy what callers get, on average and on the
-// deployment that the variant serves worst against the policy in use.
+// Write prints the mean outcome for each scenario and variant, the gain over the current
+// policies, and the gain on the deployment where it is lowest.
 func Write(out io.Writer, scenarios []Scenario, comparisons []Comparison) {
-	base := comparisons[0]
+	baseline := comparisons[0]
 	for s, sc := range scenarios {
-		fmt.Fprintf(out, "\n%s, %d deployments\n", sc.Name, len(base.Outcomes[s]))
+		fmt.Fprintf(out, "\n%s, %d deployments\n", sc.Name, len(baseline.Outcomes[s]))
 		fmt.Fprintf(out, "%-52s %7s %7s %8s %7s %8s %8s %8s %8s\n", "policy", "in time", "late", "unserved", "worth", "p50 ms", "p99 ms", "gain", "worst")
 		for _, c := range comparisons {
-			writeRow(out, c.Name, c.Outcomes[s], base.Outcomes[s])
+			writeRow(out, c.Name, c.Outcomes[s], baseline.Outcomes[s])
 		}
 	}
 }
 
-// Gain is how much more worth a policy gives than another, on average over scenarios
-// and deployments.
+// Gain returns how much higher Worth is than in another comparison, on average over
+// scenarios and deployments.
 func (c Comparison) Gain(over Comparison) float64 {
 	sum, n := 0.0, 0
 	for s := range c.Outcomes {
@@ -152,7 +154,7 @@
 	return sum / float64(max(n, 1))
 }
 
-func writeRow(out io.Writer, name string, outcomes, base []Outcome) {
+func writeRow(out io.Writer, name string, outcomes, baseline []Outcome) {
 	var inTime, late, unserved, worth, p50, p99, gain float64
 	worst := 0.0
 	for i, o := range outcomes {
@@ -162,8 +164,8 @@
 		worth += o.Worth
 		p50 += o.P50.Seconds() * 1000
 		p99 += o.P99.Seconds() * 1000
-		gain += o.Worth - base[i].Worth
-		worst = min(worst, o.Worth-base[i].Worth)
+		gain += o.Worth - baseline[i].Worth
+		worst = min(worst, o.Worth-baseline[i].Worth)
 	}
 	n := float64(len(outcomes))
 	fmt.Fprintf(out, "%-52s %7.3f %7.3f %8.3f %7.3f %8.0f %8.0f %+8.4f %+8.3f\n",
--- a/internal/passthrough/simulation/node.go
+++ b/internal/passthrough/simulation/node.go
@@ -13,23 +13,23 @@
 	"bergamotstall/internal/passthrough/route"
 )
 
-// announceInterval is the time between two announcements of a target.
+// announceInterval is the time between a target's announcements.
 const announceInterval = 770 * time.Millisecond
 
-// balancer is one balancer's process, or the place for one.
+// balancer is a VM that runs a balancer's process, or none while it is down.
 type balancer struct {
 	w       *world
 	n, zone int
 	engine  *forward.Engine
-	// process counts the starts; what was sent to an earlier one is lost.
+	// process counts the starts. Packets sent to an earlier process are lost.
 	process int
 	up      bool
 }
 
 func (b *balancer) address() netip.AddrPort { return addressOf(0, b.n) }
 
-// start begins a process; it gets its table after a while.
-func (b *balancer) start(tableAfter time.Duration) {
+// start starts a process, which gets its table after tableDelay.
+func (b *balancer) start(tableDelay time.Duration) {
 	w := b.w
 	b.process++
 	b.up = true
@@ -37,11 +37,11 @@
 	b.engine = forward.New(forward.Config{
 		Zone: zoneName(b.zone), Rand: rand.New(rand.NewPCG(seed, seed)), Policy: w.policies.Forward, Out: b,
 	})
-	b.alive(tableAfter, func() {
+	b.afterIfUp(tableDelay, func() {
 		b.engine.SetTable(w.clock(), w.table)
 		for _, a := range w.agents {
-			if a.up && a.attached {
-				b.engine.List(w.clock(), a.listed())
+			if a.up && a.listed {
+				b.engine.List(w.clock(), a.agentInfo())
 			}
 		}
 	})
@@ -50,11 +50,11 @@
 
 func (b *balancer) tick() {
 	b.engine.Tick(b.w.clock())
-	b.alive(tickInterval, b.tick)
+	b.afterIfUp(tickInterval, b.tick)
 }
 
-// alive runs a step later, if the process still runs then.
-func (b *balancer) alive(d time.Duration, step func()) {
+// afterIfUp runs a step after d if the same process still runs then.
+func (b *balancer) afterIfUp(d time.Duration, step func()) {
 	process := b.process
 	b.w.after(d, func() {
 		if b.up && b.process == process {
@@ -63,10 +63,10 @@
 	})
 }
 
-// fromCaller takes a packet from a caller.
-func (b *balancer) fromCaller(raw []byte) {
+// handleCallerPacket handles a packet from a caller.
+func (b *balancer) handleCallerPacket(raw []byte) {
 	if b.up {
-		b.engine.FromClient(b.w.clock(), b.w.carried(raw).p, raw)
+		b.engine.FromClient(b.w.clock(), b.w.decode(raw).p, raw)
 	}
 }
 
@@ -75,10 +75,10 @@
 	a := b.w.agentAt(to)
 	h := peer.Head{Kind: peer.KindDeliver, Service: service, Age: peer.AgeOf(age)}
 	raw = append([]byte(nil), raw...)
-	b.w.after(b.w.way(b.zone, a.zone), func() {
+	b.w.after(b.w.networkDelay(b.zone, a.zone), func() {
 		if a.up {
-			a.know(b)
-			a.engine.FromBalancer(b.w.clock(), b.address(), h, b.w.carried(raw).p, raw)
+			a.addBalancer(b)
+			a.engine.FromBalancer(b.w.clock(), b.address(), h, b.w.decode(raw).p, raw)
 		}
 	})
 }
@@ -86,9 +86,9 @@
 // Ask implements forward.Output.
 func (b *balancer) Ask(to netip.AddrPort, q peer.Question) {
 	a := b.w.agentAt(to)
-	b.w.afterEvent(q.Flow, b.w.way(b.zone, a.zone), func() {
+	b.w.scheduleOrdered(q.Flow, b.w.networkDelay(b.zone, a.zone), func() {
 		if a.up {
-			a.know(b)
+			a.addBalancer(b)
 			a.engine.Ask(b.w.clock(), b.address(), q)
 		}
 	})
@@ -97,21 +97,21 @@
 // Probe implements forward.Output.
 func (b *balancer) Probe(to netip.AddrPort) {
 	a := b.w.agentAt(to)
-	b.w.after(b.w.way(b.zone, a.zone), func() {
+	b.w.after(b.w.networkDelay(b.zone, a.zone), func() {
 		if a.up {
-			a.know(b)
+			a.addBalancer(b)
 			a.reportTo(b)
 		}
 	})
 }
 
 // Reset implements forward.Output.
-func (b *balancer) Reset(f packet.Flow, _ uint32) { b.w.reset(f) }
+func (b *balancer) Reset(f packet.Flow, _ uint32) { b.w.resetFlow(f) }
 
 // Note implements forward.Output.
 func (b *balancer) Note(forward.Decision) {}
 
-// agent is one agent's process with its target.
+// agent is a VM that runs an agent's process and its target.
 type agent struct {
 	w       *world
 	n, zone int
@@ -119,53 +119,53 @@
 	engine  *flowtable.Engine
 	process int
 	up      bool
-	// attached says that control lists the agent; known are the balancers that sent
-	// something.
-	attached bool
-	known    map[int]bool
-	target   *target
+	// listed tells that control lists the agent; knownBalancers are the balancers from
+	// which it received something, and to which it sends reports.
+	listed         bool
+	knownBalancers map[int]bool
+	target         *target
 }
 
 func (a *agent) address() netip.AddrPort { return addressOf(1, a.n) }
 
-// start begins a process. Control tells it after a while of the routes, the
-// balancers, and of flows that were held here.
-func (a *agent) start(attachAfter time.Duration, held func() (flowlog.Update, bool)) {
+// start starts a process. After tableDelay it gets its table and the records of flows
+// that were open here, and balancers learn of the agent.
+func (a *agent) start(tableDelay time.Duration, flowRecords func() (flowlog.Update, bool)) {
 	w := a.w
 	a.process++
 	a.up = true
-	a.attached = false
-	a.known = map[int]bool{}
+	a.listed = false
+	a.knownBalancers = map[int]bool{}
 	a.engine = flowtable.New(flowtable.Config{
 		Service: a.service, Zone: zoneName(a.zone), Process: uint64(a.process), Heartbeat: announceInterval,
-		StartedAt: w.clock(), StartedWall: w.wall(), Policy: w.policies.Flowtable, Codec: codec{}, Out: a,
+		StartedAt: w.clock(), StartedWall: w.wallTime(), Policy: w.policies.Flowtable, Codec: codec{}, Out: a,
 	})
-	a.alive(attachAfter, func() { a.attach(held) })
+	a.afterIfUp(tableDelay, func() { a.joinControl(flowRecords) })
 	a.tick()
 }
 
-func (a *agent) attach(held func() (flowlog.Update, bool)) {
-	a.attached = true
+func (a *agent) joinControl(flowRecords func() (flowlog.Update, bool)) {
+	a.listed = true
 	a.engine.SetTable(a.w.table)
-	if u, ok := held(); ok {
+	if u, ok := flowRecords(); ok {
 		a.engine.Recalled(a.w.clock(), u)
 	}
 	for _, b := range a.w.balancers {
 		if b.up {
-			b.engine.List(a.w.clock(), a.listed())
+			b.engine.List(a.w.clock(), a.agentInfo())
 		}
 	}
 }
 
-// listed is how control tells of the agent.
-func (a *agent) listed() forward.Listed {
+// agentInfo returns the agent's entry in control's list.
+func (a *agent) agentInfo() forward.Listed {
 	return forward.Listed{Address: a.address(), Zone: zoneName(a.zone), Service: route.IDOf(a.service), Process: uint64(a.process)}
 }
 
-// know has a balancer that sent something get reports.
-func (a *agent) know(b *balancer) { a.known[b.n] = true }
+// addBalancer records that a balancer has sent something, so that it gets reports.
+func (a *agent) addBalancer(b *balancer) { a.knownBalancers[b.n] = true }
 
-func (a *agent) alive(d time.Duration, step func()) {
+func (a *agent) afterIfUp(d time.Duration, step func()) {
 	process := a.process
 	a.w.after(d, func() {
 		if a.up && a.process == process {
@@ -176,19 +176,19 @@
 
 func (a *agent) tick() {
 	a.engine.Tick(a.w.clock())
-	a.alive(a.engine.NextTick(tickInterval), a.tick)
+	a.afterIfUp(a.engine.NextTick(tickInterval), a.tick)
 }
 
 // ToTarget implements flowtable.Output.
 func (a *agent) ToTarget(raw []byte) {
 	t := a.target
 	raw = append([]byte(nil), raw...)
-	a.w.after(onVM, func() { t.take(raw) })
+	a.w.after(sameVMDelay, func() { t.handlePacket(raw) })
 }
 
 // ToClient implements flowtable.Output.
 func (a *agent) ToClient(_ packet.Endpoint, raw []byte) {
-	s := a.w.carried(raw)
+	s := a.w.decode(raw)
 	a.w.after(a.w.d.CallerDelay, func() { a.w.toCaller(s) })
 }
 
@@ -197,9 +197,9 @@
 	b := a.w.balancers[int(to.Addr().As4()[3])]
 	h := peer.Head{Kind: peer.KindRefused, Reason: why, Age: peer.AgeOf(age)}
 	raw = append([]byte(nil), raw...)
-	p := a.w.carried(raw).p
+	p := a.w.decode(raw).p
 	process := b.process
-	a.w.afterEvent(p.FromClient(), a.w.way(a.zone, b.zone), func() {
+	a.w.scheduleOrdered(p.FromClient(), a.w.networkDelay(a.zone, b.zone), func() {
 		if b.up && b.process == process {
 			b.engine.Refused(a.w.clock(), a.address(), h, p, raw)
 		}
@@ -209,16 +209,16 @@
 // Answer implements flowtable.Output.
 func (a *agent) Answer(to netip.AddrPort, r peer.Ruling) {
 	b := a.w.balancers[int(to.Addr().As4()[3])]
-	b.alive(a.w.way(a.zone, b.zone), func() { b.engine.Answered(a.w.clock(), a.address(), r) })
+	b.afterIfUp(a.w.networkDelay(a.zone, b.zone), func() { b.engine.Answered(a.w.clock(), a.address(), r) })
 }
 
 // Reset implements flowtable.Output.
-func (a *agent) Reset(f packet.Flow, _ uint32) { a.w.reset(f) }
+func (a *agent) Reset(f packet.Flow, _ uint32) { a.w.resetFlow(f) }
 
 // Report implements flowtable.Output.
 func (a *agent) Report() {
 	for _, b := range a.w.balancers {
-		if a.known[b.n] {
+		if a.knownBalancers[b.n] {
 			a.reportTo(b)
 		}
 	}
@@ -229,7 +229,7 @@
 		return
 	}
 	r := a.engine.Report(a.w.clock())
-	b.alive(a.w.way(a.zone, b.zone), func() { b.engine.Reported(a.w.clock(), a.address(), r) })
+	b.afterIfUp(a.w.networkDelay(a.zone, b.zone), func() { b.engine.Reported(a.w.clock(), a.address(), r) })
 }
 
 // Note implements flowtable.Output.
--- a/internal/passthrough/simulation/outcome.go
+++ b/internal/passthrough/simulation/outcome.go
@@ -10,59 +10,61 @@
 	"bergamotstall/internal/passthrough/packet"
 )
 
-// Outcome is what callers got.
+// Outcome summarizes what callers got.
 type Outcome struct {
-	Asked, InTime, Late, Unserved int
-	// Worth is what was served as a part of what was asked for: 1 for all in time.
+	Requests, InTime, Late, Unserved int
+	// Worth is the value of all answers as a fraction of the value if all requests had
+	// been answered in time.
 	Worth float64
-	// P50 and P99 are of the requests served, from a request's first try.
+	// P50 and P99 are latencies of served requests, from the first attempt.
 	P50, P99 time.Duration
-	// Twice counts requests that must run at most once and ran again.
-	Twice int
+	// RanTwice counts requests that must run at most once but ran more than once.
+	RanTwice int
 }
 
-// Share is a count as a part of what was asked for.
+// Share returns a count as a fraction of all requests.
 func (o Outcome) Share(n int) float64 {
-	if o.Asked == 0 {
+	if o.Requests == 0 {
 		return 0
 	}
-	return float64(n) / float64(o.Asked)
+	return float64(n) / float64(o.Requests)
 }
 
-// outcome judges the requests that were made between two moments.
+// outcome summarizes the requests made from one time until before another. RanTwice
+// counts requests of the whole run.
 func (w *world) outcome(from, to time.Duration) Outcome {
 	var o Outcome
-	var took []time.Duration
-	owed, earned := 0.0, 0.0
+	var answerTimes []time.Duration
+	possible, achieved := 0.0, 0.0
 	for _, r := range w.requests {
 		c := &w.d.Classes[r.class]
-		if c.Once && r.runs > 1 {
-			o.Twice++
+		if c.AtMostOnce && r.runs > 1 {
+			o.RanTwice++
 		}
 		if r.at < from || r.at >= to {
 			continue
 		}
-		o.Asked++
-		owed += c.Worth
+		o.Requests++
+		possible += c.Worth
 		switch {
 		case r.servedAt == 0:
 			o.Unserved++
 			continue
-		case r.servedAt-r.at <= c.Aim:
+		case r.servedAt-r.at <= c.LatencyGoal:
 			o.InTime++
-			earned += c.Worth
+			achieved += c.Worth
 		default:
 			o.Late++
-			earned += c.Worth * lateWorth
+			achieved += c.Worth * lateWorthFactor
 		}
-		took = append(took, r.servedAt-r.at)
+		answerTimes = append(answerTimes, r.servedAt-r.at)
 	}
-	if owed > 0 {
-		o.Worth = earned / owed
+	if possible > 0 {
+		o.Worth = achieved / possible
 	}
-	slices.Sort(took)
-	if n := len(took); n > 0 {
-		o.P50, o.P99 = took[n/2], took[n*99/100]
+	slices.Sort(answerTimes)
+	if n := len(answerTimes); n > 0 {
+		o.P50, o.P99 = answerTimes[n/2], answerTimes[n*99/100]
 	}
 	return o
 }
--- a/internal/passthrough/simulation/reference.go
+++ b/internal/passthrough/simulation/reference.go
@@ -2,59 +2,58 @@
 
 import "time"
 
-// reference is what no balancer can be: one queue for all, which knows at every
-// moment which requests wait, for how long already, and which slots are free, and
-// needs no handshakes. What it gives callers is what a policy is measured against.
-// Requests that can still be answered in time go first, the worthiest and then the
-// newest of them; what is left of the slots goes to those that are late, the
-// worthiest first and then the ones with the least time left.
+// reference is an ideal that policies are compared with and that no balancer can reach:
+// one queue for all requests, which always knows the waiting requests and the free slots
+// and needs no handshakes. Requests that can still be answered in time go first, by
+// worth and then the newest first. The remaining slots go to late requests, by worth and
+// then by the earliest deadline.
 type reference struct {
 	w       *world
 	waiting []*request
-	// opensAt is when nodes have a table again after an outage.
-	opensAt time.Duration
+	// availableAt is when balancers and agents have a table again after an outage.
+	availableAt time.Duration
 }
 
-// add takes a request.
+// add adds a request to the queue.
 func (q *reference) add(r *request) {
 	q.waiting = append(q.waiting, r)
-	q.fill()
+	q.assignSlots()
 }
 
-// fill gives free slots to those who wait.
-func (q *reference) fill() {
-	if q.w.now < q.opensAt {
+// assignSlots assigns free slots to waiting requests.
+func (q *reference) assignSlots() {
+	if q.w.now < q.availableAt {
 		return
 	}
 	for _, a := range q.w.agents {
 		t := a.target
 		for t.up && !t.draining && t.running < int(q.w.d.Slots) {
-			r := q.take(t)
+			r := q.next(t)
 			if r == nil {
 				break
 			}
-			q.begin(t, r)
+			q.start(t, r)
 		}
 	}
 }
 
-// take removes the request that goes next at a target; nil if there is none.
-func (q *reference) take(t *target) *request {
+// next removes and returns the next request for a target, or nil if there is none.
+func (q *reference) next(t *target) *request {
 	best := -1
-	kept := q.waiting[:0]
+	remaining := q.waiting[:0]
 	for _, r := range q.waiting {
-		if r.over {
+		if r.done {
 			continue
 		}
-		kept = append(kept, r)
-		if !q.serves(t, r) {
+		remaining = append(remaining, r)
+		if !q.canServe(t, r) {
 			continue
 		}
-		if best < 0 || q.before(t, r, kept[best]) {
-			best = len(kept) - 1
+		if best < 0 || q.hasPriority(t, r, remaining[best]) {
+			best = len(remaining) - 1
 		}
 	}
-	q.waiting = kept
+	q.waiting = remaining
 	if best < 0 {
 		return nil
 	}
@@ -63,13 +62,13 @@
 	return r
 }
 
-func (q *reference) serves(t *target, r *request) bool {
+func (q *reference) canServe(t *target, r *request) bool {
 	return (t.agent.service == archive) == q.w.d.Classes[r.class].Archive
 }
 
-func (q *reference) before(t *target, a, b *request) bool {
-	inTime := q.inTime(t, a)
-	if inTime != q.inTime(t, b) {
+func (q *reference) hasPriority(t *target, a, b *request) bool {
+	inTime := q.meetsGoal(t, a)
+	if inTime != q.meetsGoal(t, b) {
 		return inTime
 	}
 	if x, y := q.w.d.Classes[a.class].Worth, q.w.d.Classes[b.class].Worth; x != y {
@@ -81,22 +80,23 @@
 	return a.deadline < b.deadline
 }
 
-// inTime tells whether a request that begins now is answered within its aim.
-func (q *reference) inTime(t *target, r *request) bool {
-	return q.w.now+t.takes(r)+2*q.w.d.CallerDelay <= r.at+q.w.d.Classes[r.class].Aim
+// meetsGoal reports whether a request that starts now is answered within its latency
+// goal.
+func (q *reference) meetsGoal(t *target, r *request) bool {
+	return q.w.now+t.serviceTime(r)+2*q.w.d.CallerDelay <= r.at+q.w.d.Classes[r.class].LatencyGoal
 }
 
-func (q *reference) begin(t *target, r *request) {
+func (q *reference) start(t *target, r *request) {
 	t.running++
-	q.w.after(t.takes(r), func() {
+	q.w.after(t.serviceTime(r), func() {
 		if !t.up {
 			return
 		}
 		t.running--
-		if !r.over {
-			r.over = true
+		if !r.done {
+			r.done = true
 			r.servedAt = q.w.now + 2*q.w.d.CallerDelay
 		}
-		q.fill()
+		q.assignSlots()
 	})
 }
--- a/internal/passthrough/simulation/scenario.go
+++ b/internal/passthrough/simulation/scenario.go
@@ -9,18 +9,18 @@
 	"bergamotstall/internal/passthrough/route"
 )
 
-// Scenario is a load and what happens to the machines.
+// Scenario is a change of the load or of the VMs.
 type Scenario struct {
 	Name string
-	// Lasts is how long after its begin callers are asked about it.
-	Lasts time.Duration
-	begin func(w *world)
+	// Duration is how long after its start requests count for the outcome.
+	Duration time.Duration
+	start    func(w *world)
 }
 
-// disturbedAt is when a scenario begins; until then callers open their feeds.
-const disturbedAt = 3 * time.Second
+// scenarioStart is when a scenario starts; before that, callers open their feeds.
+const scenarioStart = 3 * time.Second
 
-// Scenarios are what the model plays.
+// Scenarios returns all scenarios.
 func Scenarios() []Scenario {
 	return []Scenario{
 		{"outage", 7 * time.Second, (*world).outage},
@@ -33,30 +33,30 @@
 	}
 }
 
-// Play plays a scenario on a deployment. The same arguments give the same outcome.
-func Play(d Deployment, s Scenario, p Policies, seed uint64) Outcome {
-	return newWorld(d, p, seed).play(s)
+// Run runs a scenario on a deployment. The same arguments give the same outcome.
+func Run(d Deployment, s Scenario, p Policies, seed uint64) Outcome {
+	return newWorld(d, p, seed).runScenario(s)
 }
 
-// PlayReference plays a scenario with the reference in place of the nodes.
-func PlayReference(d Deployment, s Scenario, p Policies, seed uint64) Outcome {
+// RunReference runs a scenario with the reference in place of balancers and agents.
+func RunReference(d Deployment, s Scenario, p Policies, seed uint64) Outcome {
 	w := newWorld(d, p, seed)
 	w.reference = &reference{w: w}
-	return w.play(s)
+	return w.runScenario(s)
 }
 
-func (w *world) play(s Scenario) Outcome {
-	w.end = disturbedAt + s.Lasts + longestDeadline
-	w.after(disturbedAt, func() { s.begin(w) })
-	w.after(disturbedAt+s.Lasts, func() { w.stopped = true })
+func (w *world) runScenario(s Scenario) Outcome {
+	w.endTime = scenarioStart + s.Duration + maxDeadline
+	w.after(scenarioStart, func() { s.start(w) })
+	w.after(scenarioStart+s.Duration, func() { w.arrivalsStopped = true })
 	w.run()
-	return w.outcome(disturbedAt, disturbedAt+s.Lasts)
+	return w.outcome(scenarioStart, scenarioStart+s.Duration)
 }
 
-// newWorld is a deployment that runs.
+// newWorld returns a running deployment.
 func newWorld(d Deployment, p Policies, seed uint64) *world {
 	w := &world{
-		d: d, policies: p, rng: rand.New(rand.NewPCG(seed, 17)), load: 1,
+		d: d, policies: p, rng: rand.New(rand.NewPCG(seed, 17)), loadFactor: 1,
 		table: route.NewTable(d.definition()), flows: map[packet.Flow]*callerFlow{},
 	}
 	for n := range d.Balancers {
@@ -71,13 +71,13 @@
 		w.addTarget(archive, n%d.Zones)
 	}
 	for _, a := range w.agents {
-		a.target.born -= d.Cold // they started long ago
+		a.target.startedAt -= d.ColdTime // started long enough ago to be warm
 	}
 	for n := range d.Callers {
 		w.callers = append(w.callers, &callerVM{n: n, zone: n % d.Zones, port: 1024, idle: map[int][]*callerFlow{}})
 	}
 	for class := range d.Classes {
-		w.after(100*time.Millisecond, func() { w.arrivals(class) })
+		w.after(100*time.Millisecond, func() { w.scheduleArrivals(class) })
 	}
 	return w
 }
@@ -87,57 +87,59 @@
 	a := &agent{w: w, n: len(w.agents), zone: zone, service: service}
 	w.agents = append(w.agents, a)
 	w.startTarget(a)
-	a.start(0, nothingHeld)
+	a.start(0, noFlowRecords)
 	return a
 }
 
-func nothingHeld() (flowlog.Update, bool) { return flowlog.Update{}, false }
+func noFlowRecords() (flowlog.Update, bool) { return flowlog.Update{}, false }
 
 const (
-	// backWithin is how long after the power's return the last target or node runs.
-	backWithin = 200 * time.Millisecond
-	// attachWithin is how long after the first node the last one has its table.
-	attachWithin = 80 * time.Millisecond
+	// maxRestartDelay is the longest time from the end of an outage until a target, an
+	// agent or a balancer runs again.
+	maxRestartDelay = 200 * time.Millisecond
+	// maxTableDelay is the longest time by which one node gets its table after the
+	// first one.
+	maxTableDelay = 80 * time.Millisecond
 )
 
-// outage takes the power of all VMs. Targets come back cold, nodes without a
-// memory; the table comes a while after them.
+// outage stops all VMs. Targets come back cold; balancers and agents come back without
+// state and get their table after Deployment.TableDelay.
 func (w *world) outage() {
 	for _, b := range w.balancers {
 		b.up = false
 	}
-	tableAt := w.now + w.d.Outage + w.d.Return
+	tableAt := w.now + w.d.Outage + w.d.TableDelay
 	if w.reference != nil {
-		w.reference.opensAt = tableAt
-		w.after(tableAt-w.now, w.reference.fill)
+		w.reference.availableAt = tableAt
+		w.after(tableAt-w.now, w.reference.assignSlots)
 	}
 	for _, a := range w.agents {
-		held := a.target.remembered()
+		records := a.target.flowRecords()
 		a.target.crash()
 		a.up = false
-		w.after(w.d.Outage+w.between(0, backWithin), func() { w.startTarget(a) })
-		w.after(w.d.Outage+w.between(0, backWithin), func() {
-			a.start(tableAt-w.now+w.between(0, attachWithin), func() (flowlog.Update, bool) { return held, len(held.Opened) > 0 })
+		w.after(w.d.Outage+w.between(0, maxRestartDelay), func() { w.startTarget(a) })
+		w.after(w.d.Outage+w.between(0, maxRestartDelay), func() {
+			a.start(tableAt-w.now+w.between(0, maxTableDelay), func() (flowlog.Update, bool) { return records, len(records.Opened) > 0 })
 		})
 	}
 	for _, b := range w.balancers {
-		w.after(w.d.Outage+w.between(0, backWithin), func() { b.start(tableAt - w.now + w.between(0, attachWithin)) })
+		w.after(w.d.Outage+w.between(0, maxRestartDelay), func() { b.start(tableAt - w.now + w.between(0, maxTableDelay)) })
 	}
 }
 
-// burst has callers ask two and a half times as often for a second and a half.
+// burst raises the load to 2.5 times the usual for 1.5 s.
 func (w *world) burst() {
-	w.load = 2.5
-	w.after(1500*time.Millisecond, func() { w.load = 1 })
+	w.loadFactor = 2.5
+	w.after(1500*time.Millisecond, func() { w.loadFactor = 1 })
 }
 
-// saturation asks for a third more than the targets can do, for three seconds.
+// saturation raises the load to 1.3 times the capacity of the targets for 3 s.
 func (w *world) saturation() {
-	w.load = 1.3 / w.utilization()
-	w.after(3*time.Second, func() { w.load = 1 })
+	w.loadFactor = 1.3 / w.utilization()
+	w.after(3*time.Second, func() { w.loadFactor = 1 })
 }
 
-// utilization is which part of the first service's slots is in use on average.
+// utilization returns the mean fraction of the first service's slots in use.
 func (w *world) utilization() float64 {
 	used := 0.0
 	for _, c := range w.d.Classes {
@@ -148,58 +150,58 @@
 	return used / float64(w.d.Targets) / float64(w.d.Slots)
 }
 
-// slowTarget makes one target five times as slow, for three seconds.
+// slowTarget makes one target five times slower for 3 s.
 func (w *world) slowTarget() {
 	t := w.agents[0].target
-	t.slow = 5
-	w.after(3*time.Second, func() { t.slow = 1 })
+	t.slowdown = 5
+	w.after(3*time.Second, func() { t.slowdown = 1 })
 }
 
 const (
-	releasePause = 800 * time.Millisecond
-	drainTime    = 3 * time.Second
+	releaseInterval = 800 * time.Millisecond
+	drainTime       = 3 * time.Second
 )
 
-// release replaces half of the targets one after the other: a new one starts, and
-// the old one drains and ends.
+// release replaces half of the targets one after the other: a new target starts, and the
+// old one drains and ends.
 func (w *world) release() {
 	for n := range max(1, w.d.Targets/2) {
 		a := w.agents[n]
-		w.after(min(time.Duration(n)*releasePause, 5*time.Second), func() {
+		w.after(min(time.Duration(n)*releaseInterval, 5*time.Second), func() {
 			w.addTarget(a.service, a.zone)
 			a.target.draining = true
 			a.target.announce()
-			w.after(drainTime, a.leave)
+			w.after(drainTime, a.finishDrain)
 		})
 	}
 }
 
-// leave ends a target that has drained.
-func (a *agent) leave() {
+// finishDrain ends a drained target.
+func (a *agent) finishDrain() {
 	a.engine.Left(a.w.clock(), a.target.id)
 	a.target.crash()
 }
 
-// longAmongShort makes one request in twenty take twelve times as long.
-func (w *world) longAmongShort() { w.long = 0.05 }
+// longAmongShort makes one request in twenty take longFactor times as long.
+func (w *world) longAmongShort() { w.longFraction = 0.05 }
 
-// longFactor is how much longer a long request takes.
+// longFactor is how many times longer a long request takes.
 const longFactor = 12
 
-// heavyCallers has three VMs of callers make most of the requests.
-func (w *world) heavyCallers() { w.heavy = 0.6 }
+// heavyCallers makes three caller VMs send over 60% of the requests.
+func (w *world) heavyCallers() { w.heavyFraction = 0.6 }
 
 func (w *world) drawWork(mean time.Duration) time.Duration {
-	took := time.Duration(float64(mean) * (0.5 + w.rng.Float64()))
-	if w.long > 0 && w.rng.Float64() < w.long {
-		took *= longFactor
+	duration := time.Duration(float64(mean) * (0.5 + w.rng.Float64()))
+	if w.longFraction > 0 && w.rng.Float64() < w.longFraction {
+		duration *= longFactor
 	}
-	return took
+	return duration
 }
 
 func (w *world) pickCaller() *callerVM {
 	n := len(w.callers)
-	if w.heavy > 0 && w.rng.Float64() < w.heavy {
+	if w.heavyFraction > 0 && w.rng.Float64() < w.heavyFraction {
 		n = min(n, 3)
 	}
 	return w.callers[w.rng.IntN(n)]
--- a/internal/passthrough/simulation/simulation.go
+++ b/internal/passthrough/simulation/simulation.go
@@ -1,16 +1,16 @@
-// Package simulation plays callers, balancers, agents and targets of pass-through flows
-// in a seeded event loop, with the real decision code (forward, flowtable, place)
-// in the middle:
+// Package simulation simulates callers, balancers, agents and targets of pass-through
+// flows in a discrete-event simulation that runs the real decision code of packages
+// forward, flowtable and placement:
 //
 //	bergamotctl experiment pass
 //
-// It shows what callers get under a load and a policy, on deployments that are
-// drawn at random, so that a decision isn't judged by the few deployments that
-// somebody happens to run. Time is simulated; a seed gives the same run each time.
+// It shows what callers get for a load and a policy. Deployments are random, so that a
+// policy isn't evaluated only on the few deployments that exist. Time is simulated; the
+// same seed gives the same run.
 //
-// What it leaves out: bytes (a request and an answer are one packet each), lost
-// packets, processor time, readiness (every balancer of a data centre that runs is
-// in rotation), control VMs (a table comes to each node at a drawn moment).
+// It doesn't simulate packet sizes (a request and an answer are one packet each), packet
+// loss, processor time, readiness (every running balancer of a data centre is in
+// rotation) and control VMs (each node gets its table at a random time).
 package simulation
 
 import (
@@ -27,70 +27,72 @@
 	"bergamotstall/internal/passthrough/route"
 )
 
-// Policies are the thresholds under test.
+// Policies are the policies of balancers and agents.
 type Policies struct {
 	Forward   forward.Policy
 	Flowtable flowtable.Policy
 }
 
-// InUse are the policies that nodes run by.
-func InUse() Policies {
+// CurrentPolicies returns the policies that balancers and agents use by default.
+func CurrentPolicies() Policies {
 	return Policies{Forward: forward.DefaultPolicy(), Flowtable: flowtable.DefaultPolicy()}
 }
 
 const (
-	// tickInterval is how often the engines of nodes are let know of the time.
+	// tickInterval is the time between two ticks of the engines.
 	tickInterval = 20 * time.Millisecond
-	// inZone is the way between two VMs of one data centre, onVM between agent and
-	// target.
-	inZone = 100 * time.Microsecond
-	onVM   = 50 * time.Microsecond
-	// epoch keeps the clock of the engines away from 0, which stands for never.
-	epoch = time.Hour
+	// sameZoneDelay is the one-way delay between two VMs of one data centre,
+	// sameVMDelay that between an agent and its target.
+	sameZoneDelay = 100 * time.Microsecond
+	sameVMDelay   = 50 * time.Microsecond
+	// clockOffset keeps the engines' clock away from 0, which means never.
+	clockOffset = time.Hour
 )
 
-// world is one run.
+// world is the state of one run.
 type world struct {
 	d        Deployment
 	policies Policies
 	rng      *rand.Rand
 	now      time.Duration
-	end      time.Duration
-	queue    events
+	endTime  time.Duration
+	events   events
 	seq      uint64
 
 	table     *route.Table
 	balancers []*balancer
 	agents    []*agent
 	callers   []*callerVM
-	packets   []sent
+	packets   []sentPacket
 	requests  []*request
 	flows     map[packet.Flow]*callerFlow
-	pending   []pending
-	// reference takes the requests in place of the nodes, if it is set.
+	pending   []pendingSend
+	// reference, if set, handles requests in place of balancers and agents.
 	reference *reference
-	// load multiplies the rate of requests; heavy is the part of them that three
-	// VMs make, long the part that takes longFactor as long. stopped ends them.
-	load, heavy, long float64
-	stopped           bool
+	// loadFactor multiplies the rate of requests. heavyFraction of them are sent by
+	// three VMs, longFraction of them take longFactor times as long. arrivalsStopped
+	// ends the arrival of requests.
+	loadFactor, heavyFraction, longFraction float64
+	arrivalsStopped                         bool
 }
 
-// pending is what an engine has just sent. Engines go through maps, so the order in
-// which they send is made one of flows, or a seed would give another run each time.
-type pending struct {
-	flow packet.Flow
-	at   time.Duration
-	step func()
+// pendingSend is a packet that an engine sent during the current event. Engines iterate
+// over maps, so packets are sorted by flow; otherwise runs with the same seed would
+// differ.
+type pendingSend struct {
+	flow  packet.Flow
+	delay time.Duration
+	step  func()
 }
 
-// sent is a packet under way. The engines carry its number as the packet's bytes.
-type sent struct {
+// sentPacket is a packet in flight. The raw bytes that engines handle hold its index.
+type sentPacket struct {
 	p packet.Packet
-	// shed marks a target's answer that says that the request wasn't run.
+	// shed marks a target's answer that the request was shed and not run.
 	shed bool
 }
 
-// event is something that happens at a moment.
+// event is a step to run at a time.
 type event struct {
 	at   time.Duration
 	seq  uint64
@@ -118,71 +120,73 @@
 
 func (w *world) after(d time.Duration, step func()) {
 	w.seq++
-	heap.Push(&w.queue, event{w.now + d, w.seq, step})
+	heap.Push(&w.events, event{w.now + d, w.seq, step})
 }
 
 func (w *world) run() {
-	for len(w.queue) > 0 && w.queue[0].at < w.end {
-		e := heap.Pop(&w.queue).(event)
+	for len(w.events) > 0 && w.events[0].at < w.endTime {
+		e := heap.Pop(&w.events).(event)
 		w.now = e.at
 		e.step()
-		w.flush()
+		w.schedulePending()
 	}
 }
 
-// afterEvent runs a step after the present event and a delay.
-func (w *world) afterEvent(f packet.Flow, d time.Duration, step func()) {
-	w.pending = append(w.pending, pending{f, d, step})
+// scheduleOrdered runs a step after a delay. Steps of the current event are scheduled in
+// the order of their flows.
+func (w *world) scheduleOrdered(f packet.Flow, d time.Duration, step func()) {
+	w.pending = append(w.pending, pendingSend{f, d, step})
 }
 
-func (w *world) flush() {
+func (w *world) schedulePending() {
 	if len(w.pending) == 0 {
 		return
 	}
-	slices.SortStableFunc(w.pending, func(a, b pending) int { return compareFlows(a.flow, b.flow) })
+	slices.SortStableFunc(w.pending, func(a, b pendingSend) int { return compareFlows(a.flow, b.flow) })
 	for _, p := range w.pending {
-		w.after(p.at, p.step)
+		w.after(p.delay, p.step)
 	}
 	w.pending = w.pending[:0]
 }
 
-// clock is the time that engines are told.
-func (w *world) clock() time.Duration { return epoch + w.now }
+// clock returns the time for the engines.
+func (w *world) clock() time.Duration { return clockOffset + w.now }
 
-// wall is the time of day.
-func (w *world) wall() time.Time { return time.UnixMilli(1_000_000_000).Add(w.now) }
+// wallTime returns the simulated wall-clock time.
+func (w *world) wallTime() time.Time { return time.UnixMilli(1_000_000_000).Add(w.now) }
 
 func (w *world) exp(mean time.Duration) time.Duration {
 	return time.Duration(w.rng.ExpFloat64() * float64(mean))
 }
 
-// between draws evenly from a range.
+// between draws from a uniform distribution.
 func (w *world) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.rng.Float64()*float64(high-low))
 }
 
-// wire gives a packet a number and returns the bytes that stand for it.
-func (w *world) wire(p packet.Packet, shed bool) []byte {
-	w.packets = append(w.packets, sent{p, shed})
+// encode stores a packet and returns raw bytes that refer to it.
+func (w *world) encode(p packet.Packet, shed bool) []byte {
+	w.packets = append(w.packets, sentPacket{p, shed})
 	raw := make([]byte, rawSize)
 	binary.BigEndian.PutUint32(raw, uint32(len(w.packets)-1))
 	return raw
 }
 
-// carried is the packet that bytes stand for.
-func (w *world) carried(raw []byte) sent {
+// decode returns the packet that raw bytes refer to.
+func (w *world) decode(raw []byte) sentPacket {
 	s := w.packets[binary.BigEndian.Uint32(raw)]
 	s.p.Tag = binary.BigEndian.Uint16(raw[4:])
 	return s
 }
 
-// rawSize is a packet's number and its tag.
+// rawSize is the size of a packet's index and its tag.
 const rawSize = 6
 
-// codec marks the bytes that stand for packets.
+// codec writes tags into the raw bytes that refer to packets.
 type codec struct{}
 
-// Decode implements packet.Codec; the model hands the engines packets itself.
+// Decode implements packet.Codec. It isn't used, since the simulation passes decoded
+// packets to the engines.
 func (codec) Decode([]byte) (packet.Packet, error) { return packet.Packet{}, nil }
 
 // Mark implements packet.Codec.
@@ -191,15 +195,15 @@
 // AppendReset implements packet.Codec.
 func (codec) AppendReset(to []byte, _ packet.Flow, _ uint32) []byte { return to }
 
-// addressOf numbers the VMs of a role.
+// addressOf returns the address of VM n of a role.
 func addressOf(role byte, n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, role, byte(n >> 8), byte(n)}), 7000)
 }
 
-// way is how long a datagram takes between two nodes.
-func (w *world) way(from, to int) time.Duration {
+// networkDelay returns the one-way delay between two data centres, or within one.
+func (w *world) networkDelay(from, to int) time.Duration {
 	if from == to {
-		return inZone
+		return sameZoneDelay
 	}
 	return w.d.ZoneDelay
 }
--- a/internal/passthrough/simulation/simulation_test.go
+++ b/internal/passthrough/simulation/simulation_test.go
@@ -9,22 +9,22 @@
 	"github.com/matryer/is"
 )
 
-// quoting is a deployment of three slots a target, whose callers keep feeds open and
-// send submissions over flows of their own.
-func quoting() Deployment {
+// testDeployment returns a deployment with three slots per target. Its callers keep feeds
+// open and send each submission over a new flow.
+func testDeployment() Deployment {
 	return Deployment{
-		Zones: 3, Balancers: 3, Targets: 7, Archive: 3, Slots: 3, Queue: 12, Cold: 2 * time.Second, ColdFactor: 1.6,
+		Zones: 3, Balancers: 3, Targets: 7, Archive: 3, Slots: 3, QueueLimit: 12, ColdTime: 2 * time.Second, ColdFactor: 1.6,
 		CallerDelay: time.Millisecond, ZoneDelay: 900 * time.Microsecond, Callers: 99, Retries: 2,
-		Outage: 1200 * time.Millisecond, Return: 500 * time.Millisecond,
+		Outage: 1200 * time.Millisecond, TableDelay: 500 * time.Millisecond,
 		Classes: []Class{
-			{Name: "feed", Rate: 292, Work: 22 * time.Millisecond, Aim: 120 * time.Millisecond, Deadline: 2 * time.Second, Priority: 2, Feed: true, Worth: 1},
-			{Name: "submission", Rate: 83, Work: 29 * time.Millisecond, Aim: 150 * time.Millisecond, Deadline: 2500 * time.Millisecond, Priority: 1, Once: true, Worth: 2},
-			{Name: "download", Rate: 25, Work: 5 * time.Millisecond, Aim: 500 * time.Millisecond, Deadline: 8 * time.Second, Priority: 2, Worth: 1, Archive: true},
+			{Name: "feed", Rate: 292, Work: 22 * time.Millisecond, LatencyGoal: 120 * time.Millisecond, Deadline: 2 * time.Second, Priority: 2, Feed: true, Worth: 1},
+			{Name: "submission", Rate: 83, Work: 29 * time.Millisecond, LatencyGoal: 150 * time.Millisecond, Deadline: 2500 * time.Millisecond, Priority: 1, AtMostOnce: true, Worth: 2},
+			{Name: "download", Rate: 25, Work: 5 * time.Millisecond, LatencyGoal: 500 * time.Millisecond, Deadline: 8 * time.Second, Priority: 2, Worth: 1, Archive: true},
 		},
 	}
 }
 
-func scenario(t *testing.T, name string) Scenario {
+func scenarioByName(t *testing.T, name string) Scenario {
 	t.Helper()
 	for _, s := range Scenarios() {
 		if s.Name == name {
@@ -35,14 +35,14 @@
 	return Scenario{}
 }
 
-// mean plays a scenario with some seeds.
-func mean(t *testing.T, name string, p Policies) (worth, unserved float64) {
+// meanOutcome runs a scenario with several seeds and returns means.
+func meanOutcome(t *testing.T, name string, p Policies) (worth, unserved float64) {
 	t.Helper()
 	const seeds = 16
 	for seed := range uint64(seeds) {
-		o := Play(quoting(), scenario(t, name), p, seed)
-		if o.Twice > 0 {
-			t.Errorf("%s, seed %d: %d submissions ran twice", name, seed, o.Twice)
+		o := Run(testDeployment(), scenarioByName(t, name), p, seed)
+		if o.RanTwice > 0 {
+			t.Errorf("%s, seed %d: %d submissions ran twice", name, seed, o.RanTwice)
 		}
 		worth += o.Worth / seeds
 		unserved += o.Share(o.Unserved) / seeds
@@ -50,61 +50,60 @@
 	return worth, unserved
 }
 
-// The same seed gives the same run, though the engines go through maps.
+// Guards against runs that differ for the same seed, because engines iterate over maps.
 func TestSameSeedSameRun(t *testing.T) {
 	is := is.New(t)
 	for _, s := range Scenarios() {
-		d := Draw(rand.New(rand.NewPCG(8, 1)))
-		is.Equal(Play(d, s, InUse(), 8), Play(d, s, InUse(), 8))
+		d := RandomDeployment(rand.New(rand.NewPCG(8, 1)))
+		is.Equal(Run(d, s, CurrentPolicies(), 8), Run(d, s, CurrentPolicies(), 8))
 	}
 }
 
-// Where there is room for all, all are served in time.
-func TestNothingIsLostInQuietTimes(t *testing.T) {
+// Guards against lost or late requests while there is capacity for all.
+func TestAllServedWithoutDisturbance(t *testing.T) {
 	is := is.New(t)
-	quiet := Scenario{Name: "quiet", Lasts: 4 * time.Second, begin: func(*world) {}}
-	o := Play(quoting(), quiet, InUse(), 1)
-	is.True(o.Asked > 1000)
+	quiet := Scenario{Name: "quiet", Duration: 4 * time.Second, start: func(*world) {}}
+	o := Run(testDeployment(), quiet, CurrentPolicies(), 1)
+	is.True(o.Requests > 1000)
 	is.Equal(o.Unserved, 0)
 	is.True(o.Share(o.InTime) > 0.99)
 }
 
-// More is asked for than the targets can run, most of it over flows that are open.
-// If these requests fill the targets' own queues, in order of arrival, submissions
-// wait behind feeds and all are late. Held back beside the target, they leave callers
-// better off, in a burst and in longer saturation.
-func TestOpenFlowsWaitInABurst(t *testing.T) {
+// Guards against a policy that passes requests over open flows straight to an overloaded
+// target. They fill its queue in order of arrival, submissions wait behind feeds, and all
+// are late. Holding them at the agent must be better, in a burst and in saturation.
+func TestHoldingRequestsOfOpenFlows(t *testing.T) {
 	for _, name := range []string{"burst", "saturation"} {
-		through, held := InUse(), InUse()
-		through.Flowtable.Bypass = true
-		with, _ := mean(t, name, held)
-		without, _ := mean(t, name, through)
-		t.Logf("%s: worth %.3f, %.3f if requests over open flows don't wait", name, with, without)
+		passed, held := CurrentPolicies(), CurrentPolicies()
+		passed.Flowtable.Bypass = true
+		with, _ := meanOutcome(t, name, held)
+		without, _ := meanOutcome(t, name, passed)
+		t.Logf("%s: worth %.3f, %.3f if requests over open flows aren't held", name, with, without)
 		if with <= without {
-			t.Errorf("%s: worth %.3f, %.3f if requests over open flows don't wait", name, with, without)
+			t.Errorf("%s: worth %.3f, %.3f if requests over open flows aren't held", name, with, without)
 		}
 	}
 }
 
-// After an outage a backlog stands before cold targets. In order of arrival each
-// later caller waits for all of it; the newest first, more of what is asked for is
-// served in time, and what is left of the slots serves the others late.
-func TestOutageIsOverSoonerForTheNewest(t *testing.T) {
-	inOrder := InUse()
+// Guards against serving a backlog in order of arrival. After an outage, requests wait
+// for cold targets. Oldest first, every later caller waits for the whole backlog; newest
+// first, more requests are served in time and the others get the remaining slots.
+func TestNewestFirstAfterOutage(t *testing.T) {
+	inOrder := CurrentPolicies()
 	inOrder.Flowtable.OldestFirst = true
-	with, _ := mean(t, "outage", InUse())
-	without, _ := mean(t, "outage", inOrder)
+	with, _ := meanOutcome(t, "outage", CurrentPolicies())
+	without, _ := meanOutcome(t, "outage", inOrder)
 	t.Logf("worth %.3f, %.3f in order of arrival", with, without)
 	if with <= without {
 		t.Errorf("worth %.3f, %.3f in order of arrival", with, without)
 	}
 }
 
-// The tables of two runs with one seed are the same to the byte, and drawn
-// deployments stay within what they are said to be.
-func TestComparisonsRepeat(t *testing.T) {
+// Guards against tables that differ for the same seed, and against random deployments
+// outside their documented bounds.
+func TestComparisonsAreRepeatable(t *testing.T) {
 	is := is.New(t)
-	some := []Scenario{scenario(t, "burst"), scenario(t, "release")}
+	some := []Scenario{scenarioByName(t, "burst"), scenarioByName(t, "release")}
 	table := func() string {
 		var out bytes.Buffer
 		Write(&out, some, Compare([]Variant{Reference()}, some, 3, 4))
@@ -112,10 +111,10 @@
 	}
 	is.Equal(table(), table())
 	for n := range uint64(300) {
-		d := Draw(rand.New(rand.NewPCG(n, n)))
+		d := RandomDeployment(rand.New(rand.NewPCG(n, n)))
 		is.True(d.Slots >= 2 && d.Slots <= 16)
 		is.True(d.Targets >= 2 && d.Targets <= 60)
 		is.True(d.Balancers%d.Zones == 0)
-		is.True(d.Classes[0].Aim >= 50*time.Millisecond)
+		is.True(d.Classes[0].LatencyGoal >= 50*time.Millisecond)
 	}
 }
--- a/internal/passthrough/simulation/target.go
+++ b/internal/passthrough/simulation/target.go
@@ -11,46 +11,47 @@
 
 // target is one incarnation of a target.
 type target struct {
-	w     *world
-	agent *agent
-	id    string
-	born  time.Duration
-	// slow is how much longer than usual its requests take, besides the cold.
-	slow     float64
+	w         *world
+	agent     *agent
+	id        string
+	startedAt time.Duration
+	// slowdown multiplies the time of its requests, in addition to ColdFactor.
+	slowdown float64
 	up       bool
 	draining bool
-	number   uint64
-	flows    map[packet.Flow]*held
+	sequence uint64
+	flows    map[packet.Flow]*targetFlow
 	running  int
-	queue    []work
+	queue    []queuedRequest
 }
 
-// held is one flow at a target.
-type held struct {
+// targetFlow is a flow at a target.
+type targetFlow struct {
 	openedAt time.Duration
 	open     bool
 	seq      uint32
-	// taken is the end of the caller's data so far, ack its last acknowledgement.
-	taken, ack uint32
+	// receivedEnd is the sequence number after the caller's data received so far, ack
+	// the caller's last acknowledgement.
+	receivedEnd, ack uint32
 }
 
-// work is a request at a target.
-type work struct {
-	flow packet.Flow
-	at   *held
-	req  *request
+// queuedRequest is a request at a target.
+type queuedRequest struct {
+	flow       packet.Flow
+	targetFlow *targetFlow
+	req        *request
 }
 
-// startTarget begins an incarnation beside an agent.
+// startTarget starts a new incarnation of an agent's target.
 func (w *world) startTarget(a *agent) *target {
-	t := &target{w: w, agent: a, id: fmt.Sprintf("i-%d-%d", a.n, w.now.Milliseconds()), born: w.now, slow: 1, up: true, flows: map[packet.Flow]*held{}}
+	t := &target{w: w, agent: a, id: fmt.Sprintf("i-%d-%d", a.n, w.now.Milliseconds()), startedAt: w.now, slowdown: 1, up: true, flows: map[packet.Flow]*targetFlow{}}
 	a.target = t
 	w.after(w.between(5*time.Millisecond, 40*time.Millisecond), t.announce)
 	return t
 }
 
-// announce tells the agent of the target, again and again. One that finds no agent
-// tries again soon.
+// announce announces the target to its agent every announceInterval, or ten times as
+// often while the agent is down.
 func (t *target) announce() {
 	if !t.up {
 		return
@@ -59,139 +60,140 @@
 	if !t.agent.up {
 		pause = announceInterval / 10
 	} else {
-		t.number++
+		t.sequence++
 		t.agent.engine.Announced(t.w.clock(), flowtable.Announcement{
-			ID: t.id, Service: t.agent.service, Born: t.w.wall().Add(t.born - t.w.now).UnixMilli(), Number: t.number,
+			ID: t.id, Service: t.agent.service, Born: t.w.wallTime().Add(t.startedAt - t.w.now).UnixMilli(), Number: t.sequence,
 			Slots: t.w.d.Slots, Draining: t.draining, Cold: max(0, t.coldLeft()),
 		})
 	}
 	t.w.after(pause, t.announce)
 }
 
-func (t *target) coldLeft() time.Duration { return t.w.d.Cold - (t.w.now - t.born) }
+func (t *target) coldLeft() time.Duration { return t.w.d.ColdTime - (t.w.now - t.startedAt) }
 
-// crash ends the target without a word.
+// crash ends the target without notice.
 func (t *target) crash() {
 	t.up = false
-	t.flows = map[packet.Flow]*held{}
+	t.flows = map[packet.Flow]*targetFlow{}
 	t.queue = nil
 }
 
-// take takes a packet from the agent.
-func (t *target) take(raw []byte) {
+// handlePacket handles a packet from the agent.
+func (t *target) handlePacket(raw []byte) {
 	if !t.up {
 		return
 	}
-	p := t.w.carried(raw).p
+	p := t.w.decode(raw).p
 	f := p.FromClient()
 	h := t.flows[f]
 	switch {
 	case p.Opens():
-		t.opens(f, h)
+		t.handleSYN(f, h)
 	case h == nil:
-		t.handBack(p, raw)
+		t.bounce(p, raw)
 	case p.Flags.Has(packet.RST):
 		delete(t.flows, f)
 	case p.Flags.Has(packet.FIN):
 		delete(t.flows, f)
 		t.answer(f, packet.FIN|packet.ACK, h, 0, false)
 	default:
-		t.data(f, h, p)
+		t.handleData(f, h, p)
 	}
 }
 
-func (t *target) opens(f packet.Flow, h *held) {
+func (t *target) handleSYN(f packet.Flow, h *targetFlow) {
 	if h == nil {
-		h = &held{seq: t.w.rng.Uint32() | 1}
+		h = &targetFlow{seq: t.w.rng.Uint32() | 1}
 		t.flows[f] = h
 	}
 	t.answer(f, packet.SYN|packet.ACK, h, 0, false)
 }
 
-// handBack returns a packet of a flow that the target lacks.
-func (t *target) handBack(p packet.Packet, raw []byte) {
+// bounce returns a packet of a flow that the target doesn't have.
+func (t *target) bounce(p packet.Packet, raw []byte) {
 	p.Flags |= packet.Bounced
 	raw = append([]byte(nil), raw...)
-	t.w.after(onVM, func() {
+	t.w.after(sameVMDelay, func() {
 		if t.agent.up {
 			t.agent.engine.FromTarget(t.w.clock(), p, raw)
 		}
 	})
 }
 
-// data takes a request, or a copy of one.
-func (t *target) data(f packet.Flow, h *held, p packet.Packet) {
+// handleData handles a packet of an open flow: a request, a copy of one, or an
+// acknowledgement.
+func (t *target) handleData(f packet.Flow, h *targetFlow, p packet.Packet) {
 	h.ack = p.Ack
 	if !h.open {
 		h.open = true
 		h.openedAt = t.w.now
 	}
 	end := p.Seq + uint32(p.Data)
-	if p.Data == 0 || int32(end-h.taken) <= 0 && h.taken != 0 {
+	if p.Data == 0 || int32(end-h.receivedEnd) <= 0 && h.receivedEnd != 0 {
 		if p.Data > 0 {
 			t.answer(f, packet.ACK, h, 0, false)
 		}
 		return
 	}
-	h.taken = end
-	r := t.w.requestOn(f)
+	h.receivedEnd = end
+	r := t.w.requestOf(f)
 	if r == nil {
-		return // its caller has left
+		return // the caller has stopped trying
 	}
 	switch {
 	case t.running < int(t.w.d.Slots):
-		t.begin(work{f, h, r})
-	case len(t.queue) < t.w.d.Queue:
-		t.queue = append(t.queue, work{f, h, r})
+		t.start(queuedRequest{f, h, r})
+	case len(t.queue) < t.w.d.QueueLimit:
+		t.queue = append(t.queue, queuedRequest{f, h, r})
 	default:
 		t.answer(f, packet.ACK, h, answerSize, true)
 	}
 }
 
-// answerSize is the bytes of an answer; all fit into one packet.
+// answerSize is the size of an answer in bytes; every answer fits into one packet.
 const answerSize = 1000
 
-func (t *target) begin(x work) {
+func (t *target) start(x queuedRequest) {
 	t.running++
 	x.req.runs++
-	t.w.after(t.takes(x.req), func() {
+	t.w.after(t.serviceTime(x.req), func() {
 		if !t.up {
 			return
 		}
 		t.running--
-		t.answer(x.flow, packet.ACK, x.at, answerSize, false)
+		t.answer(x.flow, packet.ACK, x.targetFlow, answerSize, false)
 		if len(t.queue) > 0 {
 			next := t.queue[0]
 			t.queue = t.queue[1:]
-			t.begin(next)
+			t.start(next)
 		}
 	})
 }
 
-// takes is how long a request that begins now runs.
-func (t *target) takes(r *request) time.Duration {
-	took := float64(r.work) * t.slow
+// serviceTime returns how long a request that starts now runs.
+func (t *target) serviceTime(r *request) time.Duration {
+	duration := float64(r.work) * t.slowdown
 	if t.coldLeft() > 0 {
-		took *= t.w.d.ColdFactor
+		duration *= t.w.d.ColdFactor
 	}
-	return time.Duration(took)
+	return time.Duration(duration)
 }
 
-// answer sends a packet to the flow's caller, through the agent.
-func (t *target) answer(f packet.Flow, flags packet.Flags, h *held, data int, shed bool) {
-	p := packet.Packet{Src: f.Service, Dst: f.Client, Flags: flags, Seq: h.seq, Ack: h.taken, Data: data}
-	raw := t.w.wire(p, shed)
-	t.w.after(onVM, func() {
+// answer sends a packet to the flow's caller through the agent.
+func (t *target) answer(f packet.Flow, flags packet.Flags, h *targetFlow, data int, shed bool) {
+	p := packet.Packet{Src: f.Service, Dst: f.Client, Flags: flags, Seq: h.seq, Ack: h.receivedEnd, Data: data}
+	raw := t.w.encode(p, shed)
+	t.w.after(sameVMDelay, func() {
 		if t.agent.up {
 			t.agent.engine.FromTarget(t.w.clock(), p, raw)
 		}
 	})
 }
 
-// remembered is what control knows of the flows held: those that were open for a
-// while.
-func (t *target) remembered() flowlog.Update {
-	u := flowlog.Update{Target: t.id, Born: t.w.wall().Add(t.born - t.w.now).UnixMilli(), Whole: true}
+// flowRecords returns what control knows about the target's flows: those that have been
+// open for over a second.
+func (t *target) flowRecords() flowlog.Update {
+	u := flowlog.Update{Target: t.id, Born: t.w.wallTime().Add(t.startedAt - t.w.now).UnixMilli(), Whole: true}
 	for f, h := range t.flows {
 		if h.open && t.w.now-h.openedAt > time.Second {
 			u.Opened = append(u.Opened, flowlog.Of(f, h.ack))
