--- a/tools/bench/main.go
+++ b/tools/bench/main.go
@@ -1,6 +1,6 @@
-// Command bench runs the project's timed benchmarks, writes their figures with
-// the machine's name, and compares them with those of an earlier run. CI runs
-// none of it: its bounds are counts, allocations and ratios inside tests.
+// Command bench runs the project's benchmarks, writes the results with a description of
+// the machine, and compares them with the results of an earlier run. CI doesn't run it:
+// CI checks counts, allocations and ratios, in tests.
 //
 //	GOWORK=off go -C tools run ./bench -out FILE [-against EARLIER] [-packages ./...]
 package main
@@ -20,13 +20,13 @@
 	"golang.org/x/perf/benchfmt"
 )
 
-// noteworthy is the change from which a row is marked.
-const noteworthy = 0.20
+// markThreshold is the relative change above which a row is marked with "!".
+const markThreshold = 0.20
 
 func main() {
-	out := flag.String("out", "", "`file` for the figures, in Go's benchmark format")
-	against := flag.String("against", "", "earlier run's `file` to compare with")
-	packages := flag.String("packages", "./...", "`packages` of the product to measure")
+	out := flag.String("out", "", "`file` for the results, in Go's benchmark format")
+	against := flag.String("against", "", "`file` of an earlier run to compare with")
+	packages := flag.String("packages", "./...", "`packages` to benchmark")
 	flag.Parse()
 	if *out == "" || flag.NArg() > 0 {
 		flag.Usage()
@@ -39,34 +39,35 @@
 }
 
 func run(out, against, packages string) error {
-	text, err := measure(packages)
+	text, err := runBenchmarks(packages)
 	if err != nil {
 		return err
 	}
 	if err := os.WriteFile(out, text, 0o644); err != nil {
 		return err
 	}
-	now, err := read(bytes.NewReader(text), out)
+	now, err := parseResults(bytes.NewReader(text), out)
 	if err != nil {
 		return err
 	}
-	var before []figure
+	var before []measurement
 	if against != "" {
 		file, err := os.Open(against)
 		if err != nil {
 			return err
 		}
 		defer file.Close()
-		if before, err = read(file, against); err != nil {
+		if before, err = parseResults(file, against); err != nil {
 			return err
 		}
 	}
-	write(os.Stdout, now, before)
+	writeTable(os.Stdout, now, before)
 	return nil
 }
 
-// measure runs the benchmarks from the root of the repository.
-func measure(packages string) ([]byte, error) {
+// runBenchmarks runs the benchmarks in the root of the repository and returns their
+// output after a line that describes the machine.
+func runBenchmarks(packages string) ([]byte, error) {
 	root, err := filepath.Abs("..")
 	if err != nil {
 		return nil, err
@@ -75,19 +76,19 @@
 	cmd.Dir, cmd.Stderr = root, os.Stderr
 	cmd.Env = append(os.Environ(), "GOWORK=off")
 	text, err := cmd.Output()
-	head := fmt.Sprintf("machine: %s/%s %d processors %s\n", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version())
-	return append([]byte(head), text...), err
+	machineLine := fmt.Sprintf("machine: %s/%s %d processors %s\n", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version())
+	return append([]byte(machineLine), text...), err
 }
 
-// figure is one value of one benchmark.
-type figure struct {
+// measurement is one value of a benchmark, such as its ns/op.
+type measurement struct {
 	name  string
 	unit  string
 	value float64
 }
 
-func read(r io.Reader, name string) ([]figure, error) {
-	var out []figure
+func parseResults(r io.Reader, name string) ([]measurement, error) {
+	var out []measurement
 	in := benchfmt.NewReader(r, name)
 	for in.Scan() {
 		result, ok := in.Result().(*benchfmt.Result)
@@ -96,23 +97,23 @@
 		}
 		pkg := strings.TrimPrefix(result.GetConfig("pkg"), "bergamotstall/")
 		for _, v := range result.Values {
-			out = append(out, figure{name: pkg + " " + result.Name.String(), unit: v.Unit, value: v.Value})
+			out = append(out, measurement{name: pkg + " " + result.Name.String(), unit: v.Unit, value: v.Value})
 		}
 	}
 	return out, in.Err()
 }
 
-func write(w io.Writer, now, before []figure) {
+func writeTable(w io.Writer, now, before []measurement) {
 	fmt.Fprintf(w, "machine: %s/%s, %d processors, %s\n\n", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version())
 	fmt.Fprintln(w, "| benchmark | unit | value | earlier | change |")
 	fmt.Fprintln(w, "|---|---|---|---|---|")
-	for _, f := range now {
-		i := slices.IndexFunc(before, func(x figure) bool { return x.name == f.name && x.unit == f.unit })
+	for _, m := range now {
+		i := slices.IndexFunc(before, func(x measurement) bool { return x.name == m.name && x.unit == m.unit })
 		if i < 0 {
-			fmt.Fprintf(w, "| %s | %s | %.4g | | |\n", f.name, f.unit, f.value)
+			fmt.Fprintf(w, "| %s | %s | %.4g | | |\n", m.name, m.unit, m.value)
 			continue
 		}
-		fmt.Fprintf(w, "| %s | %s | %.4g | %.4g | %s |\n", f.name, f.unit, f.value, before[i].value, change(before[i].value, f.value))
+		fmt.Fprintf(w, "| %s | %s | %.4g | %.4g | %s |\n", m.name, m.unit, m.value, before[i].value, change(before[i].value, m.value))
 	}
 }
 
@@ -120,10 +121,10 @@
 	if before == 0 {
 		return ""
 	}
-	part := now/before - 1
+	relative := now/before - 1
 	mark := ""
-	if part > noteworthy || part < -noteworthy {
+	if relative > markThreshold || relative < -markThreshold {
 		mark = " !"
 	}
-	return fmt.Sprintf("%+.0f%%%s", 100*part, mark)
+	return fmt.Sprintf("%+.0f%%%s", 100*relative, mark)
 }
