--- a/internal/loadgen/request.go
+++ b/internal/loadgen/request.go
@@ -169,7 +169,7 @@
 
 // submit sends one submission. After any outcome but an answer or an error status it
 // sends it again with the same idempotency key; without a key, only if the submission
-// surely wasn't run.
+// certainly wasn't run.
 func (f *flow) submit(ctx context.Context, id string) error {
 	body := make([]byte, f.spec.SubmitBytes)
 	fillRandom(body, f.rng)
--- a/internal/passthrough/simulation/outcome.go
+++ b/internal/passthrough/simulation/outcome.go
@@ -14,7 +14,7 @@
 type Outcome struct {
 	Requests, InTime, Late, Unserved int
 	// Worth is the value of all answers as a fraction of the value if all requests had
-	// been answered in time.
+	// been answered in time; 1 means all in time.
 	Worth float64
 	// P50 and P99 are latencies of served requests, from the first attempt.
 	P50, P99 time.Duration
--- a/internal/scenario/steps.go
+++ b/internal/scenario/steps.go
@@ -15,7 +15,7 @@
 
 const (
 	commandTimeout = 15 * time.Second
-	// FailureDetectionTime is how long the fabric keeps sending to a dead balancer.
+	// FailureDetectionTime is how long the fabric keeps sending to a failed balancer.
 	FailureDetectionTime = 500 * time.Millisecond
 	readyTimeout         = 30 * time.Second
 	pollInterval         = 50 * time.Millisecond
