--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -70,7 +70,8 @@
 		// The same as for subscribers: a leader change takes about a second and a half.
 		StaleBound: 2 * time.Second,
 		RetryAfter: 500 * time.Millisecond,
-		// A rolling restart restarts a process once or twice a minute.
+		// Above the rate of a rolling restart, which restarts a process once or twice a
+		// minute.
 		DampingThreshold: 3,
 		DampingBaseDelay: 2 * time.Second,
 		DampingMaxDelay:  time.Minute,
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -71,9 +71,10 @@
 	is.Equal(len(b.advance(600*time.Millisecond, 0)), 1) // still gone
 }
 
-// Guards against reporting all subscribers when the VM's own link to them fails while its
-// quorum contact is fine. All streams end at once; the longer grace lets the subscribers
-// reconnect, and only the rest is reported. A few ends alone get the usual grace.
+// Guards against reporting all subscribers as silent when the VM's own network link to
+// them fails while it still has contact with a quorum. All streams end at once. The longer
+// grace period lets the subscribers reconnect, and only those that don't are reported. If
+// only a few streams end, the usual grace period applies.
 func TestMassDisconnectGetsLongerGrace(t *testing.T) {
 	is := is.New(t)
 	b := newClockedTracker(20)
@@ -130,9 +131,9 @@
 	is.Equal(b.advance(6*time.Second, 0), []Report[int]{{Subject: 1, Attachment: Attachment{1, 4}}})
 }
 
-// Guards against memory that grows with subscribers that come and go under ever new
-// names.
-func TestGoneSubscribersAreForgotten(t *testing.T) {
+// Guards against unbounded memory use when subscribers keep connecting under new names
+// and disconnecting.
+func TestDisconnectedSubscribersAreRemoved(t *testing.T) {
 	is := is.New(t)
 	b := newClockedTracker(10)
 	for k := 1000; k < 3000; k++ {
--- a/internal/passthrough/control/control.go
+++ b/internal/passthrough/control/control.go
@@ -77,8 +77,8 @@
 	ReplicaPort, StreamPort uint16
 	// Seeds returns the IP addresses of the control VMs in the current settings.
 	Seeds func() []string
-	// FirstStart is set if the whole system starts for the first time.
-	FirstStart bool
+	// Bootstrap is set if the whole system starts for the first time.
+	Bootstrap bool
 	// ResendWindow is how long operators resend an evacuation order that got no answer.
 	ResendWindow time.Duration
 	Log          logrus.FieldLogger
@@ -88,7 +88,7 @@
 // Control is one control VM.
 type Control struct {
 	cfg     Config
-	store   *route.Store
+	store   *route.ReplicatedStore
 	replica atomic.Pointer[replica.Replica]
 	// openCount counts the attempts to open a replica.
 	openCount int
@@ -96,7 +96,7 @@
 
 // New returns a control VM; Run starts it.
 func New(cfg Config) *Control {
-	return &Control{cfg: cfg, store: route.NewStore()}
+	return &Control{cfg: cfg, store: route.NewReplicatedStore()}
 }
 
 // Run serves until ctx is done.
@@ -203,7 +203,7 @@
 // seed with the lowest address does. All seeds agree on it without communication, and the
 // others join.
 func (c *Control) bootstraps() bool {
-	if !c.cfg.FirstStart {
+	if !c.cfg.Bootstrap {
 		return false
 	}
 	lowest := netip.Addr{}
--- a/internal/passthrough/control/control_test.go
+++ b/internal/passthrough/control/control_test.go
@@ -42,7 +42,7 @@
 	for i := range n {
 		c := New(Config{
 			Name: fmt.Sprint("control-", i+1), IP: netip.MustParseAddr(seeds[i]), Folder: filepath.Join(folder, fmt.Sprint(i)),
-			ReplicaPort: 7941, StreamPort: 7942, Seeds: func() []string { return seeds }, FirstStart: true,
+			ReplicaPort: 7941, StreamPort: 7942, Seeds: func() []string { return seeds }, Bootstrap: true,
 			ResendWindow: time.Second, Log: log, Metrics: metrics.New(),
 		})
 		ctx, cancel := context.WithCancel(context.Background())
@@ -120,7 +120,7 @@
 	log.SetOutput(io.Discard)
 	c := New(Config{
 		Name: "control-2", IP: netip.MustParseAddr("127.52.1.2"), Folder: t.TempDir(), ReplicaPort: 7941, StreamPort: 7942,
-		Seeds: func() []string { return []string{"127.52.1.1", "127.52.1.2"} }, FirstStart: true, Log: log, Metrics: metrics.New(),
+		Seeds: func() []string { return []string{"127.52.1.1", "127.52.1.2"} }, Bootstrap: true, Log: log, Metrics: metrics.New(),
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
--- a/internal/passthrough/membership/attach_test.go
+++ b/internal/passthrough/membership/attach_test.go
@@ -15,7 +15,7 @@
 // BenchmarkAttach reports how long nodes, a third of them balancers, take to get their
 // table from one VM.
 func BenchmarkAttach(b *testing.B) {
-	v := &vm{ip: "127.99.1.1", store: route.NewStore(), flows: flowlog.NewStore()}
+	v := &vm{ip: "127.99.1.1", store: route.NewReplicatedStore(), flows: flowlog.NewStore()}
 	v.start(b)
 	d := &route.Definition{Version: 1, Services: []route.Service{{Name: "desk"}}}
 	for n := range 245 {
--- a/internal/passthrough/membership/client.go
+++ b/internal/passthrough/membership/client.go
@@ -193,7 +193,7 @@
 				delete(started, ip)
 			}
 		}
-		c.dropStaleLists()
+		c.dropStaleAgentLists()
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/passthrough/membership/client_list.go
+++ b/internal/passthrough/membership/client_list.go
@@ -122,9 +122,9 @@
 	return ListedAgent{}, false
 }
 
-// dropStaleLists drops the lists of VMs that weren't heard for listExpiry. Agents that
-// left meanwhile would otherwise stay on them.
-func (c *Client) dropStaleLists() {
+// dropStaleAgentLists drops the agent lists of control VMs that sent nothing for
+// listExpiry. Agents that were removed meanwhile would otherwise stay on those lists.
+func (c *Client) dropStaleAgentLists() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.streams {
--- a/internal/passthrough/membership/client_update.go
+++ b/internal/passthrough/membership/client_update.go
@@ -22,7 +22,7 @@
 		c.tableSource = s.ip
 		c.tableSourceAt = time.Now()
 	}
-	return Heartbeat{Version: uint64(c.version), WantTables: c.tableSource == s.ip, Epoch: s.view.epoch, Number: s.view.number, Evacuations: c.evacuations}
+	return Heartbeat{Version: uint64(c.version), WantTables: c.tableSource == s.ip, Epoch: s.view.epoch, Number: s.view.number, EvacuationRevision: c.evacuations}
 }
 
 // chooseTableSource keeps requesting tables from one VM while the VM has contact with a
--- a/internal/passthrough/membership/directory.go
+++ b/internal/passthrough/membership/directory.go
@@ -15,16 +15,16 @@
 // directory is a control VM's list of agents. Changes are numbered, so that a node is
 // sent only the changes since the last one it has.
 type directory struct {
-	// epoch is random for each start of the VM's process; change numbers are valid within
-	// one epoch only.
-	epoch   uint64
-	number  uint64
-	agents  map[netip.AddrPort]Node
-	changes []change
+	// processEpoch is random for each start of the VM's process; change numbers are only
+	// valid within one epoch.
+	processEpoch uint64
+	number       uint64
+	agents       map[netip.AddrPort]Node
+	changes      []listChange
 }
 
-// change records that an agent was added, restarted or removed.
-type change struct {
+// listChange records that an agent was added, restarted or removed.
+type listChange struct {
 	number  uint64
 	address netip.AddrPort
 	// retired means that the agent ended together with its target.
@@ -32,7 +32,7 @@
 }
 
 func newDirectory() *directory {
-	return &directory{epoch: rand.Uint64(), agents: map[netip.AddrPort]Node{}}
+	return &directory{processEpoch: rand.Uint64(), agents: map[netip.AddrPort]Node{}}
 }
 
 // put adds or replaces an agent.
@@ -52,18 +52,18 @@
 	if len(d.changes) == maxChanges {
 		d.changes = slices.Clone(d.changes[maxChanges/2:])
 	}
-	d.changes = append(d.changes, change{d.number, address, retired})
+	d.changes = append(d.changes, listChange{d.number, address, retired})
 }
 
 // since returns the changes after the given number, the whole list if they aren't kept,
 // or nil if there are none.
 func (d *directory) since(epoch, number uint64) *ListUpdate {
-	if epoch == d.epoch && number == d.number {
+	if epoch == d.processEpoch && number == d.number {
 		return nil
 	}
-	l := &ListUpdate{Epoch: d.epoch, Number: d.number}
+	l := &ListUpdate{Epoch: d.processEpoch, Number: d.number}
 	oldest := d.number + 1 - uint64(len(d.changes))
-	if epoch != d.epoch || number > d.number || number+1 < oldest {
+	if epoch != d.processEpoch || number > d.number || number+1 < oldest {
 		l.Full = true
 		for address, n := range d.agents {
 			l.add(address, n)
--- a/internal/passthrough/membership/evacuation_test.go
+++ b/internal/passthrough/membership/evacuation_test.go
@@ -33,7 +33,7 @@
 
 // Guards against a node that starts during an evacuation and places flows by its first
 // table before it is told of the order.
-func TestEvacuationsComeWithTheFirstTable(t *testing.T) {
+func TestEvacuationsAreAppliedBeforeFirstTable(t *testing.T) {
 	is := is.New(t)
 	all := startVMs(t, 1)
 	all[0].put(t, 1)
--- a/internal/passthrough/membership/list_test.go
+++ b/internal/passthrough/membership/list_test.go
@@ -116,13 +116,13 @@
 	is.Equal(present, map[netip.AddrPort]bool{one: true})
 	a.heardAt = time.Now().Add(-2 * listExpiry)
 	b.heardAt = a.heardAt
-	c.dropStaleLists()
+	c.dropStaleAgentLists()
 	is.Equal(len(present), 0)
 }
 
-// Guards against a node that gets changes it already has, or that misses some after many
-// changes.
-func TestDirectorySince(t *testing.T) {
+// Guards against a node that is sent changes that it already has, or that misses some
+// after many changes.
+func TestDirectorySendsMissingChangesOnly(t *testing.T) {
 	is := is.New(t)
 	d := newDirectory()
 	at := func(n int) netip.AddrPort {
--- a/internal/passthrough/membership/membership_test.go
+++ b/internal/passthrough/membership/membership_test.go
@@ -39,7 +39,7 @@
 // vm is a control VM without a replica: a store and a stream server.
 type vm struct {
 	ip     string
-	store  *route.Store
+	store  *route.ReplicatedStore
 	server *Server
 	stop   context.CancelFunc
 	// isolated means that the VM has no contact with a quorum.
@@ -76,7 +76,7 @@
 		ips = append(ips, fmt.Sprintf("127.%d.1.%d", 60+net, i+1))
 	}
 	for _, ip := range ips {
-		v := &vm{ip: ip, store: route.NewStore(), controls: ips, flows: flowlog.NewStore()}
+		v := &vm{ip: ip, store: route.NewReplicatedStore(), controls: ips, flows: flowlog.NewStore()}
 		v.start(t)
 		out = append(out, v)
 	}
--- a/internal/passthrough/membership/messages.go
+++ b/internal/passthrough/membership/messages.go
@@ -65,8 +65,8 @@
 	// Epoch and Number identify the state of this VM's list that a balancer has.
 	Epoch  uint64 `msg:"e"`
 	Number uint64 `msg:"n"`
-	// Evacuations is the revision of the evacuations in force at the node.
-	Evacuations uint64 `msg:"x"`
+	// EvacuationRevision is the revision of the evacuations in force at the node.
+	EvacuationRevision uint64 `msg:"x"`
 }
 
 // Retire announces that an agent ends together with its target.
--- a/internal/passthrough/membership/messages_gen.go
+++ b/internal/passthrough/membership/messages_gen.go
@@ -164,7 +164,7 @@
 	o = msgp.AppendUint64(o, z.Number)
 	// string "x"
 	o = append(o, 0xa1, 0x78)
-	o = msgp.AppendUint64(o, z.Evacuations)
+	o = msgp.AppendUint64(o, z.EvacuationRevision)
 	return
 }
 
@@ -211,9 +211,9 @@
 				return
 			}
 		case "x":
-			z.Evacuations, bts, err = msgp.ReadUint64Bytes(bts)
+			z.EvacuationRevision, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Evacuations")
+				err = msgp.WrapError(err, "EvacuationRevision")
 				return
 			}
 		default:
--- a/internal/passthrough/membership/server.go
+++ b/internal/passthrough/membership/server.go
@@ -30,9 +30,9 @@
 	// HeartbeatInterval is the time between a node's heartbeats. A silent node is
 	// detected after streamTimeout.
 	HeartbeatInterval = 400 * time.Millisecond
-	// streamTimeout ends a stream that delivers nothing. A stream that fell silent
-	// without a reset would otherwise stay open for the kernel's retransmission timeout,
-	// a quarter of an hour.
+	// streamTimeout is the time without a message after which a stream is closed. A
+	// connection that is lost without a reset would otherwise stay open for the kernel's
+	// retransmission timeout, a quarter of an hour.
 	streamTimeout = 2 * time.Second
 	writeTimeout  = time.Second
 	// pushInterval is the minimum time between two unsolicited updates, so that a burst
@@ -68,7 +68,7 @@
 
 // ServerConfig configures a Server.
 type ServerConfig struct {
-	Store   *route.Store
+	Store   *route.ReplicatedStore
 	Source  Source
 	Flows   FlowStore
 	Log     logrus.FieldLogger
@@ -135,7 +135,8 @@
 	}
 }
 
-// stream serves one node until it falls silent or leaves.
+// stream serves the stream of one node until the node sends nothing for streamTimeout, the
+// connection is closed or ctx ends.
 func (s *Server) stream(ctx context.Context, raw net.Conn) {
 	defer raw.Close()
 	stop := context.AfterFunc(ctx, func() { _ = raw.Close() })
@@ -154,7 +155,7 @@
 	if err := s.recall(conn, hello.Node); err != nil {
 		return
 	}
-	p := &pusher{server: s, conn: conn, role: hello.Node.Role, heartbeats: make(chan Heartbeat, 1), heartbeat: hello.Heartbeat}
+	p := &updateSender{server: s, conn: conn, nodeRole: hello.Node.Role, heartbeats: make(chan Heartbeat, 1), heartbeat: hello.Heartbeat}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go p.run(ctx, raw)
@@ -356,18 +357,18 @@
 	return s.directory.since(b.Epoch, b.Number)
 }
 
-// pusher sends updates to one node.
-type pusher struct {
+// updateSender sends updates to one node.
+type updateSender struct {
 	server     *Server
 	conn       *framing.Conn
-	role       Role
+	nodeRole   Role
 	heartbeats chan Heartbeat
-	// heartbeat is the node's last, updated with what was sent since.
+	// heartbeat is the node's last heartbeat, updated with what was sent since.
 	heartbeat Heartbeat
 	confirmed bool
 }
 
-func (p *pusher) run(ctx context.Context, raw net.Conn) {
+func (p *updateSender) run(ctx context.Context, raw net.Conn) {
 	defer raw.Close()
 	confirmed := make(chan struct{})
 	go p.server.confirm(ctx, confirmed)
@@ -383,7 +384,7 @@
 	}
 	for {
 		var listChanged <-chan struct{} // nil for agents: they don't get the list
-		if p.role == Balancer {
+		if p.nodeRole == Balancer {
 			listChanged = p.server.listChanged()
 		}
 		tableChanged := p.server.cfg.Store.Changed()
@@ -433,13 +434,13 @@
 	}
 }
 
-// push sends the node what it lacks.
-func (p *pusher) push() error {
+// push sends the node the changes that it doesn't have yet.
+func (p *updateSender) push() error {
 	u := Update{
 		Confirmed: p.confirmed, Controls: p.server.cfg.Source.Controls(),
 		ContactAgeMS: p.server.cfg.Source.ContactAge().Milliseconds(),
 	}
-	if p.role == Balancer {
+	if p.nodeRole == Balancer {
 		u.List = p.server.listUpdate(p.heartbeat)
 	}
 	if state := p.server.cfg.Store.Current(); state != nil && p.confirmed {
@@ -452,7 +453,7 @@
 			u.Table = update
 		}
 	}
-	if e := p.server.cfg.Store.Evacuations(); p.confirmed && e.Revision > p.heartbeat.Evacuations {
+	if e := p.server.cfg.Store.Evacuations(); p.confirmed && e.Revision > p.heartbeat.EvacuationRevision {
 		u.Evacuated = &EvacuatedZones{Revision: e.Revision, Zones: e.Evacuated()}
 	}
 	if _, err := p.conn.Write(kindUpdate, &u); err != nil {
@@ -465,7 +466,7 @@
 		p.heartbeat.Version = u.Version
 	}
 	if u.Evacuated != nil {
-		p.heartbeat.Evacuations = u.Evacuated.Revision
+		p.heartbeat.EvacuationRevision = u.Evacuated.Revision
 	}
 	return nil
 }
--- a/internal/passthrough/route/cost_test.go
+++ b/internal/passthrough/route/cost_test.go
@@ -18,7 +18,7 @@
 				})
 			}
 			for range b.N {
-				s := NewStore()
+				s := NewReplicatedStore()
 				s.setDefinition(d)
 				whole, err := s.Current().Since(0)
 				if err != nil {
--- a/internal/passthrough/route/evacuation_test.go
+++ b/internal/passthrough/route/evacuation_test.go
@@ -12,7 +12,7 @@
 const resendWindow = 6 * time.Second
 
 // order applies an order that a VM received at the given time, holding the revision seen.
-func order(t *testing.T, s *Store, zone string, evacuate bool, seen uint64, at time.Duration) Outcome {
+func order(t *testing.T, s *ReplicatedStore, zone string, evacuate bool, seen uint64, at time.Duration) Outcome {
 	t.Helper()
 	o := EvacuationOrder{Zone: zone, Evacuate: evacuate, SeenRevision: seen, AtMS: at.Milliseconds()}
 	command, err := o.Command()
@@ -26,7 +26,7 @@
 // definition.
 func TestEvacuationOrdersAreIdempotent(t *testing.T) {
 	is := is.New(t)
-	s := NewStore()
+	s := NewReplicatedStore()
 	s.Apply(1, command(t, 7))
 	is.Equal(order(t, s, "accra-a", false, 0, time.Hour), Redundant) // never evacuated
 	changed := s.Changed()
@@ -45,7 +45,7 @@
 // after the withdrawal was acknowledged.
 func TestDelayedOrderHasNoEffect(t *testing.T) {
 	is := is.New(t)
-	s := NewStore()
+	s := NewReplicatedStore()
 	is.Equal(order(t, s, "accra-a", true, 0, time.Hour), Accepted)
 	is.Equal(order(t, s, "accra-a", false, 1, time.Hour), Accepted)
 	is.Equal(order(t, s, "accra-a", true, 0, time.Hour), Conflict)
@@ -59,7 +59,7 @@
 // answer.
 func TestDelayedCopyGetsNoDefiniteAnswer(t *testing.T) {
 	is := is.New(t)
-	s := NewStore()
+	s := NewReplicatedStore()
 	mayBeDelayed := func(evacuate bool, at time.Duration) bool {
 		return s.Evacuations().MayBeDelayedCopy(EvacuationOrder{Zone: "accra-a", Evacuate: evacuate, AtMS: at.Milliseconds()}, resendWindow)
 	}
@@ -83,7 +83,7 @@
 func TestEvacuationsAreInSnapshots(t *testing.T) {
 	is := is.New(t)
 	for _, withDefinition := range []bool{false, true} {
-		s := NewStore()
+		s := NewReplicatedStore()
 		if withDefinition {
 			s.Apply(1, command(t, 7))
 		}
@@ -92,7 +92,7 @@
 		order(t, s, "accra-b", false, 2, time.Hour)
 		snapshot, err := s.Snapshot()
 		is.NoErr(err)
-		fresh := NewStore()
+		fresh := NewReplicatedStore()
 		is.NoErr(fresh.Restore(snapshot))
 		is.Equal(fresh.Evacuations(), s.Evacuations())
 		is.Equal(fresh.Version(), s.Version())
@@ -105,7 +105,7 @@
 	is := is.New(t)
 	old, err := Command(validDefinition())
 	is.NoErr(err)
-	s := NewStore()
+	s := NewReplicatedStore()
 	is.NoErr(s.Restore(old))
 	is.Equal(s.Version(), Version(7))
 	is.Equal(s.Evacuations().Revision, uint64(0))
@@ -117,7 +117,7 @@
 // Guards against a reopened replica that returns to older evacuations from its snapshot.
 func TestRestoreKeepsNewerEvacuations(t *testing.T) {
 	is := is.New(t)
-	s := NewStore()
+	s := NewReplicatedStore()
 	order(t, s, "accra-a", true, 0, time.Hour)
 	older, err := s.Snapshot()
 	is.NoErr(err)
@@ -129,7 +129,7 @@
 // Guards against state that grows with every mistyped name of a data centre.
 func TestNumberOfZonesIsBounded(t *testing.T) {
 	is := is.New(t)
-	s := NewStore()
+	s := NewReplicatedStore()
 	seen := uint64(0)
 	for n := range 2 * maxZones {
 		zone := strconv.Itoa(n)
--- a/internal/passthrough/route/route.go
+++ b/internal/passthrough/route/route.go
@@ -168,8 +168,8 @@
 // Len returns the number of routes.
 func (t *Table) Len() int { return len(t.routes) }
 
-// Services returns the services that an address's new flows may go to, or nil if it has
-// no route.
+// Services returns the services that may receive new flows to an address, or nil if the
+// address has no route.
 func (t *Table) Services(at packet.Endpoint) []Choice {
 	if t == nil {
 		return nil
@@ -177,8 +177,8 @@
 	return t.routes[at].choices
 }
 
-// Priority returns the priority of an address's route; 0, the most urgent, also if it has
-// no route.
+// Priority returns the priority of an address's route, or 0, the most urgent, if the
+// address has no route.
 func (t *Table) Priority(at packet.Endpoint) uint32 {
 	if t == nil {
 		return 0
--- a/internal/passthrough/route/route_test.go
+++ b/internal/passthrough/route/route_test.go
@@ -93,7 +93,7 @@
 // nothing.
 func TestHighestVersionWins(t *testing.T) {
 	is := is.New(t)
-	s := NewStore()
+	s := NewReplicatedStore()
 	is.Equal(s.Apply(1, command(t, 7)), []byte{byte(Accepted)})
 	changed := s.Changed()
 	is.Equal(s.Apply(2, command(t, 7)), []byte{byte(Redundant)})
@@ -114,21 +114,21 @@
 // given a snapshot older than its applied state.
 func TestRestoreKeepsNewerDefinition(t *testing.T) {
 	is := is.New(t)
-	old := NewStore()
+	old := NewReplicatedStore()
 	old.Apply(1, command(t, 7))
 	snapshot, err := old.Snapshot()
 	is.NoErr(err)
 
-	s := NewStore()
+	s := NewReplicatedStore()
 	s.Apply(1, command(t, 9))
 	is.NoErr(s.Restore(snapshot))
 	is.Equal(s.Version(), Version(9))
 
-	fresh := NewStore()
+	fresh := NewReplicatedStore()
 	is.NoErr(fresh.Restore(snapshot))
 	is.Equal(fresh.Version(), Version(7))
 	is.True(fresh.Restore([]byte("damaged")) != nil)
-	empty, err := NewStore().Snapshot()
+	empty, err := NewReplicatedStore().Snapshot()
 	is.NoErr(err)
-	is.NoErr(NewStore().Restore(empty))
+	is.NoErr(NewReplicatedStore().Restore(empty))
 }
--- a/internal/passthrough/route/store.go
+++ b/internal/passthrough/route/store.go
@@ -11,12 +11,12 @@
 	"bergamotstall/internal/passthrough/packet"
 )
 
-// Store is the replicated state machine that holds the definition with the highest
-// version and the evacuations in force. Operators may race, resend and lose answers.
-// Because the highest version wins, every replica ends with the same definition whatever
-// the order of the commands, and a resend changes nothing.
-type Store struct {
-	current     atomic.Pointer[State]
+// ReplicatedStore is the replicated state machine that holds the definition with the
+// highest version and the evacuations in force. Operators may send commands concurrently,
+// lose replies and resend. Because the highest version wins, every replica ends with the
+// same definition whatever the order of the commands, and a resend changes nothing.
+type ReplicatedStore struct {
+	current     atomic.Pointer[DefinitionState]
 	evacuations atomic.Pointer[Evacuations]
 
 	mu      sync.Mutex
@@ -27,8 +27,8 @@
 // instead of the whole table.
 const maxDeltas = 64
 
-// State is a definition in force with the data derived from it.
-type State struct {
+// DefinitionState is the definition in force and the updates that lead to it.
+type DefinitionState struct {
 	Definition *Definition
 	// deltas led to this definition, oldest first; each starts at the version where the
 	// one before it ended.
@@ -43,7 +43,7 @@
 // Since returns the encoded TableUpdate for a node that holds the given version, 0 for
 // none. Most nodes hold one of a few versions, so each update is encoded once instead of
 // once per node.
-func (s *State) Since(held Version) ([]byte, error) {
+func (s *DefinitionState) Since(held Version) ([]byte, error) {
 	first := slices.IndexFunc(s.deltas, func(c *delta) bool { return c.from == held })
 	if first < 0 {
 		held = 0
@@ -66,7 +66,7 @@
 
 // update returns the changes from the delta at index first on. It returns all routes if
 // first is negative or if the changes are no smaller.
-func (s *State) update(first int) *TableUpdate {
+func (s *DefinitionState) update(first int) *TableUpdate {
 	if first < 0 {
 		return FullUpdate(s.Definition)
 	}
@@ -100,21 +100,21 @@
 	TooManyZones
 )
 
-// NewStore returns an empty store.
-func NewStore() *Store {
-	s := &Store{changed: make(chan struct{})}
+// NewReplicatedStore returns an empty store.
+func NewReplicatedStore() *ReplicatedStore {
+	s := &ReplicatedStore{changed: make(chan struct{})}
 	s.evacuations.Store(&Evacuations{})
 	return s
 }
 
 // Evacuations returns the evacuations in force.
-func (s *Store) Evacuations() *Evacuations { return s.evacuations.Load() }
+func (s *ReplicatedStore) Evacuations() *Evacuations { return s.evacuations.Load() }
 
 // Current returns the state in force, or nil before the first definition.
-func (s *Store) Current() *State { return s.current.Load() }
+func (s *ReplicatedStore) Current() *DefinitionState { return s.current.Load() }
 
 // Version returns the version in force, 0 before the first definition.
-func (s *Store) Version() Version {
+func (s *ReplicatedStore) Version() Version {
 	if c := s.current.Load(); c != nil {
 		return c.Definition.Version
 	}
@@ -123,7 +123,7 @@
 
 // Changed returns a channel that is closed at the next change of the definition or the
 // evacuations.
-func (s *Store) Changed() <-chan struct{} {
+func (s *ReplicatedStore) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
@@ -140,7 +140,7 @@
 
 // Apply implements replica.StateMachine. Definitions are encoded as maps, evacuation
 // orders as arrays.
-func (s *Store) Apply(_ uint64, command []byte) []byte {
+func (s *ReplicatedStore) Apply(_ uint64, command []byte) []byte {
 	if msgp.NextType(command) == msgp.ArrayType {
 		return []byte{byte(s.applyOrder(command))}
 	}
@@ -155,7 +155,7 @@
 	return []byte{byte(Accepted)}
 }
 
-func (s *Store) applyOrder(command []byte) Outcome {
+func (s *ReplicatedStore) applyOrder(command []byte) Outcome {
 	var o EvacuationOrder
 	if _, err := o.UnmarshalMsg(command); err != nil || ValidateZone(o.Zone) != nil {
 		return Malformed
@@ -167,8 +167,8 @@
 	return outcome
 }
 
-func (s *Store) setDefinition(d *Definition) {
-	next := &State{Definition: d}
+func (s *ReplicatedStore) setDefinition(d *Definition) {
+	next := &DefinitionState{Definition: d}
 	if held := s.current.Load(); held != nil {
 		next.deltas = append(slices.Clone(held.deltas), diff(held.Definition, d))
 		next.deltas = next.deltas[max(0, len(next.deltas)-maxDeltas):]
@@ -177,12 +177,12 @@
 	s.notifyChanged()
 }
 
-func (s *Store) setEvacuations(e *Evacuations) {
+func (s *ReplicatedStore) setEvacuations(e *Evacuations) {
 	s.evacuations.Store(e)
 	s.notifyChanged()
 }
 
-func (s *Store) notifyChanged() {
+func (s *ReplicatedStore) notifyChanged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.changed)
@@ -191,7 +191,7 @@
 
 // Snapshot implements replica.StateMachine. Before the first evacuation order it returns
 // the encoded definition alone, the format of versions that don't support evacuations.
-func (s *Store) Snapshot() ([]byte, error) {
+func (s *ReplicatedStore) Snapshot() ([]byte, error) {
 	var d *Definition
 	if c := s.current.Load(); c != nil {
 		d = c.Definition
@@ -212,7 +212,7 @@
 
 // Restore implements replica.StateMachine. A replica that was reopened may be given a
 // snapshot older than the store's state. That state was committed, so it is kept.
-func (s *Store) Restore(snapshot []byte) error {
+func (s *ReplicatedStore) Restore(snapshot []byte) error {
 	if len(snapshot) == 0 {
 		return nil
 	}
--- a/internal/passthrough/route/table_update.go
+++ b/internal/passthrough/route/table_update.go
@@ -44,7 +44,8 @@
 	AllowedRegions []uint16
 }
 
-// UpdateColdLimit is the rate of requests that a cold target of a service can take.
+// UpdateColdLimit is the entry of a TableUpdate that limits the rate of requests to each
+// cold target of a service.
 //
 //msgp:tuple UpdateColdLimit
 type UpdateColdLimit struct {
@@ -212,7 +213,7 @@
 	return t, nil
 }
 
-// fullTable builds a table of the update's routes alone.
+// fullTable builds a table from the update only, without an earlier table.
 func (u *TableUpdate) fullTable() *Table {
 	t := &Table{Version: u.Version, routes: make(map[packet.Endpoint]tableEntry, len(u.Routes))}
 	u.applyTo(t)
--- a/internal/passthrough/route/table_update_test.go
+++ b/internal/passthrough/route/table_update_test.go
@@ -28,7 +28,7 @@
 
 // updatedTable returns a node's table after it applied the update that the store sends
 // it.
-func updatedTable(t *testing.T, s *Store, held *Table) *Table {
+func updatedTable(t *testing.T, s *ReplicatedStore, held *Table) *Table {
 	t.Helper()
 	var version Version
 	if held != nil {
@@ -55,7 +55,7 @@
 	is := is.New(t)
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		s := NewStore()
+		s := NewReplicatedStore()
 		var nodes []*Table
 		for version := Version(1); version < 2*maxDeltas; version += Version(1 + rng.IntN(3)) {
 			d := randomDefinition(rng, version)
@@ -76,7 +76,7 @@
 func TestSizeOfOneRoutesChange(t *testing.T) {
 	is := is.New(t)
 	size := func(routes int) int {
-		s := NewStore()
+		s := NewReplicatedStore()
 		d := &Definition{Version: 1, Services: []Service{{Name: "desk"}}}
 		for n := range routes {
 			d.Routes = append(d.Routes, Route{IP: [4]byte{198, 18, byte(n >> 8), byte(n)}, Port: 443, TimeoutMS: 1000, Backends: []Backend{{"desk", 1}}})
@@ -98,7 +98,7 @@
 func TestUpdateOfAnotherVersionIsRefused(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
-	s := NewStore()
+	s := NewReplicatedStore()
 	s.setDefinition(randomDefinition(rng, 1))
 	s.setDefinition(randomDefinition(rng, 2))
 	s.setDefinition(randomDefinition(rng, 3))
