--- a/control/failure_test.go
+++ b/control/failure_test.go
@@ -154,7 +154,7 @@
 	rest := c.othersThan(lost)
 	c.eventually("the new replica waits to replace the lost one", func() bool {
 		l := c.leader()
-		return l != nil && len(l.control.log.Status().Replacements) == 1
+		return l != nil && len(l.control.log.Status().PendingReplacements) == 1
 	})
 	_, err = client(rest...).ChangeMembers(t.Context(), operator.MembersChange{Action: operator.ReplaceMember, Name: lost.settings.Name})
 	is.NoErr(err)
--- a/internal/raft/explorer_test.go
+++ b/internal/raft/explorer_test.go
@@ -88,7 +88,7 @@
 		clear(w.blocked)
 	case chance(x.change):
 		w.changeMembership()
-		for i := 0; w.envFaults.burstChanges && i < 3; i++ {
+		for i := 0; w.envFaults.consecutiveChanges && i < 3; i++ {
 			w.changeMembership()
 		}
 	case chance(x.loseDisk):
--- a/internal/raft/recovery.go
+++ b/internal/raft/recovery.go
@@ -194,10 +194,11 @@
 	return time.Duration(rank) * c.cfg.ElectionTimeout / restartStaggerDivisor
 }
 
-// leaderAnswered reports whether the leader that peers hear from, if any, has replied.
-// The leader counted this replica's acknowledgements, and a follower that replies first
-// may know of none. If the leader is unreachable while others hear it, the cluster works
-// without this replica; once they don't hear it, their next replies name no leader.
+// leaderAnswered reports whether every leader that a hello reply names has itself replied.
+// The leader counted this replica's acknowledgements, while a follower that replies first
+// may know of none. If this replica can't reach the leader but its peers can, recovery
+// doesn't end, and the cluster works without this replica. Once the peers can't reach the
+// leader either, their next replies name none.
 func (c *Core) leaderAnswered() bool {
 	for _, leader := range c.helloReplies {
 		if _, ok := c.helloReplies[leader]; !ok && leader != 0 && leader != c.cfg.ID {
--- a/internal/raft/restart_test.go
+++ b/internal/raft/restart_test.go
@@ -78,7 +78,7 @@
 func TestHelloIsSentAtOnceWhenPeersConnect(t *testing.T) {
 	is := is.New(t)
 	c := newCore(Config{ID: 1, Rand: rand.New(rand.NewPCG(1, 1))}.Defaults(), storedMembers(t, 3, HardState{Term: 2}, 2), time.Hour, faults{})
-	c.Tick(time.Hour) // asks, but no peer is connected yet
+	c.Tick(time.Hour) // sends hellos, but no peer is connected yet
 	processReady(c)
 	c.PeerConnected(time.Hour+time.Millisecond, 2)
 	asked := processReady(c)
--- a/internal/raft/simulation_test.go
+++ b/internal/raft/simulation_test.go
@@ -133,8 +133,8 @@
 	lostDiskKeepsID bool
 	// dropOutcomes leaves command outcomes out of snapshots.
 	dropOutcomes bool
-	// burstChanges makes operators request several membership changes in a row.
-	burstChanges bool
+	// consecutiveChanges makes operators request several membership changes in a row.
+	consecutiveChanges bool
 }
 
 // simulation runs replicas, network and clients, all driven by one seed.
@@ -250,7 +250,8 @@
 	return nil
 }
 
-// process carries out the core's work. The power may fail between any two parts of it.
+// process sends, saves and applies what the core returns until it returns nothing more.
+// The power may fail before and after each save.
 func (w *simulation) process(n *node) {
 	for n.up {
 		r, some := n.core.Ready()
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -146,9 +146,9 @@
 	})
 }
 
-// BenchmarkReturn measures how long a restarted replica takes to catch up with the
-// commands that it missed.
-func BenchmarkReturn(b *testing.B) {
+// BenchmarkRestartCatchUp measures the time from a replica's restart until it has applied
+// the commands that it missed.
+func BenchmarkRestartCatchUp(b *testing.B) {
 	for _, missed := range []int{1_000, 100_000} {
 		b.Run(fmt.Sprintf("missed=%d", missed), func(b *testing.B) {
 			members := startThree(b, func(c *Config) { c.Heartbeat = 0 })
@@ -183,9 +183,9 @@
 	done.Wait()
 }
 
-// BenchmarkRest measures what three idle replicas send, with the default heartbeat. One
-// operation is one second.
-func BenchmarkRest(b *testing.B) {
+// BenchmarkIdleTraffic measures the bytes that the leader and a follower of three idle
+// replicas send, with the default heartbeat. One operation is one second.
+func BenchmarkIdleTraffic(b *testing.B) {
 	members := startThree(b, func(c *Config) { c.Heartbeat = 0 })
 	leader := leaderOf(b, members)
 	follower := others(members, leader)[0]
@@ -200,9 +200,9 @@
 	b.ReportMetric(float64(bytes(follower)-fromFollower)/b.Elapsed().Seconds(), "follower-B/s")
 }
 
-// BenchmarkReplay measures opening a folder with 100,000 commands of 100 bytes each in
-// its segments.
-func BenchmarkReplay(b *testing.B) {
+// BenchmarkJournalOpen measures opening a folder with 100,000 commands of 100 bytes each
+// in its segments.
+func BenchmarkJournalOpen(b *testing.B) {
 	const entries, batch = 100_000, 100
 	o := journal.Options{FS: journal.Disk{}, Folder: b.TempDir(), NewID: newID}
 	j, _, err := journal.Open(o)
--- a/internal/replica/disk_test.go
+++ b/internal/replica/disk_test.go
@@ -189,7 +189,7 @@
 	m.start()
 	is.True(m.ID() != lost)
 	rest := others(members, m)
-	waitFor(t, "the replacement to be known", func() bool { return len(leaderOf(t, rest).Status().Replacements) == 1 })
+	waitFor(t, "the replacement to be known", func() bool { return len(leaderOf(t, rest).Status().PendingReplacements) == 1 })
 	is.Equal(voters(rest[0].Status()), 3) // it isn't a member until an operator decides
 	is.Equal(len(m.Status().Members), 0)
 	for rest[0].ReplaceMember(withTimeout(t, waitTimeout), lost) != nil {
--- a/internal/replica/link_test.go
+++ b/internal/replica/link_test.go
@@ -9,9 +9,10 @@
 	"github.com/matryer/is"
 )
 
-// Guards against late votes: a dial that began while the peer had no power would hang
-// until its timeout although the peer is up again.
-func TestDialEndsWhenThePeerConnects(t *testing.T) {
+// Guards against delayed votes: a dial that began while the peer had no power would block
+// until its timeout although the peer is up again. A connection from the peer must cancel
+// the dial.
+func TestDialIsCancelledWhenPeerConnects(t *testing.T) {
 	is := is.New(t)
 	dialled := make(chan struct{})
 	r := &Replica{cfg: Config{Dial: func(ctx context.Context, _ string) (net.Conn, error) {
--- a/internal/replica/loop.go
+++ b/internal/replica/loop.go
@@ -160,7 +160,7 @@
 		r.completeRequest(e, outcome)
 	}
 	for _, read := range ready.Reads {
-		r.releaseRead(read)
+		r.recordReadIndex(read)
 	}
 	if ready.Snapshot != nil || len(ready.Committed) > 0 {
 		r.notifyChanged()
--- a/internal/replica/members.go
+++ b/internal/replica/members.go
@@ -81,10 +81,10 @@
 	}
 }
 
-// handleJoin handles a new replica's join request. A new name is added at once. A
-// member's name is not, since a second process started under the name of a healthy VM
-// must not remove that VM. An operator decides, or MembershipPolicy does once the member
-// has been silent for long enough.
+// handleJoin handles a new replica's join request. A replica with a new name is added at
+// once. One with the name of a member isn't, since a second process started under the name
+// of a healthy VM must not remove that VM. An operator decides whether it replaces the
+// member, or MembershipPolicy does once the member has been silent for long enough.
 func (r *Replica) handleJoin(j joinRequest) {
 	if !r.core.IsLeader() {
 		if leader := r.core.Leader(); leader != 0 {
--- a/internal/replica/read.go
+++ b/internal/replica/read.go
@@ -16,8 +16,8 @@
 	ctx     context.Context
 }
 
-// releasedRead holds barriers whose read index is known but may not be applied yet.
-type releasedRead struct {
+// indexedRead holds barriers whose read index is known but may not be applied yet.
+type indexedRead struct {
 	index    raft.Index
 	barriers []*barrier
 }
@@ -67,18 +67,19 @@
 	r.newBarriers = nil
 }
 
-func (r *Replica) releaseRead(read raft.ReadResult) {
+// recordReadIndex records the read index of the barriers that wait for it.
+func (r *Replica) recordReadIndex(read raft.ReadResult) {
 	barriers, ok := r.reads[read.Context]
 	if !ok {
 		return
 	}
 	delete(r.reads, read.Context)
-	r.released = append(r.released, releasedRead{index: read.Index, barriers: barriers})
+	r.indexedReads = append(r.indexedReads, indexedRead{index: read.Index, barriers: barriers})
 }
 
 // finishReads completes the barriers whose index is applied.
 func (r *Replica) finishReads() {
-	r.released = slices.DeleteFunc(r.released, func(x releasedRead) bool {
+	r.indexedReads = slices.DeleteFunc(r.indexedReads, func(x indexedRead) bool {
 		if x.index > r.applied {
 			return false
 		}
@@ -112,7 +113,7 @@
 	for _, barriers := range r.reads {
 		fail(barriers)
 	}
-	for _, x := range r.released {
+	for _, x := range r.indexedReads {
 		fail(x.barriers)
 	}
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -96,12 +96,12 @@
 }
 
 const (
-	defaultHeartbeat     = 100 * time.Millisecond
-	electionHeartbeats   = 10
-	defaultSnapshotEvery = 10_000
-	defaultKeepEntries   = 1_000
-	defaultQueueLimit    = 1_024
-	defaultCommandLimit  = 1 << 20
+	defaultHeartbeat         = 100 * time.Millisecond
+	electionHeartbeats       = 10
+	defaultSnapshotEvery     = 10_000
+	defaultKeepEntries       = 1_000
+	defaultQueueLimit        = 1_024
+	defaultCommandLimitBytes = 1 << 20
 	// clockStart keeps the loop's clock above zero, which means "no timestamp".
 	clockStart = time.Hour
 	inboxSize  = 1_024
@@ -124,7 +124,7 @@
 		c.QueueLimit = defaultQueueLimit
 	}
 	if c.CommandLimit <= 0 {
-		c.CommandLimit = defaultCommandLimit
+		c.CommandLimit = defaultCommandLimitBytes
 	}
 	if c.FS == nil {
 		c.FS = journal.Disk{}
@@ -157,12 +157,12 @@
 	// ended is closed once the loop has ended.
 	ended chan struct{}
 
-	status    atomic.Pointer[Status]
-	peers     atomic.Pointer[[]string]
-	contactAt atomic.Int64
-	failure   atomic.Pointer[error]
-	changedMu sync.Mutex
-	changed   chan struct{}
+	status         atomic.Pointer[Status]
+	peers          atomic.Pointer[[]string]
+	contactAt      atomic.Int64
+	failure        atomic.Pointer[error]
+	changeSignalMu sync.Mutex
+	changeSignal   chan struct{}
 
 	// The fields below belong to the loop.
 
@@ -172,7 +172,7 @@
 	lastNumber   uint64
 	reads        map[uint64][]*barrier
 	newBarriers  []*barrier
-	released     []releasedRead
+	indexedReads []indexedRead
 	replacements map[string]replacement
 	leader       raft.ID
 	membersIndex raft.Index
@@ -221,7 +221,7 @@
 		connected:    make(chan raft.ID, inboxSize),
 		stopping:     make(chan struct{}),
 		ended:        make(chan struct{}),
-		changed:      make(chan struct{}),
+		changeSignal: make(chan struct{}),
 		waiters:      map[raft.Index]waiter{},
 		forwards:     map[uint64]forwarded{},
 		reads:        map[uint64][]*barrier{},
@@ -326,16 +326,16 @@
 // Changed returns a channel that is closed when, after the call, entries have been
 // applied or a snapshot restored.
 func (r *Replica) Changed() <-chan struct{} {
-	r.changedMu.Lock()
-	defer r.changedMu.Unlock()
-	return r.changed
+	r.changeSignalMu.Lock()
+	defer r.changeSignalMu.Unlock()
+	return r.changeSignal
 }
 
 func (r *Replica) notifyChanged() {
-	r.changedMu.Lock()
-	defer r.changedMu.Unlock()
-	close(r.changed)
-	r.changed = make(chan struct{})
+	r.changeSignalMu.Lock()
+	defer r.changeSignalMu.Unlock()
+	close(r.changeSignal)
+	r.changeSignal = make(chan struct{})
 }
 
 // ContactAge returns how long ago this replica last had contact with a quorum. It may be
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -15,7 +15,8 @@
 // request is a proposal or membership change, local or forwarded.
 type request struct {
 	forward
-	// state changes once, from waiting to taken or abandoned.
+	// state is requestWaiting until the loop takes the request or its caller stops
+	// waiting. A taken request becomes requestCallerGone too if its caller stops waiting.
 	state atomic.Uint32
 	// answer is called once, from the loop.
 	answer func(result)
@@ -26,7 +27,7 @@
 const (
 	requestWaiting uint32 = iota
 	requestTaken
-	requestAbandoned
+	requestCallerGone
 )
 
 type result struct {
@@ -124,7 +125,7 @@
 	if ctx.Err() == nil {
 		reason = r.stopReason()
 	}
-	if q.state.CompareAndSwap(requestWaiting, requestAbandoned) {
+	if q.state.CompareAndSwap(requestWaiting, requestCallerGone) {
 		return result{err: notRun(reason)}
 	}
 	select {
@@ -132,7 +133,7 @@
 		return res
 	default:
 	}
-	q.state.Store(requestAbandoned)
+	q.state.Store(requestCallerGone)
 	r.count.unknown.Add(1)
 	return result{err: outcomeUnknown(reason)}
 }
@@ -237,7 +238,7 @@
 // accumulate.
 func (r *Replica) dropAbandonedForwards() {
 	maps.DeleteFunc(r.forwards, func(_ uint64, f forwarded) bool {
-		return f.request.state.Load() == requestAbandoned
+		return f.request.state.Load() == requestCallerGone
 	})
 }
 
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -14,9 +14,9 @@
 	// Cluster is the cluster's ID; 0 until the replica has joined one.
 	Cluster uint64
 	Name    string
-	// Replacements lists new replicas that have the name of a member and wait for an operator
-	// to replace it. Only the leader knows them.
-	Replacements []raft.Member
+	// PendingReplacements lists new replicas that have the name of a member and wait for
+	// an operator to replace that member. Only the leader knows them.
+	PendingReplacements []raft.Member
 }
 
 // Lag returns how many entries a member lacks, as the leader knows it.
@@ -36,7 +36,7 @@
 	s := &Status{Status: r.core.Status(), Cluster: r.cluster.Load(), Name: r.cfg.Name}
 	s.Applied = r.applied
 	for _, w := range r.replacements {
-		s.Replacements = append(s.Replacements, w.member)
+		s.PendingReplacements = append(s.PendingReplacements, w.member)
 	}
 	r.status.Store(s)
 	if at, ok := r.core.ContactAt(); ok {
--- a/internal/replica/upkeep_test.go
+++ b/internal/replica/upkeep_test.go
@@ -70,10 +70,10 @@
 	}
 }
 
-// Guards against a lost voter that still counts beside its successor. A control VM is
-// lost for good and an empty one joins under another name. With four voters, one of them
-// lost, the loss of one more disk would leave two of four: no leader, and no command
-// accepted.
+// Guards against a lost voter that stays a voter after its successor has joined. A control
+// VM is lost for good, and one with an empty disk joins under another name. With four
+// voters, one of them lost, the loss of one more disk would leave two of four: no majority,
+// so no leader, and no command accepted.
 func TestNewVMReplacesSilentVoter(t *testing.T) {
 	is := is.New(t)
 	members := startThree(t, testUpkeep)
@@ -102,8 +102,9 @@
 	requireCommands(t, now, []string{"before"})
 }
 
-// Guards against a lost voter that counts forever. The successor joins first, then the
-// old VM is lost for good. There are four voters until the leader evicts the silent one.
+// Guards against a lost voter that stays a voter forever. The successor joins first, then
+// the old VM is lost for good. There are four voters until the leader evicts the silent
+// one.
 func TestLostVMIsEvictedAfterSuccessorJoined(t *testing.T) {
 	is := is.New(t)
 	members := startThree(t, testUpkeep)
