--- a/internal/envelope/envelope.go
+++ b/internal/envelope/envelope.go
@@ -88,9 +88,10 @@
 	ErrKey = errors.New("envelope: key must have at least 16 bytes")
 )
 
+// macKey is one slot of a KeyRing. present is false if the ring has no key in the slot.
 type macKey struct {
-	k0, k1 uint64
-	valid  bool
+	k0, k1  uint64
+	present bool
 }
 
 // KeyRing holds the valid MAC keys, indexed by the low bits of their generation. It is
@@ -108,22 +109,22 @@
 			return nil, errors.Wrapf(ErrKey, "generation %d", k.Generation)
 		}
 		r.keys[k.Generation&generationMask] = macKey{
-			k0:    binary.LittleEndian.Uint64(k.Envelope),
-			k1:    binary.LittleEndian.Uint64(k.Envelope[8:]),
-			valid: true,
+			k0:      binary.LittleEndian.Uint64(k.Envelope),
+			k1:      binary.LittleEndian.Uint64(k.Envelope[8:]),
+			present: true,
 		}
 	}
 	return r, nil
 }
 
 // Has tells whether the ring has the key of a generation.
-func (k *KeyRing) Has(generation uint8) bool { return k.keys[generation&generationMask].valid }
+func (k *KeyRing) Has(generation uint8) bool { return k.keys[generation&generationMask].present }
 
 // Append appends the envelope and its payload to dst. It allocates only if dst is too
 // small. It returns ErrGeneration if the ring has no key of the header's generation.
 func (k *KeyRing) Append(dst []byte, h *Header, payload []byte) ([]byte, error) {
 	key := &k.keys[h.Generation&generationMask]
-	if !key.valid {
+	if !key.present {
 		return dst, ErrGeneration
 	}
 	start := len(dst)
@@ -180,7 +181,7 @@
 		return nil, ErrMalformed
 	}
 	key := &k.keys[h.Generation]
-	if !key.valid {
+	if !key.present {
 		return nil, ErrGeneration
 	}
 	signed := datagram[macBytes : len(datagram)-len(payload)]
--- a/internal/idempotency/claim.go
+++ b/internal/idempotency/claim.go
@@ -85,7 +85,7 @@
 		if r == nil {
 			continue
 		}
-		for _, n := range r.Merged {
+		for _, n := range r.MergedVoters {
 			if !slices.Contains(out, n) {
 				out = append(out, n)
 			}
@@ -148,7 +148,7 @@
 		case r == nil:
 		case r.State == NoAnswer:
 			return Unknown
-		case r.State == Held:
+		case r.State == HeldByOtherClaim:
 			verdict = Running
 		case r.State == Full && verdict == NoQuorum:
 			verdict = LimitReached
@@ -230,7 +230,7 @@
 		return false
 	}
 	for _, s := range skipped {
-		if !slices.Contains(r.Merged, s) {
+		if !slices.Contains(r.MergedVoters, s) {
 			return false
 		}
 	}
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -24,7 +24,7 @@
 	first, second := request(1, 1), request(1, 2)
 	is.Equal(k.Vote(0, first).State, Granted)
 	is.Equal(k.Vote(0, first).State, Granted) // the same claim asks again
-	is.Equal(k.Vote(0, second).State, Held)
+	is.Equal(k.Vote(0, second).State, HeldByOtherClaim)
 
 	k.Release(0, Release{Key: first.Key, ID: first.ID})
 	is.Equal(k.Vote(0, first).State, Closed) // its own delayed request isn't granted
@@ -74,7 +74,7 @@
 		k.Vote(0, r)
 	}
 	is.Equal(k.RecordCount(), 8)
-	is.Equal(k.Vote(0, request(0, 99)).State, Held) // the first key is still held
+	is.Equal(k.Vote(0, request(0, 99)).State, HeldByOtherClaim) // the first key is still held
 	k.Finish(0, Finish{Request: request(0, 0), State: Done, Response: &Response{Body: make([]byte, 101)}})
 	is.Equal(k.Vote(0, request(0, 99)), Reply{State: Done}) // known to have run; the response was too large to store
 	k.Sweep(60_000)
--- a/internal/idempotency/messages.go
+++ b/internal/idempotency/messages.go
@@ -34,8 +34,8 @@
 const (
 	// Granted: the claim has the voter's vote.
 	Granted KeyState = iota + 1
-	// Held: another claim holds the key; its request may be running.
-	Held
+	// HeldByOtherClaim: another claim holds the key, and its request may be running.
+	HeldByOtherClaim
 	// NoAnswer: another claim sent its request to the target and got no response.
 	NoAnswer
 	// Done: the request has run; the response is included unless it wasn't stored.
@@ -54,8 +54,8 @@
 // Reply is a voter's reply to a Request.
 type Reply struct {
 	State KeyState `msg:"s"`
-	// Merged lists the closed voters whose records this voter has merged.
-	Merged []table.AgentNumber `msg:"m"`
+	// MergedVoters lists the closed voters whose records this voter has merged.
+	MergedVoters []table.AgentNumber `msg:"m"`
 	// Response is set with Done if it was stored.
 	Response *Response `msg:"a"`
 }
@@ -88,12 +88,13 @@
 	Response *Response `msg:"a"`
 }
 
-// Handover carries all records of a closing voter to the service's other voters. From
-// grants no vote afterwards.
+// Handover carries all records of a closing voter to the service's other voters.
+// The voter From grants no vote afterwards. MergedVoters are the closed voters whose
+// records it had merged before.
 type Handover struct {
-	From    table.AgentNumber   `msg:"f"`
-	Merged  []table.AgentNumber `msg:"m"`
-	Records []Record            `msg:"r"`
+	From         table.AgentNumber   `msg:"f"`
+	MergedVoters []table.AgentNumber `msg:"m"`
+	Records      []Record            `msg:"r"`
 }
 
 // Record is what a voter knows about one claim of one key.
--- a/internal/idempotency/messages_gen.go
+++ b/internal/idempotency/messages_gen.go
@@ -376,18 +376,18 @@
 			var zb0002 uint32
 			zb0002, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Merged")
+				err = msgp.WrapError(err, "MergedVoters")
 				return
 			}
-			if cap(z.Merged) >= int(zb0002) {
-				z.Merged = (z.Merged)[:zb0002]
+			if cap(z.MergedVoters) >= int(zb0002) {
+				z.MergedVoters = (z.MergedVoters)[:zb0002]
 			} else {
-				z.Merged = make([]table.AgentNumber, zb0002)
+				z.MergedVoters = make([]table.AgentNumber, zb0002)
 			}
-			for za0001 := range z.Merged {
-				err = z.Merged[za0001].DecodeMsg(dc)
+			for za0001 := range z.MergedVoters {
+				err = z.MergedVoters[za0001].DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "Merged", za0001)
+					err = msgp.WrapError(err, "MergedVoters", za0001)
 					return
 				}
 			}
@@ -439,15 +439,15 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Merged)))
+	err = en.WriteArrayHeader(uint32(len(z.MergedVoters)))
 	if err != nil {
-		err = msgp.WrapError(err, "Merged")
+		err = msgp.WrapError(err, "MergedVoters")
 		return
 	}
-	for za0001 := range z.Merged {
-		err = z.Merged[za0001].EncodeMsg(en)
+	for za0001 := range z.MergedVoters {
+		err = z.MergedVoters[za0001].EncodeMsg(en)
 		if err != nil {
-			err = msgp.WrapError(err, "Merged", za0001)
+			err = msgp.WrapError(err, "MergedVoters", za0001)
 			return
 		}
 	}
@@ -484,11 +484,11 @@
 	}
 	// string "m"
 	o = append(o, 0xa1, 0x6d)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Merged)))
-	for za0001 := range z.Merged {
-		o, err = z.Merged[za0001].MarshalMsg(o)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.MergedVoters)))
+	for za0001 := range z.MergedVoters {
+		o, err = z.MergedVoters[za0001].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Merged", za0001)
+			err = msgp.WrapError(err, "MergedVoters", za0001)
 			return
 		}
 	}
@@ -533,18 +533,18 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Merged")
+				err = msgp.WrapError(err, "MergedVoters")
 				return
 			}
-			if cap(z.Merged) >= int(zb0002) {
-				z.Merged = (z.Merged)[:zb0002]
+			if cap(z.MergedVoters) >= int(zb0002) {
+				z.MergedVoters = (z.MergedVoters)[:zb0002]
 			} else {
-				z.Merged = make([]table.AgentNumber, zb0002)
+				z.MergedVoters = make([]table.AgentNumber, zb0002)
 			}
-			for za0001 := range z.Merged {
-				bts, err = z.Merged[za0001].UnmarshalMsg(bts)
+			for za0001 := range z.MergedVoters {
+				bts, err = z.MergedVoters[za0001].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Merged", za0001)
+					err = msgp.WrapError(err, "MergedVoters", za0001)
 					return
 				}
 			}
@@ -582,8 +582,8 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Handover) Msgsize() (s int) {
 	s = 1 + 2 + z.From.Msgsize() + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Merged {
-		s += z.Merged[za0001].Msgsize()
+	for za0001 := range z.MergedVoters {
+		s += z.MergedVoters[za0001].Msgsize()
 	}
 	s += 2 + msgp.ArrayHeaderSize
 	for za0002 := range z.Records {
@@ -1441,18 +1441,18 @@
 			var zb0003 uint32
 			zb0003, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Merged")
+				err = msgp.WrapError(err, "MergedVoters")
 				return
 			}
-			if cap(z.Merged) >= int(zb0003) {
-				z.Merged = (z.Merged)[:zb0003]
+			if cap(z.MergedVoters) >= int(zb0003) {
+				z.MergedVoters = (z.MergedVoters)[:zb0003]
 			} else {
-				z.Merged = make([]table.AgentNumber, zb0003)
+				z.MergedVoters = make([]table.AgentNumber, zb0003)
 			}
-			for za0001 := range z.Merged {
-				err = z.Merged[za0001].DecodeMsg(dc)
+			for za0001 := range z.MergedVoters {
+				err = z.MergedVoters[za0001].DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "Merged", za0001)
+					err = msgp.WrapError(err, "MergedVoters", za0001)
 					return
 				}
 			}
@@ -1503,15 +1503,15 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Merged)))
+	err = en.WriteArrayHeader(uint32(len(z.MergedVoters)))
 	if err != nil {
-		err = msgp.WrapError(err, "Merged")
+		err = msgp.WrapError(err, "MergedVoters")
 		return
 	}
-	for za0001 := range z.Merged {
-		err = z.Merged[za0001].EncodeMsg(en)
+	for za0001 := range z.MergedVoters {
+		err = z.MergedVoters[za0001].EncodeMsg(en)
 		if err != nil {
-			err = msgp.WrapError(err, "Merged", za0001)
+			err = msgp.WrapError(err, "MergedVoters", za0001)
 			return
 		}
 	}
@@ -1544,11 +1544,11 @@
 	o = msgp.AppendUint8(o, uint8(z.State))
 	// string "m"
 	o = append(o, 0xa1, 0x6d)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Merged)))
-	for za0001 := range z.Merged {
-		o, err = z.Merged[za0001].MarshalMsg(o)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.MergedVoters)))
+	for za0001 := range z.MergedVoters {
+		o, err = z.MergedVoters[za0001].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Merged", za0001)
+			err = msgp.WrapError(err, "MergedVoters", za0001)
 			return
 		}
 	}
@@ -1598,18 +1598,18 @@
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Merged")
+				err = msgp.WrapError(err, "MergedVoters")
 				return
 			}
-			if cap(z.Merged) >= int(zb0003) {
-				z.Merged = (z.Merged)[:zb0003]
+			if cap(z.MergedVoters) >= int(zb0003) {
+				z.MergedVoters = (z.MergedVoters)[:zb0003]
 			} else {
-				z.Merged = make([]table.AgentNumber, zb0003)
+				z.MergedVoters = make([]table.AgentNumber, zb0003)
 			}
-			for za0001 := range z.Merged {
-				bts, err = z.Merged[za0001].UnmarshalMsg(bts)
+			for za0001 := range z.MergedVoters {
+				bts, err = z.MergedVoters[za0001].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Merged", za0001)
+					err = msgp.WrapError(err, "MergedVoters", za0001)
 					return
 				}
 			}
@@ -1645,8 +1645,8 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Reply) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint8Size + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Merged {
-		s += z.Merged[za0001].Msgsize()
+	for za0001 := range z.MergedVoters {
+		s += z.MergedVoters[za0001].Msgsize()
 	}
 	s += 2
 	if z.Response == nil {
--- a/internal/idempotency/model_test.go
+++ b/internal/idempotency/model_test.go
@@ -291,7 +291,7 @@
 				reply = to.voter.Vote(m.nowMS, t.Request())
 			}
 			if m.fault == everyVoteValid {
-				reply.Merged = m.allClosed()
+				reply.MergedVoters = m.allClosed()
 			}
 			m.send(t.by, func(*modelAgent) {
 				if !t.over && t.replies[to.number] == nil {
--- a/internal/idempotency/voter.go
+++ b/internal/idempotency/voter.go
@@ -89,7 +89,7 @@
 
 // Vote grants the vote for a key to a claim, or returns the key's state that prevents it.
 func (v *Voter) Vote(nowMS int64, r Request) Reply {
-	reply := Reply{State: v.vote(nowMS, r), Merged: v.mergedVoters(nowMS)}
+	reply := Reply{State: v.vote(nowMS, r), MergedVoters: v.mergedVoters(nowMS)}
 	if reply.State == Done {
 		reply.Response = v.storedResponse(r.Key)
 	}
@@ -108,7 +108,7 @@
 	if v.count >= v.limits.Keys || v.perCaller[r.Caller] >= v.limits.Keys/callerKeysDivisor {
 		return Full
 	}
-	v.add(&record{request: r, state: Held, untilMS: nowMS + v.lookbackMS})
+	v.add(&record{request: r, state: HeldByOtherClaim, untilMS: nowMS + v.lookbackMS})
 	return Granted
 }
 
@@ -121,7 +121,7 @@
 			return OtherCaller
 		case x.request.Body != r.Body:
 			return OtherBody
-		case x.request.ID == r.ID && x.state == Held:
+		case x.request.ID == r.ID && x.state == HeldByOtherClaim:
 		case x.state > state:
 			state = x.state
 		}
@@ -143,7 +143,7 @@
 	if len(v.released) < v.limits.Keys {
 		v.released[r.ID] = nowMS + releasedRetention.Milliseconds()
 	}
-	v.remove(r.Key, func(x *record) bool { return x.request.ID == r.ID && x.state == Held })
+	v.remove(r.Key, func(x *record) bool { return x.request.ID == r.ID && x.state == HeldByOtherClaim })
 }
 
 // Finish records how a claim's request ended. It also accepts claims that this voter
@@ -167,7 +167,7 @@
 // Close stops voting and returns the records that the other voters must merge.
 func (v *Voter) Close(nowMS int64) Handover {
 	v.closed = true
-	h := Handover{From: v.self, Merged: v.mergedVoters(nowMS)}
+	h := Handover{From: v.self, MergedVoters: v.mergedVoters(nowMS)}
 	for _, held := range v.records {
 		for _, x := range held {
 			remaining := x.untilMS - nowMS
@@ -191,7 +191,7 @@
 	}
 	until := nowMS + mergedRetention.Milliseconds()
 	v.merged[h.From] = until
-	for _, n := range h.Merged {
+	for _, n := range h.MergedVoters {
 		v.merged[n] = until
 	}
 	return true
--- a/internal/proxy/frames.go
+++ b/internal/proxy/frames.go
@@ -71,7 +71,7 @@
 			return nil
 		}
 	}
-	conn, err := c.dial(ctx, to)
+	conn, err := c.openPeerConn(ctx, to)
 	if err != nil {
 		return err
 	}
@@ -103,7 +103,9 @@
 	return f.Decode(reply)
 }
 
-func (c *frameClient) dial(ctx context.Context, to table.Target) (*framing.Conn, error) {
+// openPeerConn opens a framed connection to an agent and sends the Hello. It returns
+// errWrongPeer if the address now belongs to another agent.
+func (c *frameClient) openPeerConn(ctx context.Context, to table.Target) (*framing.Conn, error) {
 	raw, err := dialPeer(ctx, c.tls, to.Peer)
 	if err != nil {
 		return nil, err
--- a/internal/proxy/health.go
+++ b/internal/proxy/health.go
@@ -22,7 +22,8 @@
 	repeatLogInterval = 30 * time.Second
 )
 
-// targetHealth guards the target's health state.
+// targetHealth is the health state of the target, as derived from the outcome of requests
+// and from the health endpoint. mu guards all fields.
 type targetHealth struct {
 	mu        sync.Mutex
 	state     admission.TargetHealth
@@ -51,9 +52,9 @@
 	}
 	x.health.unhealthy = unhealthy
 	if unhealthy {
-		events.Log(x.log, events.TargetIll, logrus.Fields{"target": x.cfg.Target})
+		events.Log(x.log, events.TargetUnhealthy, logrus.Fields{"target": x.cfg.Target})
 	} else {
-		events.Log(x.log, events.TargetWell, logrus.Fields{"target": x.cfg.Target})
+		events.Log(x.log, events.TargetHealthy, logrus.Fields{"target": x.cfg.Target})
 	}
 }
 
@@ -122,7 +123,7 @@
 	x.logHealthChange()
 	contradicted := healthy == x.health.state.Unhealthy(x.now())
 	if contradicted && !x.health.contradicted {
-		events.Log(x.log, events.HealthContradicts, logrus.Fields{"endpoint_well": healthy})
+		events.Log(x.log, events.HealthEndpointContradictsRequests, logrus.Fields{"endpoint_well": healthy})
 	}
 	if contradicted {
 		x.counters.add("health.contradicted")
--- a/internal/proxy/host_test.go
+++ b/internal/proxy/host_test.go
@@ -60,7 +60,7 @@
 }
 
 func (r reply) notRun() string  { return r.header.Get(HeaderNotRun) }
-func (r reply) unknown() string { return r.header.Get(HeaderUnknown) }
+func (r reply) unknown() string { return r.header.Get(HeaderOutcomeUnknown) }
 
 // send sends one request and reads the whole response.
 func (r *testHost) send(ctx context.Context, method, path, id, body string, headers ...string) reply {
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -128,7 +128,7 @@
 func (x *Proxy) tryClaim(c *call) (*keyedClaim, result) {
 	t := x.table.Load()
 	if !idempotency.MayVote(t, x.self(), x.tableAge(), x.cfg.Clock().UnixMilli()) {
-		x.logRepeated(events.ClaimsStale)
+		x.logRepeated(events.ClaimsTableTooOld)
 		return nil, refused(ReasonKeyTableStale)
 	}
 	own, _ := t.Target(x.self())
--- a/internal/proxy/listen.go
+++ b/internal/proxy/listen.go
@@ -86,7 +86,7 @@
 	if cfg := s.proxy.cfg.TLS; cfg != nil {
 		secured := tls.Server(conn, cfg.Server)
 		if err := secured.Handshake(); err != nil {
-			events.Log(s.proxy.log, events.AgentRefused, logrus.Fields{"peer": conn.RemoteAddr().String(), "error": err})
+			events.Log(s.proxy.log, events.AgentConnectionRefused, logrus.Fields{"peer": conn.RemoteAddr().String(), "error": err})
 			_ = conn.Close()
 			return
 		}
--- a/internal/proxy/peer.go
+++ b/internal/proxy/peer.go
@@ -71,7 +71,7 @@
 		_ = resp.Body.Close()
 		return result{refusal: &Refusal{Reason: Reason(reason), Status: resp.StatusCode}, outcome: retry.NotRun}
 	}
-	if reason := resp.Header.Get(HeaderUnknown); reason != "" {
+	if reason := resp.Header.Get(HeaderOutcomeUnknown); reason != "" {
 		_ = resp.Body.Close()
 		return unknown(Reason(reason), resp.StatusCode)
 	}
--- a/internal/proxy/peer_test.go
+++ b/internal/proxy/peer_test.go
@@ -180,7 +180,7 @@
 // Guards against a second run after a target responds 503. A download is retried
 // elsewhere. A submission isn't, since a 503 doesn't say how much of it ran, unless the
 // operator has set ShedMeansNotRun.
-func TestShedAnswers(t *testing.T) {
+func TestRetryAfterTargetResponds503(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 2, target.Faults{}, Limits{Slots: 4})
 	h := c.hosts[0]
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -224,7 +224,7 @@
 		x.budgetMu.Unlock()
 	}
 	x.admitter.configure(cfg)
-	x.updateVoter(idempotency.Lookback(x.keyWindow()))
+	x.configureVoter(idempotency.Lookback(x.keyWindow()))
 	x.frames.closeIdle(func(n table.AgentNumber) bool {
 		peer, ok := t.Target(n)
 		return ok && peer.State != table.Retired
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -209,7 +209,7 @@
 	is := is.New(t)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(HeaderNotRun, "queue-full")
-		w.Header().Set(HeaderUnknown, "x")
+		w.Header().Set(HeaderOutcomeUnknown, "x")
 		w.Header().Set("X-Kept", "yes")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
@@ -219,6 +219,6 @@
 	x.ServeHTTP(w, httptest.NewRequest("POST", "/submit", strings.NewReader("x")))
 	is.Equal(w.Code, http.StatusServiceUnavailable) // the target's own response
 	is.Equal(w.Header().Get(HeaderNotRun), "")
-	is.Equal(w.Header().Get(HeaderUnknown), "")
+	is.Equal(w.Header().Get(HeaderOutcomeUnknown), "")
 	is.Equal(w.Header().Get("X-Kept"), "yes")
 }
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -15,8 +15,9 @@
 	// HeaderNotRun marks a refusal: no target received a byte of the request. Its value
 	// is the Reason.
 	HeaderNotRun = "Bergamotstall-Not-Run"
-	// HeaderUnknown marks a request that may have run. Its value is the Reason.
-	HeaderUnknown = "Bergamotstall-Unknown"
+	// HeaderOutcomeUnknown marks the response to a request that may have run. Its value
+	// is the Reason.
+	HeaderOutcomeUnknown = "Bergamotstall-Unknown"
 	// HeaderDeadline carries the time left until the caller's deadline, in milliseconds,
 	// from caller to target.
 	HeaderDeadline = "Bergamotstall-Deadline-Ms"
@@ -79,7 +80,7 @@
 }
 
 func writeUnknown(w http.ResponseWriter, req *http.Request, u *Unknown) {
-	w.Header().Set(HeaderUnknown, string(u.Reason))
+	w.Header().Set(HeaderOutcomeUnknown, string(u.Reason))
 	writeText(w, req, u.Status, "outcome unknown: "+string(u.Reason)+"\n")
 }
 
--- a/internal/proxy/votes.go
+++ b/internal/proxy/votes.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// updateVoter starts a voter without records if the agent has a new number, and sets the
-// lookback.
-func (x *Proxy) updateVoter(lookback time.Duration) {
+// configureVoter replaces the voter by one without records if the agent has a new number,
+// and sets how long the voter keeps new records.
+func (x *Proxy) configureVoter(lookback time.Duration) {
 	x.voter.mu.Lock()
 	defer x.voter.mu.Unlock()
 	agent := x.self()
@@ -74,7 +74,7 @@
 	x.withVoter(func(v *idempotency.Voter, nowMS int64) { reply = v.Vote(nowMS, r) })
 	if reply.State == idempotency.Full {
 		x.counters.add("claims.vote-full")
-		x.logRepeated(events.ClaimsFull)
+		x.logRepeated(events.ClaimsKeyLimitReached)
 	}
 	return reply
 }
