--- a/agent/agent.go
+++ b/agent/agent.go
@@ -217,7 +217,7 @@
 	wait.For(ctx, drainNoticeDelay)
 	a.proxy.Drain()
 	if err := a.flows.Shutdown(ctx); err != nil {
-		events.Log(a.log, events.AgentStopCut, logrus.Fields{"grace": a.settings.StopGrace.String(), "error": err})
+		events.Log(a.log, events.AgentStoppedWithWorkLeft, logrus.Fields{"grace": a.settings.StopGrace.String(), "error": err})
 	}
 	for a.proxy.InFlight() > 0 && ctx.Err() == nil {
 		wait.For(ctx, drainPollInterval)
--- a/cmd/bergamotctl/experiment.go
+++ b/cmd/bergamotctl/experiment.go
@@ -22,7 +22,7 @@
 	seeds := flags.Int("seeds", defaultSeeds, "runs of each case, for mean and worst")
 	var pass passOptions
 	flags.IntVar(&pass.deployments, "deployments", defaultDeployments, "pass: drawn deployments")
-	flags.Uint64Var(&pass.seed, "seed", 1, "pass: what the deployments are drawn from")
+	flags.Uint64Var(&pass.deploymentSeed, "seed", 1, "pass: what the deployments are drawn from")
 	flags.BoolVar(&pass.ablation, "ablation", false, "pass: each mechanism switched off by itself")
 	flags.BoolVar(&pass.sweep, "sweep", false, "pass: each threshold a third and three times as large")
 	flags.StringVar(&pass.plot, "plot", "", "pass: PNG file for the gains")
--- a/cmd/bergamotctl/experiment_pass.go
+++ b/cmd/bergamotctl/experiment_pass.go
@@ -10,9 +10,10 @@
 
 // passOptions are the options of the simulation of pass-through flows.
 type passOptions struct {
-	// deployments is how many random deployments are simulated, drawn with seed.
-	deployments int
-	seed        uint64
+	// deployments is how many random deployments are simulated; deploymentSeed is the seed
+	// of the random number generator that draws them.
+	deployments    int
+	deploymentSeed uint64
 	// ablation adds variants with one mechanism switched off each, sweep variants with one
 	// threshold each at a third and at three times its value.
 	ablation, sweep bool
@@ -32,7 +33,7 @@
 		variants = append(variants, simulation.Sweep()...)
 	}
 	scenarios := simulation.Scenarios()
-	all := simulation.Compare(variants, scenarios, o.deployments, o.seed)
+	all := simulation.Compare(variants, scenarios, o.deployments, o.deploymentSeed)
 	simulation.Write(c.out, scenarios, all)
 	fmt.Fprintf(c.errOut, "played in %v\n", time.Since(start).Round(time.Second))
 	if o.plot == "" {
--- a/cmd/bergamotstall/demo.go
+++ b/cmd/bergamotstall/demo.go
@@ -45,7 +45,7 @@
 	o.Log = log
 	if *usePlatform {
 		return runPlatformDemo(ctx, standin.DayOptions{
-			Options: standin.Options{Net: platformNet, Scheme: standin.Scheme(*scheme), Folder: o.Folder, Log: log},
+			Options: standin.Options{Net: platformLoopbackOctet, Scheme: standin.Scheme(*scheme), Folder: o.Folder, Log: log},
 			For:     o.For, Out: out,
 		}, errOut)
 	}
@@ -57,9 +57,9 @@
 }
 
 const (
-	// platformNet is the second byte of the loopback addresses 127.N.x.y that the stand-in
+	// platformLoopbackOctet is the second byte of the loopback addresses 127.N.x.y that the stand-in
 	// for the users' platform uses.
-	platformNet = 30
+	platformLoopbackOctet = 30
 	// platformRunTime is how long the demo on the stand-in runs by default.
 	platformRunTime = 20 * time.Second
 )
--- a/cmd/bergamotstall/role.go
+++ b/cmd/bergamotstall/role.go
@@ -99,7 +99,7 @@
 // logDropped logs, each logsink.DropInterval, how many log lines were dropped, if any.
 func logDropped(ctx context.Context, sink *logsink.Sink, log logrus.FieldLogger) {
 	for wait.For(ctx, logsink.DropInterval) {
-		if n := sink.Dropped(); n > 0 {
+		if n := sink.TakeDropped(); n > 0 {
 			events.Log(log, events.LogLinesDropped, logrus.Fields{"lines": n})
 		}
 	}
--- a/internal/distribution/client.go
+++ b/internal/distribution/client.go
@@ -196,7 +196,7 @@
 	c.counters.countEnd(err)
 	c.checkContact(time.Now())
 	if was {
-		events.Log(c.cfg.Log, events.ControlLeft, logrus.Fields{"control": address, "error": err})
+		events.Log(c.cfg.Log, events.ControlStreamEnded, logrus.Fields{"control": address, "error": err})
 	}
 }
 
@@ -330,9 +330,9 @@
 	}
 	c.mu.Unlock()
 	if fresh && !was {
-		events.Log(c.cfg.Log, events.ControlBack, nil)
+		events.Log(c.cfg.Log, events.ControlQuorumReachable, nil)
 	}
 	if lost {
-		events.Log(c.cfg.Log, events.ControlLost, logrus.Fields{"revision": c.heldRevision()})
+		events.Log(c.cfg.Log, events.ControlQuorumUnreachable, logrus.Fields{"revision": c.heldRevision()})
 	}
 }
--- a/internal/events/agent.go
+++ b/internal/events/agent.go
@@ -4,5 +4,5 @@
 
 // Events of the agent process as a whole, 390 to 399.
 var (
-	AgentStopCut = define(390, logrus.WarnLevel, "agent stopped with work left")
+	AgentStoppedWithWorkLeft = define(390, logrus.WarnLevel, "agent stopped with work left")
 )
--- a/internal/events/passthrough.go
+++ b/internal/events/passthrough.go
@@ -17,7 +17,7 @@
 	SettingsKept        = define(710, logrus.WarnLevel, "settings can't be reloaded, the ones before stay")
 	LogLinesDropped     = define(711, logrus.WarnLevel, "log lines dropped")
 	ReplicaReopened     = define(712, logrus.WarnLevel, "replica opened again after a failure")
-	Traffic             = define(714, logrus.InfoLevel, "messages sent and received")
+	MessageTraffic      = define(714, logrus.InfoLevel, "messages sent and received")
 	FolderAbandoned     = define(713, logrus.WarnLevel, "folder of a removed replica set aside")
 	EvacuationDecided   = define(715, logrus.InfoLevel, "evacuation order decided on")
 	EvacuationsInForce  = define(716, logrus.InfoLevel, "evacuations in force")
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -53,12 +53,12 @@
 	lock     io.Closer
 	identity Identity
 
-	lastNumber    uint64
-	segmentNumber uint64
-	file          File
-	segmentSize   int
-	failure       error
-	syncs         uint64
+	lastRecordNumber uint64
+	segmentNumber    uint64
+	file             File
+	segmentSize      int
+	failure          error
+	syncs            uint64
 }
 
 // Options configure Open.
@@ -289,8 +289,8 @@
 }
 
 func (j *Journal) write(r record) error {
-	j.lastNumber++
-	r.Number = j.lastNumber
+	j.lastRecordNumber++
+	r.Number = j.lastRecordNumber
 	r.Replica = j.identity.Replica
 	data, err := encodeFrame(&r)
 	if err != nil {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -14,10 +14,10 @@
 	"bergamotstall/internal/raft"
 )
 
-const folder = "/data"
+const testFolder = "/data"
 
 func openInMemory(m *memoryFS, id raft.ID) (*Journal, raft.StoredState, error) {
-	return Open(Options{FS: m, Folder: folder, NewID: func() raft.ID { return id }})
+	return Open(Options{FS: m, Folder: testFolder, NewID: func() raft.ID { return id }})
 }
 
 // workload is a random sequence of writes of a replica. want is the state that the journal
@@ -190,8 +190,9 @@
 	is.True(errors.Is(j.Save(Batch{Hard: raft.HardState{Term: 1}}), ErrPoisoned))
 }
 
-// Guards against two processes that overwrite each other's votes in one folder. What the
-// first one stored must be there when it is opened again.
+// Guards against two processes that overwrite each other's votes in one folder: the second
+// Open must fail with ErrLocked. What the first process stored must still be in the folder
+// when it is opened again after Close.
 func TestSecondProcessIsLockedOut(t *testing.T) {
 	is := is.New(t)
 	o := Options{FS: Disk{}, Folder: t.TempDir(), NewID: func() raft.ID { return 7 }}
@@ -333,7 +334,7 @@
 		m := newMemory(1)
 		identity, _ := encodeFrame(&Identity{Replica: 7})
 		put := func(name string, data []byte) {
-			m.files[filepath.Join(folder, name)] = &memoryFile{fs: m, data: data, synced: len(data)}
+			m.files[filepath.Join(testFolder, name)] = &memoryFile{fs: m, data: data, synced: len(data)}
 		}
 		put(identityFile, identity)
 		put(segmentName(1), data)
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -27,7 +27,7 @@
 			return raft.StoredState{}, err
 		}
 	}
-	j.lastNumber = r.lastNumber
+	j.lastRecordNumber = r.lastRecordNumber
 	j.segmentNumber = files.segments[len(files.segments)-1]
 	return r.joinSnapshot()
 }
@@ -53,9 +53,9 @@
 
 // replayer rebuilds the stored state from the records of the segments.
 type replayer struct {
-	journal    *Journal
-	stored     raft.StoredState
-	lastNumber uint64
+	journal          *Journal
+	stored           raft.StoredState
+	lastRecordNumber uint64
 	// resetSeen is set after a record with Reset, which needs no record before it.
 	resetSeen bool
 }
@@ -66,7 +66,7 @@
 // ErrIncomplete.
 func (r *replayer) discardRecords() {
 	r.resetSeen = false
-	r.lastNumber = 0
+	r.lastRecordNumber = 0
 	r.stored = raft.StoredState{Snapshot: r.stored.Snapshot}
 }
 
@@ -113,10 +113,10 @@
 	if rec.Replica != r.journal.identity.Replica {
 		return fmt.Errorf("record of replica %s in the folder of %s", rec.Replica, r.journal.identity.Replica)
 	}
-	if r.lastNumber != 0 && rec.Number != r.lastNumber+1 {
-		return fmt.Errorf("record %d follows record %d", rec.Number, r.lastNumber)
+	if r.lastRecordNumber != 0 && rec.Number != r.lastRecordNumber+1 {
+		return fmt.Errorf("record %d follows record %d", rec.Number, r.lastRecordNumber)
 	}
-	r.lastNumber = rec.Number
+	r.lastRecordNumber = rec.Number
 	if rec.Reset {
 		r.resetSeen = true
 		r.stored.Entries = nil
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -57,8 +57,8 @@
 	return len(line), nil
 }
 
-// Dropped returns the number of lines dropped since the previous call.
-func (s *Sink) Dropped() int64 { return s.dropped.Swap(0) }
+// TakeDropped returns the number of lines dropped since the previous call, and resets it.
+func (s *Sink) TakeDropped() int64 { return s.dropped.Swap(0) }
 
 // Close writes the queued lines and stops the sink. Lines that are written to the sink
 // afterwards are lost.
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -28,8 +28,8 @@
 		is.NoErr(err)
 	}
 	is.True(time.Since(start) < 5*time.Second)
-	is.True(s.Dropped() > 0)
-	is.Equal(s.Dropped(), int64(0))
+	is.True(s.TakeDropped() > 0)
+	is.Equal(s.TakeDropped(), int64(0))
 	close(out.release)
 	s.Close()
 	_, err := s.Write([]byte("after the end\n"))
@@ -38,7 +38,7 @@
 
 // Guards against a log that costs more than the decisions it records. Lines beyond the
 // burst and the rate limit are dropped; the first ones are kept.
-func TestRateIsLimited(t *testing.T) {
+func TestLinesAboveRateLimitAreDropped(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	s := New(&out)
--- a/internal/metrics/histogram.go
+++ b/internal/metrics/histogram.go
@@ -58,11 +58,13 @@
 func (h *Histogram) Quantiles() Quantiles {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	percentile := func(q float64) float64 { return milliseconds(h.hist.ValueAtQuantile(q)) }
-	return Quantiles{Count: h.hist.TotalCount(), P50: percentile(50), P90: percentile(90), P99: percentile(99), Max: milliseconds(h.hist.Max())}
+	percentile := func(q float64) float64 { return histogramUnitsToMS(h.hist.ValueAtQuantile(q)) }
+	return Quantiles{Count: h.hist.TotalCount(), P50: percentile(50), P90: percentile(90), P99: percentile(99), Max: histogramUnitsToMS(h.hist.Max())}
 }
 
-func milliseconds(units int64) float64 {
+// histogramUnitsToMS converts a value of the histogram, in units of histogramResolution, to
+// milliseconds.
+func histogramUnitsToMS(units int64) float64 {
 	return float64(time.Duration(units)*histogramResolution) / float64(time.Millisecond)
 }
 
--- a/internal/passthrough/membership/client_stream.go
+++ b/internal/passthrough/membership/client_stream.go
@@ -28,7 +28,7 @@
 		err := c.runStream(ctx, s)
 		if !s.heardAt.IsZero() && !logged {
 			logged = true
-			events.Log(c.cfg.Log, events.ControlLeft, logrus.Fields{"control": ip, "error": events.ErrorText(err)})
+			events.Log(c.cfg.Log, events.ControlStreamEnded, logrus.Fields{"control": ip, "error": events.ErrorText(err)})
 		}
 		if time.Since(s.heardAt) < HeartbeatInterval {
 			logged = false
--- a/internal/passthrough/traffic/traffic.go
+++ b/internal/passthrough/traffic/traffic.go
@@ -91,7 +91,7 @@
 		k.in.addFields(fields, "in_"+k.name)
 		k.out.addFields(fields, "out_"+k.name)
 	}
-	events.Log(log, events.Traffic, fields)
+	events.Log(log, events.MessageTraffic, fields)
 }
 
 // addFields adds the counts since the last log line to the fields.
--- a/internal/report/plots.go
+++ b/internal/report/plots.go
@@ -20,10 +20,10 @@
 )
 
 var (
-	blue  = color.RGBA{R: 31, G: 119, B: 180, A: 255}
-	red   = color.RGBA{R: 214, G: 39, B: 40, A: 255}
-	green = color.RGBA{R: 44, G: 160, B: 44, A: 255}
-	grey  = color.RGBA{R: 150, G: 150, B: 150, A: 255}
+	blueColor  = color.RGBA{R: 31, G: 119, B: 180, A: 255}
+	redColor   = color.RGBA{R: 214, G: 39, B: 40, A: 255}
+	greenColor = color.RGBA{R: 44, G: 160, B: 44, A: 255}
+	greyColor  = color.RGBA{R: 150, G: 150, B: 150, A: 255}
 )
 
 // series is one line of a plot over the seconds of a run.
@@ -35,20 +35,21 @@
 
 func plotLatencies(path string, p Page) error {
 	return plotSeconds(path, p, "Answer times (downloads and submissions)", "ms", []series{
-		{"p50", blue, func(s loadgen.Second) float64 { return s.P50().Seconds() * 1000 }},
-		{"p99", red, func(s loadgen.Second) float64 { return s.P99().Seconds() * 1000 }},
+		{"p50", blueColor, func(s loadgen.Second) float64 { return s.P50().Seconds() * 1000 }},
+		{"p99", redColor, func(s loadgen.Second) float64 { return s.P99().Seconds() * 1000 }},
 	})
 }
 
 func plotFailures(path string, p Page) error {
 	return plotSeconds(path, p, "Broken flows, cut and refused requests", "a second", []series{
-		{"flows broken", red, func(s loadgen.Second) float64 { return float64(s.Broken) }},
-		{"requests cut", blue, func(s loadgen.Second) float64 { return float64(s.Cut) }},
-		{"requests refused", green, func(s loadgen.Second) float64 { return float64(s.Refused) }},
+		{"flows broken", redColor, func(s loadgen.Second) float64 { return float64(s.Broken) }},
+		{"requests cut", blueColor, func(s loadgen.Second) float64 { return float64(s.Cut) }},
+		{"requests refused", greenColor, func(s loadgen.Second) float64 { return float64(s.Refused) }},
 	})
 }
 
-// plotSeconds draws the given lines over the seconds of a run, with its marks.
+// plotSeconds saves a plot of the given series against the seconds of a run, with a
+// labelled vertical line at the time of each of the page's marks.
 func plotSeconds(path string, p Page, title, unit string, lines []series) error {
 	pl := plot.New()
 	pl.Title.Text = title
@@ -92,7 +93,7 @@
 		if err != nil {
 			return errors.Wrap(err, "report: mark")
 		}
-		line.Color = grey
+		line.Color = greyColor
 		line.Dashes = []vg.Length{vg.Points(2), vg.Points(2)}
 		pl.Add(line)
 		at = append(at, plotter.XY{X: x, Y: maxY * (1 - 0.07*float64(i%8))})
@@ -126,7 +127,7 @@
 		if err != nil {
 			return errors.Wrap(err, "report: bars")
 		}
-		bars.Color = blue
+		bars.Color = blueColor
 		pl.Add(bars)
 		pl.NominalX(names...)
 		pl.X.Tick.Label.Rotation = 0.6
@@ -136,8 +137,9 @@
 	return save(pl, path)
 }
 
-// PlotGains draws a bar for each policy: its mean gain in worth over the policy in use,
-// in hundredths. gains[i] belongs to names[i].
+// PlotGains saves a bar chart with one bar for each policy. gains[i] is how much larger the
+// mean worth of the policy names[i] is than that of the policy in use; a worth is from 0
+// (no request served) to 1 (all served in time). The bars are in hundredths.
 func PlotGains(path string, names []string, gains []float64) error {
 	pl := plot.New()
 	pl.Title.Text = "Worth of what callers get, against the policy in use"
@@ -151,7 +153,7 @@
 		return errors.Wrap(err, "report: bars")
 	}
 	bars.Horizontal = true
-	bars.Color = blue
+	bars.Color = blueColor
 	pl.Add(bars)
 	labels := slices.Clone(names)
 	slices.Reverse(labels)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -25,7 +25,8 @@
 type Problem struct {
 	// Path is the path of the field in the file, as in "control[0].address".
 	Path string
-	// What says what is wrong with the value.
+	// What describes the error, as in "missing", or is the value itself if it is out of
+	// range.
 	What string
 	// Allowed says which values are allowed.
 	Allowed string
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,6 +7,7 @@
 	"github.com/matryer/is"
 )
 
+// sample is a settings type for the tests. The errors that the tests expect contain its name.
 type sample struct {
 	Listen string        `yaml:"listen"`
 	Slots  int           `yaml:"slots"`
