--- a/internal/events/passthrough.go
+++ b/internal/events/passthrough.go
@@ -17,7 +17,7 @@
 	SettingsKept        = define(710, logrus.WarnLevel, "settings can't be reloaded; the previous ones stay in use")
 	LogLinesDropped     = define(711, logrus.WarnLevel, "log lines dropped")
 	ReplicaReopened     = define(712, logrus.WarnLevel, "replica reopened after a failure")
-	Traffic             = define(714, logrus.InfoLevel, "messages sent and received")
+	MessageTraffic      = define(714, logrus.InfoLevel, "messages sent and received")
 	FolderAbandoned     = define(713, logrus.WarnLevel, "data folder of a removed replica moved aside")
 	EvacuationDecided   = define(715, logrus.InfoLevel, "evacuation order processed")
 	EvacuationsInForce  = define(716, logrus.InfoLevel, "evacuations in force")
