--- a/internal/passthrough/flowtable/flows_test.go
+++ b/internal/passthrough/flowtable/flows_test.go
@@ -72,10 +72,10 @@
 	r.advance(50 * time.Millisecond)
 	r.syn(9)
 	r.advance(firstPacketTimeout + 20*time.Millisecond)
-	is.Equal(r.refused, []refusal{{9, peer.Silent}})
+	is.Equal(r.refused, []refusal{{9, peer.TargetSilent}})
 	is.Equal(r.report().AcceptsFlows, false)
 	r.syn(10)
-	is.Equal(r.refused[1], refusal{10, peer.Silent})
+	is.Equal(r.refused[1], refusal{10, peer.TargetSilent})
 	r.announce("i-1", 0, 2)
 	is.Equal(r.report().AcceptsFlows, true)
 }
--- a/internal/passthrough/flowtable/flowtable.go
+++ b/internal/passthrough/flowtable/flowtable.go
@@ -222,7 +222,7 @@
 	case e.coldFull(now):
 		e.refuseFirst(now, p, peer.Cold)
 	case e.target.silent:
-		e.refuseFirst(now, p, peer.Silent)
+		e.refuseFirst(now, p, peer.TargetSilent)
 	case len(e.flows) >= maxFlows:
 		e.refuseFirst(now, p, peer.Full)
 	case e.busy(now) || len(e.admission.queue) > 0:
--- a/internal/passthrough/flowtable/queue.go
+++ b/internal/passthrough/flowtable/queue.go
@@ -252,7 +252,7 @@
 	case e.evacuated:
 		return peer.Evacuated
 	case e.target.silent:
-		return peer.Silent
+		return peer.TargetSilent
 	case now-q.begunAt > e.cfg.Policy.MaxWait:
 		return peer.Busy
 	}
--- a/internal/passthrough/flowtable/tick.go
+++ b/internal/passthrough/flowtable/tick.go
@@ -51,7 +51,7 @@
 			e.cfg.Out.Report()
 		}
 		e.cfg.Codec.SetTag(w.raw, 0)
-		e.refuseFirst(now, w.arrival, peer.Silent)
+		e.refuseFirst(now, w.arrival, peer.TargetSilent)
 	}
 }
 
--- a/internal/passthrough/forward/early.go
+++ b/internal/passthrough/forward/early.go
@@ -34,7 +34,9 @@
 // started.
 func (e *Engine) startingUp(now time.Duration) bool { return now-e.firstTableAt < e.cfg.Policy.Youth }
 
-func (e *Engine) holdEarly(f packet.Flow, a arrival, searchFailed bool) {
+// holdUntilReady holds a packet that arrived before the engine could handle it, in place of
+// any older one of its flow.
+func (e *Engine) holdUntilReady(f packet.Flow, a arrival, searchFailed bool) {
 	if e.cfg.Policy.DropEarly {
 		return
 	}
@@ -49,10 +51,10 @@
 	e.earlyPackets[f] = earlyPacket{arrival: a, searchFailed: searchFailed}
 }
 
-// replayEarly handles held packets once there is a table and an agent, the newest first:
-// targets admit flows in order of arrival while they have free slots, and only the newest
+// replayWhenReady handles held packets once there is a table and an agent, the newest
+// first: targets admit flows in order of arrival while they have free slots, and only the newest
 // callers can still be answered in time.
-func (e *Engine) replayEarly(now time.Duration) {
+func (e *Engine) replayWhenReady(now time.Duration) {
 	if len(e.earlyPackets) == 0 {
 		return
 	}
--- a/internal/passthrough/forward/evacuation_test.go
+++ b/internal/passthrough/forward/evacuation_test.go
@@ -24,7 +24,7 @@
 	is := is.New(t)
 	for _, evacuated := range []string{zone, "accra-b"} {
 		r := newTestEngine(t)
-		agents := map[string]netip.AddrPort{zone: r.agentIn(1, casework, zone), "accra-b": r.agentIn(2, casework, "accra-b")}
+		agents := map[string]netip.AddrPort{zone: r.agentIn(1, caseworkService, zone), "accra-b": r.agentIn(2, caseworkService, "accra-b")}
 		r.engine.SetEvacuated([]string{evacuated})
 		for port := range uint16(50) {
 			r.send(syn(port))
@@ -44,8 +44,8 @@
 func TestFlowsAreRefusedWhenAllDataCentresAreEvacuated(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	r.agentIn(1, casework, zone)
-	r.agentIn(2, casework, "accra-b")
+	r.agentIn(1, caseworkService, zone)
+	r.agentIn(2, caseworkService, "accra-b")
 	r.engine.SetEvacuated([]string{"accra-b", zone})
 	r.send(syn(9))
 	is.Equal(len(r.delivered), 0)
@@ -58,8 +58,8 @@
 func TestOpenFlowsSurviveEvacuation(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	a := r.agentIn(1, casework, zone)
-	r.agentIn(2, casework, "accra-b")
+	a := r.agentIn(1, caseworkService, zone)
+	r.agentIn(2, caseworkService, "accra-b")
 	r.engine.SetEvacuated([]string{zone})
 	r.send(data(9, 77))
 	r.advance(10 * time.Millisecond)
@@ -74,10 +74,10 @@
 	is := is.New(t)
 	r := newTestEngine(t)
 	r.engine.cfg.Regions = map[string]string{zone: "accra", "kumasi-a": "ashanti"}
-	r.agentIn(1, casework, zone)
-	away := r.agentIn(2, casework, "kumasi-a")
+	r.agentIn(1, caseworkService, zone)
+	away := r.agentIn(2, caseworkService, "kumasi-a")
 	d := &route.Definition{Version: 2, Routes: []route.Route{{
-		IP: service.IP, Port: service.Port, TimeoutMS: 1000, Backends: []route.Backend{{Service: casework, Weight: 1}}, AllowedRegions: []string{"ashanti"},
+		IP: service.IP, Port: service.Port, TimeoutMS: 1000, Backends: []route.Backend{{Service: caseworkService, Weight: 1}}, AllowedRegions: []string{"ashanti"},
 	}}}
 	r.engine.SetTable(r.now, route.NewTable(d))
 	for port := range uint16(20) {
--- a/internal/passthrough/forward/fleet_test.go
+++ b/internal/passthrough/forward/fleet_test.go
@@ -26,14 +26,14 @@
 	fleetLinkBytesPerSecond = 262_500
 	fleetMaxQueueDelay      = 100 * time.Millisecond
 	fleetLinkDelay          = 1400 * time.Microsecond
-	// sendInterval is the time between two packets of a caller, onTimeLimit the delay
-	// within which one must arrive, callerTimeout when the caller abandons its flow and
-	// opens another.
-	sendInterval  = 500 * time.Millisecond
-	onTimeLimit   = 500 * time.Millisecond
-	callerTimeout = 2500 * time.Millisecond
-	packetBytes   = 200
-	reportBytes   = 113
+	// sendInterval is the time between two packets of a caller, maxOnTimeDelay the longest
+	// delay with which one counts as arrived on time, callerTimeout the time without an
+	// arrival after which the caller abandons its flow and opens another.
+	sendInterval   = 500 * time.Millisecond
+	maxOnTimeDelay = 500 * time.Millisecond
+	callerTimeout  = 2500 * time.Millisecond
+	packetBytes    = 200
+	reportBytes    = 113
 )
 
 type fleetEvent struct {
@@ -143,11 +143,11 @@
 		QuestionBudget: 0.2 * fleetLinkBytesPerSecond, Out: b,
 	})
 	d := &route.Definition{Version: 1, Routes: []route.Route{{
-		IP: service.IP, Port: service.Port, TimeoutMS: 1000, Backends: []route.Backend{{Service: casework, Weight: 1}},
+		IP: service.IP, Port: service.Port, TimeoutMS: 1000, Backends: []route.Backend{{Service: caseworkService, Weight: 1}},
 	}}}
 	b.engine.SetTable(b.f.now, route.NewTable(d))
 	for n, a := range b.f.agents {
-		b.engine.ListAgent(b.f.now, AgentInfo{Address: a.address, Zone: fleetZones[n%len(fleetZones)], Service: route.IDOf(casework)})
+		b.engine.ListAgent(b.f.now, AgentInfo{Address: a.address, Zone: fleetZones[n%len(fleetZones)], Service: route.IDOf(caseworkService)})
 	}
 	b.tick(b.process)
 }
@@ -227,7 +227,7 @@
 		a.number++
 		ip := a.address.Addr().As4()
 		r := peer.Report{
-			Sequence: a.number, Service: uint64(route.IDOf(casework)), Zone: fleetZones[(int(ip[2])<<8|int(ip[3]))%len(fleetZones)], AcceptsFlows: true, Slots: 2,
+			Sequence: a.number, Service: uint64(route.IDOf(caseworkService)), Zone: fleetZones[(int(ip[2])<<8|int(ip[3]))%len(fleetZones)], AcceptsFlows: true, Slots: 2,
 		}
 		b.receive(reportBytes, func() { b.engine.HandleReport(b.f.now, a.address, r) })
 	})
@@ -262,7 +262,7 @@
 		b.receive(packetBytes, func() { b.engine.HandleRefused(f.now, a.address, peer.Header{Reason: peer.NotHeld}, p, raw) })
 	case c != nil && c.waiting:
 		c.waiting = false
-		if f.now-c.sentAt <= onTimeLimit {
+		if f.now-c.sentAt <= maxOnTimeDelay {
 			f.served[int((c.sentAt-time.Hour)/time.Second)]++
 		}
 	}
--- a/internal/passthrough/forward/forward.go
+++ b/internal/passthrough/forward/forward.go
@@ -191,7 +191,7 @@
 func (e *Engine) fromClient(now time.Duration, a arrival) {
 	f := a.p.FromClient()
 	if e.table == nil {
-		e.holdEarly(f, a, false)
+		e.holdUntilReady(f, a, false)
 		return
 	}
 	if len(e.table.Services(f.Service)) == 0 {
@@ -239,7 +239,7 @@
 		e.place(now, a, f, flowEntry{}, 0)
 	case e.agents.list[entry.agent].unresponsive(now):
 		entry.exclude(entry.agent)
-		e.place(now, a, f, entry, peer.Silent)
+		e.place(now, a, f, entry, peer.TargetSilent)
 	default:
 		e.forwardRetransmit(now, a, f, entry)
 	}
@@ -301,7 +301,7 @@
 	switch reason {
 	case peer.Full:
 		e.agents.list[agent].avoidUntil = now + fullTargetBackoff
-	case peer.Silent, peer.Draining, peer.NoTarget, peer.WrongService, peer.Evacuated, peer.Cold, peer.NotHome:
+	case peer.TargetSilent, peer.Draining, peer.NoTarget, peer.WrongService, peer.Evacuated, peer.Cold, peer.NotHome:
 		e.agents.list[agent].report.AcceptsFlows = false // until its next report
 	}
 	entry.exclude(agent)
@@ -317,7 +317,7 @@
 	e.probeNextAgent(now)
 	e.tickPlacements(now)
 	e.tickSearches(now)
-	e.replayEarly(now)
+	e.replayWhenReady(now)
 	if now < e.nextSweepAt {
 		return
 	}
--- a/internal/passthrough/forward/placement.go
+++ b/internal/passthrough/forward/placement.go
@@ -82,7 +82,7 @@
 	case chosen.agent != noAgent:
 		e.placeAt(now, f, p, chosen.agent)
 	case p.entry.attempts == 0 && e.startingUp(now):
-		e.holdEarly(f, p.arrival, false)
+		e.holdUntilReady(f, p.arrival, false)
 	default:
 		e.rejectFlow(f, p.entry, p.reason)
 	}
@@ -180,7 +180,7 @@
 		case !known || e.placements.byFlow[f] != nil:
 		case e.agents.list[entry.agent].probeTimedOut(now):
 			entry.exclude(entry.agent)
-			e.place(now, a, f, entry, peer.Silent)
+			e.place(now, a, f, entry, peer.TargetSilent)
 		case e.agents.list[entry.agent].probedAt > e.agents.list[entry.agent].lastSeenAt:
 			e.placements.retransmits = append(e.placements.retransmits, a)
 		}
--- a/internal/passthrough/forward/placing_test.go
+++ b/internal/passthrough/forward/placing_test.go
@@ -14,14 +14,14 @@
 	"bergamotstall/internal/passthrough/route"
 )
 
-// Guards against callers refused because of one target: a first packet meets one that
-// drains, then one that is full, and is accepted by the third.
+// Guards against callers refused because of one target: a first packet is sent to one that
+// is draining, then to one that is full, and is accepted by the third.
 func TestRefusedFirstPacketTriesNextTarget(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	r.agentAt(1, casework)
-	r.agentAt(2, casework)
-	r.agentAt(3, casework)
+	r.agentAt(1, caseworkService)
+	r.agentAt(2, caseworkService)
+	r.agentAt(3, caseworkService)
 	r.send(syn(9))
 	seen := map[string]bool{}
 	for i, why := range []peer.Reason{peer.Draining, peer.Full} {
@@ -41,9 +41,9 @@
 func TestFirstPacketWithoutTargetIsReset(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	a := r.agentAt(1, casework)
+	a := r.agentAt(1, caseworkService)
 	r.send(syn(9))
-	r.engine.HandleRefused(r.now, a, peer.Header{Reason: peer.Silent}, syn(9), rawOf(0))
+	r.engine.HandleRefused(r.now, a, peer.Header{Reason: peer.TargetSilent}, syn(9), rawOf(0))
 	is.Equal(len(r.resets), 1)
 	is.Equal(r.lastDecision().Verdict, RefusedNoTarget)
 	is.Equal(r.engine.Flows(), 0)
@@ -55,7 +55,7 @@
 	is := is.New(t)
 	r := newTestEngine(t)
 	for n := byte(1); n < 9; n++ {
-		r.agentAt(n, casework)
+		r.agentAt(n, caseworkService)
 	}
 	for range 3 {
 		r.send(syn(9))
@@ -69,24 +69,24 @@
 func TestRetransmitAvoidsUnresponsiveAgent(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	a := r.agentAt(1, casework)
+	a := r.agentAt(1, caseworkService)
 	r.send(syn(9))
 	is.Equal(r.delivered[0].to, a)
 	for range 20 { // the agent is alive until shortly before the retransmit
-		r.agentAt(1, casework)
+		r.agentAt(1, caseworkService)
 		r.advance(10 * time.Millisecond)
 	}
 	r.now += reportFreshFor
-	b := r.agentAt(2, casework)
+	b := r.agentAt(2, caseworkService)
 	r.probed = nil
 	r.send(syn(9))
 	is.Equal(r.probed, []netip.AddrPort{a})
 	for r.delivered[len(r.delivered)-1].to != b && r.now < 2*time.Hour {
-		r.agentAt(2, casework)
+		r.agentAt(2, caseworkService)
 		r.advance(10 * time.Millisecond)
 	}
 	is.True(len(r.delivered) == 3)
-	is.Equal(r.lastDecision().Reason, peer.Silent)
+	is.Equal(r.lastDecision().Reason, peer.TargetSilent)
 	is.True(r.lastDecision().Waited <= probeTimeout+10*time.Millisecond)
 }
 
@@ -96,13 +96,13 @@
 	is := is.New(t)
 	r := newTestEngine(t)
 	for n := byte(1); n <= 4; n++ {
-		r.list(n, casework)
+		r.list(n, caseworkService)
 	}
 	r.send(syn(9))
 	is.Equal(len(r.delivered), 0)
 	is.Equal(len(r.probed), minKnownCandidates+1)
 	for _, at := range r.probed[1:] {
-		r.report(at, peer.Report{Process: uint64(at.Addr().As4()[3]), Service: uint64(route.IDOf(casework)), Zone: zone, AcceptsFlows: true, Slots: 4})
+		r.report(at, peer.Report{Process: uint64(at.Addr().As4()[3]), Service: uint64(route.IDOf(caseworkService)), Zone: zone, AcceptsFlows: true, Slots: 4})
 	}
 	is.Equal(len(r.delivered), 1)
 	is.Equal(r.lastDecision().Waited, time.Duration(0))
@@ -113,7 +113,7 @@
 func TestMissingReportsDoNotRefuseFlows(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	a := r.agentAt(1, casework)
+	a := r.agentAt(1, caseworkService)
 	r.advance(time.Second)
 	r.send(syn(9))
 	r.advance(placementTimeout + 20*time.Millisecond)
@@ -126,7 +126,7 @@
 	for _, agents := range []int{10, 200, 2000} {
 		r := newFleetTestEngine(t, "a", 0, 0)
 		for n := range agents {
-			r.engine.ListAgent(r.now, AgentInfo{Address: fleetAddress(n), Zone: fleetZones[n%len(fleetZones)], Service: route.IDOf(casework)})
+			r.engine.ListAgent(r.now, AgentInfo{Address: fleetAddress(n), Zone: fleetZones[n%len(fleetZones)], Service: route.IDOf(caseworkService)})
 		}
 		const flows = 1000
 		for port := range uint16(flows) {
@@ -148,7 +148,7 @@
 func TestRemovedRouteResetsFlows(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	a := r.agentAt(1, casework)
+	a := r.agentAt(1, caseworkService)
 	r.send(syn(9))
 	r.table(2)
 	r.send(data(9, 50))
@@ -165,9 +165,9 @@
 func TestOpenFlowStaysWhenRouteChangesService(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	a, b := r.agentAt(1, casework), r.agentAt(2, mapdocs)
+	a, b := r.agentAt(1, caseworkService), r.agentAt(2, mapdocsService)
 	r.send(syn(9))
-	r.table(2, mapdocs)
+	r.table(2, mapdocsService)
 	r.send(data(9, 50))
 	r.send(syn(10))
 	is.Equal(r.delivered[1].to, a)
@@ -178,8 +178,8 @@
 func TestOutOfOrderReportIsIgnored(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	a := r.agentAt(1, casework)
-	x := peer.Report{Process: 1, Service: uint64(route.IDOf(casework)), Zone: zone, Sequence: 50}
+	a := r.agentAt(1, caseworkService)
+	x := peer.Report{Process: 1, Service: uint64(route.IDOf(caseworkService)), Zone: zone, Sequence: 50}
 	r.engine.HandleReport(r.now, a, x) // draining
 	x.Sequence, x.AcceptsFlows = 49, true
 	r.engine.HandleReport(r.now, a, x)
@@ -194,7 +194,7 @@
 	is := is.New(t)
 	r := newTestEngine(t)
 	for n := byte(1); n <= 4; n++ {
-		r.agentAt(n, casework)
+		r.agentAt(n, caseworkService)
 	}
 	for port := range uint16(80) {
 		r.send(syn(port))
@@ -215,11 +215,11 @@
 // collection when the balancer carries most traffic.
 func TestKnownFlowDoesNotAllocate(t *testing.T) {
 	r := newTestEngine(t)
-	r.agentAt(1, casework)
+	r.agentAt(1, caseworkService)
 	r.send(syn(9))
-	discarding := New(Config{Zone: zone, Rand: r.engine.cfg.Rand, Out: discardOutput{}})
+	discarding := New(Config{Zone: zone, Rand: r.engine.cfg.Rand, Out: discardEngineOutput{}})
 	*discarding = *r.engine
-	discarding.cfg.Out = discardOutput{}
+	discarding.cfg.Out = discardEngineOutput{}
 	p, raw := data(9, 5), rawOf(5)
 	if n := testing.AllocsPerRun(1000, func() { discarding.HandleClientPacket(r.now, p, raw) }); n != 0 {
 		t.Errorf("%v allocations a packet", n)
@@ -263,9 +263,9 @@
 	b.Helper()
 	r := newTestEngine(&testing.T{})
 	for n := byte(1); n <= 10; n++ {
-		r.agentAt(n, casework)
+		r.agentAt(n, caseworkService)
 	}
-	r.engine.cfg.Out = discardOutput{}
+	r.engine.cfg.Out = discardEngineOutput{}
 	for i := range benchFlows {
 		p := syn(uint16(i))
 		p.Src.IP[3] = byte(i >> 16)
@@ -274,14 +274,14 @@
 	return r.engine
 }
 
-// discardOutput is an Output that discards everything.
-type discardOutput struct{ Output }
+// discardEngineOutput is an Output of an Engine that discards everything.
+type discardEngineOutput struct{ Output }
 
-func (discardOutput) Deliver(netip.AddrPort, route.ServiceID, time.Duration, []byte) {}
-func (discardOutput) Ask(netip.AddrPort, peer.Question)                              {}
-func (discardOutput) Probe(netip.AddrPort)                                           {}
-func (discardOutput) Reset(packet.Flow, uint32)                                      {}
-func (discardOutput) LogDecision(Decision)                                           {}
+func (discardEngineOutput) Deliver(netip.AddrPort, route.ServiceID, time.Duration, []byte) {}
+func (discardEngineOutput) Ask(netip.AddrPort, peer.Question)                              {}
+func (discardEngineOutput) Probe(netip.AddrPort)                                           {}
+func (discardEngineOutput) Reset(packet.Flow, uint32)                                      {}
+func (discardEngineOutput) LogDecision(Decision)                                           {}
 
 // BenchmarkFlowMemory measures the memory of a flow table entry.
 func BenchmarkFlowMemory(b *testing.B) {
@@ -289,7 +289,7 @@
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			for range b.N {
 				before := heapBytes()
-				e := New(Config{Out: discardOutput{}})
+				e := New(Config{Out: discardEngineOutput{}})
 				for i := range n {
 					p := syn(uint16(i))
 					p.Src.IP[3] = byte(i >> 16)
@@ -315,8 +315,8 @@
 func TestBusyRefusalIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	r.agentAt(1, casework)
-	r.agentAt(2, casework)
+	r.agentAt(1, caseworkService)
+	r.agentAt(2, caseworkService)
 	r.send(syn(9))
 	r.engine.HandleRefused(r.now, r.delivered[0].to, peer.Header{Reason: peer.Busy, Age: 800}, syn(9), rawOf(0))
 	is.Equal(len(r.delivered), 1)
@@ -329,8 +329,8 @@
 func TestRetriedFirstPacketKeepsItsAge(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	r.agentAt(1, casework)
-	r.agentAt(2, casework)
+	r.agentAt(1, caseworkService)
+	r.agentAt(2, caseworkService)
 	r.send(syn(9))
 	r.engine.HandleRefused(r.now, r.delivered[0].to, peer.Header{Reason: peer.Draining, Age: 300}, syn(9), rawOf(0))
 	is.Equal(r.lastDecision().Verdict, Moved)
@@ -342,12 +342,12 @@
 func TestExpiredFirstPacketIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	r.agentAt(1, casework)
-	r.agentAt(2, casework)
+	r.agentAt(1, caseworkService)
+	r.agentAt(2, caseworkService)
 	second := syn(9)
 	second.Ack = 2
 	r.send(second)
-	r.engine.HandleRefused(r.now, r.delivered[0].to, peer.Header{Reason: peer.Silent, Age: 900}, second, rawOf(2))
+	r.engine.HandleRefused(r.now, r.delivered[0].to, peer.Header{Reason: peer.TargetSilent, Age: 900}, second, rawOf(2))
 	is.Equal(len(r.delivered), 1)
 	is.Equal(len(r.resets), 1)
 }
@@ -403,10 +403,10 @@
 // service.
 func newOverflowTestEngine(t *testing.T, running uint32) (r *testEngine, idleAgent netip.AddrPort) {
 	r = newTestEngine(t)
-	r.weightedTable(2, route.Backend{Service: casework, Weight: 1_000_000}, route.Backend{Service: mapdocs, Weight: 1})
-	r.agentWithLoad(1, casework, running)
-	r.agentWithLoad(2, casework, running)
-	return r, r.agentWithLoad(3, mapdocs, 0)
+	r.weightedTable(2, route.Backend{Service: caseworkService, Weight: 1_000_000}, route.Backend{Service: mapdocsService, Weight: 1})
+	r.agentWithLoad(1, caseworkService, running)
+	r.agentWithLoad(2, caseworkService, running)
+	return r, r.agentWithLoad(3, mapdocsService, 0)
 }
 
 // sentTo counts the packets delivered to an agent.
@@ -425,10 +425,10 @@
 func TestWeightsApplyWhileSlotsAreFree(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	r.weightedTable(2, route.Backend{Service: casework, Weight: 1_000_000}, route.Backend{Service: mapdocs, Weight: 1})
-	r.agentWithLoad(1, casework, 20)
-	free := r.agentWithLoad(2, casework, 1)
-	r.agentWithLoad(3, mapdocs, 0)
+	r.weightedTable(2, route.Backend{Service: caseworkService, Weight: 1_000_000}, route.Backend{Service: mapdocsService, Weight: 1})
+	r.agentWithLoad(1, caseworkService, 20)
+	free := r.agentWithLoad(2, caseworkService, 1)
+	r.agentWithLoad(3, mapdocsService, 0)
 	r.send(syn(9))
 	is.Equal(r.delivered[0].to, free)
 	is.True(!r.lastDecision().Overflow)
@@ -440,11 +440,11 @@
 	is := is.New(t)
 	r := newTestEngine(t)
 	is.True(!r.engine.Isolated(r.now)) // no agent is listed
-	r.list(1, casework)
+	r.list(1, caseworkService)
 	is.True(r.engine.Isolated(r.now))
 	r.advance(watchProbeInterval)
 	is.True(len(r.probed) > 0) // although there is no flow to place
-	r.agentAt(1, casework)
+	r.agentAt(1, caseworkService)
 	is.True(!r.engine.Isolated(r.now))
 	r.advance(isolationTimeout + 10*time.Millisecond)
 	is.True(r.engine.Isolated(r.now))
--- a/internal/passthrough/forward/ranking_test.go
+++ b/internal/passthrough/forward/ranking_test.go
@@ -22,22 +22,22 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(n >> 8), byte(n)}), 7000)
 }
 
-// newFleetTestEngine returns a balancer of a data centre and n agents that are spread
-// over all data centres.
-func newFleetTestEngine(t testing.TB, zone string, n int, rate float64) *testEngine {
+// newFleetTestEngine returns a balancer of one data centre and a number of agents that are
+// spread over all data centres.
+func newFleetTestEngine(t testing.TB, balancerZone string, agentCount int, questionBudget float64) *testEngine {
 	r := &testEngine{now: time.Hour}
 	r.t, _ = t.(*testing.T)
-	r.engine = New(Config{Zone: zone, Rand: rand.New(rand.NewPCG(1, 2)), Policy: DefaultPolicy(), QuestionBudget: rate, Out: r})
-	r.table(1, casework)
+	r.engine = New(Config{Zone: balancerZone, Rand: rand.New(rand.NewPCG(1, 2)), Policy: DefaultPolicy(), QuestionBudget: questionBudget, Out: r})
+	r.table(1, caseworkService)
 	r.advance(DefaultPolicy().Youth)
-	r.reportFleet(n)
+	r.reportFleet(agentCount)
 	return r
 }
 
 func (r *testEngine) reportFleet(n int) {
 	for i := range n {
 		r.report(fleetAddress(i), peer.Report{
-			Process: 1, Service: uint64(route.IDOf(casework)), Zone: fleetZones[i%len(fleetZones)], AcceptsFlows: true, Slots: 2,
+			Process: 1, Service: uint64(route.IDOf(caseworkService)), Zone: fleetZones[i%len(fleetZones)], AcceptsFlows: true, Slots: 2,
 		})
 	}
 }
@@ -51,7 +51,7 @@
 		for _, at := range probed {
 			ip := at.Addr().As4()
 			z := fleetZones[(int(ip[2])<<8|int(ip[3]))%len(fleetZones)]
-			r.report(at, peer.Report{Service: uint64(route.IDOf(casework)), Zone: z, AcceptsFlows: true, Slots: 2})
+			r.report(at, peer.Report{Service: uint64(route.IDOf(caseworkService)), Zone: z, AcceptsFlows: true, Slots: 2})
 		}
 	}
 }
@@ -154,12 +154,12 @@
 	is.True(search() >= agents)
 	is.Equal(r.lastDecision().Verdict, DroppedNotFound)
 	// Retransmits in quick succession: the backoff between wide searches doubles.
-	const copies = 30
+	const retransmits = 30
 	n := 0
-	for range copies {
+	for range retransmits {
 		n += search()
 	}
-	is.True(n <= copies*(preferredAgents*len(fleetZones)+1)+5*agents)
+	is.True(n <= retransmits*(preferredAgents*len(fleetZones)+1)+5*agents)
 	is.Equal(len(r.resets), 0)
 }
 
@@ -191,7 +191,7 @@
 func TestRetransmitRepeatsWideSearchAfterBackoff(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	a, late := r.agentAt(1, casework), r.agentAt(2, mapdocs)
+	a, late := r.agentAt(1, caseworkService), r.agentAt(2, mapdocsService)
 	r.send(data(9, 77))
 	r.answerAs(a, peer.Lacks)
 	r.advance(200 * time.Millisecond)
@@ -213,7 +213,7 @@
 		r.engine.agents.number(fleetAddress(n + 500)) // known, but not of the service
 	}
 	last := fleetAddress(900)
-	r.report(last, peer.Report{Process: 1, Service: uint64(route.IDOf(casework)), Zone: "a", AcceptsFlows: true, Slots: 2})
+	r.report(last, peer.Report{Process: 1, Service: uint64(route.IDOf(caseworkService)), Zone: "a", AcceptsFlows: true, Slots: 2})
 	is.Equal(r.engine.agents.number(last)%64, uint32(1))
 	f := packet.Flow{Client: client(9), Service: service}
 	c := chooser{e: r.engine, now: r.now, flow: f, excluded: []uint32{0, 1}}
@@ -244,7 +244,7 @@
 	for _, agents := range []int{10, 200, 12_000} {
 		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) {
 			r := newFleetTestEngine(b, "a", agents, 0)
-			r.engine.cfg.Out = discardOutput{}
+			r.engine.cfg.Out = discardEngineOutput{}
 			b.ReportAllocs()
 			for i := range b.N {
 				f := flowOf(uint16(i))
--- a/internal/passthrough/forward/rig_test.go
+++ b/internal/passthrough/forward/rig_test.go
@@ -24,7 +24,7 @@
 	probed    []netip.AddrPort
 	probes    int
 	resets    []reset
-	notes     []Decision
+	decisions []Decision
 }
 
 type delivery struct {
@@ -51,14 +51,14 @@
 }
 func (r *testEngine) Probe(to netip.AddrPort)         { r.probed = append(r.probed, to) }
 func (r *testEngine) Reset(f packet.Flow, seq uint32) { r.resets = append(r.resets, reset{f, seq}) }
-func (r *testEngine) LogDecision(d Decision)          { r.notes = append(r.notes, d) }
+func (r *testEngine) LogDecision(d Decision)          { r.decisions = append(r.decisions, d) }
 
 func rawOf(n uint32) []byte { return binary.BigEndian.AppendUint32(nil, n) }
 
 const (
-	casework = "casework"
-	mapdocs  = "mapdocs"
-	zone     = "accra-a"
+	caseworkService = "casework"
+	mapdocsService  = "mapdocs"
+	zone            = "accra-a"
 )
 
 var service = packet.Endpoint{IP: [4]byte{198, 18, 0, 1}, Port: 443}
@@ -73,7 +73,7 @@
 // newTestEngine returns an engine with a table that is past its start-up time.
 func newTestEngine(t *testing.T) *testEngine {
 	r := newStartingTestEngine(t)
-	r.table(1, casework)
+	r.table(1, caseworkService)
 	r.advance(DefaultPolicy().Youth)
 	return r
 }
@@ -162,10 +162,10 @@
 
 func (r *testEngine) lastDecision() Decision {
 	r.t.Helper()
-	if len(r.notes) == 0 {
+	if len(r.decisions) == 0 {
 		r.t.Fatal("no decision was recorded")
 	}
-	return r.notes[len(r.notes)-1]
+	return r.decisions[len(r.decisions)-1]
 }
 
 func portOf(f packet.Flow) uint16 { return f.Client.Port }
--- a/internal/passthrough/forward/search.go
+++ b/internal/passthrough/forward/search.go
@@ -21,8 +21,8 @@
 	// queueTimeout is how long a search waits in the queue, or for the budget of its next
 	// round; its caller has retransmitted by then.
 	queueTimeout = time.Second
-	// trialTimeout is how long a packet sent to an unsure agent may take to come back. A
-	// target hands a packet back within a millisecond.
+	// trialTimeout is how long a packet that was sent as a trial to an agent that answered
+	// Unsure may take to come back. A target hands a packet back within a millisecond.
 	trialTimeout = 40 * time.Millisecond
 	// maxActiveSearches bounds the searches that run at the same time, and with them the
 	// answers that arrive at once.
@@ -60,15 +60,15 @@
 	askingAll, skippedAll bool
 	// allListedAt is when the agents of the last stage were listed.
 	allListedAt time.Duration
-	// unanswered are the agents that haven't answered; unsure those that can't tell
-	// whether they hold the flow.
+	// unanswered are the agents that haven't answered; unsure those that answered Unsure:
+	// they can't tell whether they hold the flow.
 	unanswered []uint32
 	unsure     []uint32
 	// asked are all agents that were asked or are known not to hold the flow. It can't be
 	// derived from the routing table, which may change during the search.
 	asked map[uint32]struct{}
-	// trialAgent is the unsure agent that one held packet was sent to as a trial; noAgent
-	// if none.
+	// trialAgent is an agent that answered Unsure and was then sent one held packet, to see
+	// whether its target hands it back; noAgent if none.
 	trialAgent uint32
 	trialAt    time.Duration
 	// nonHolder is an agent known not to hold the flow; noAgent if none.
@@ -256,7 +256,7 @@
 	if e.startingUp(now) && len(s.held) > 0 {
 		newest := s.held[len(s.held)-1]
 		p := packet.Packet{Src: f.Client, Dst: f.Service, Flags: s.flags, Ack: s.ack}
-		e.holdEarly(f, arrival{arrivedAt: now, p: p, raw: newest}, true)
+		e.holdUntilReady(f, arrival{arrivedAt: now, p: p, raw: newest}, true)
 		e.dropSearch(f)
 		return
 	}
--- a/internal/passthrough/forward/search_test.go
+++ b/internal/passthrough/forward/search_test.go
@@ -15,7 +15,7 @@
 func TestUnknownFlowReachesItsHolder(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	a, b := r.agentAt(1, casework), r.agentAt(2, casework)
+	a, b := r.agentAt(1, caseworkService), r.agentAt(2, caseworkService)
 	r.send(data(9, 77))
 	is.Equal(len(r.delivered), 0)
 	r.answerAs(a, peer.Lacks)
@@ -33,10 +33,10 @@
 func TestTableChangeDuringSearch(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	a, holder := r.agentAt(1, casework), r.agentAt(2, mapdocs)
+	a, holder := r.agentAt(1, caseworkService), r.agentAt(2, mapdocsService)
 	r.send(data(9, 77))
 	is.Equal(r.questionsTo(holder), 0)
-	r.table(2, casework, mapdocs)
+	r.table(2, caseworkService, mapdocsService)
 	r.answerAs(a, peer.Lacks)
 	is.Equal(r.questionsTo(holder), 1)
 	is.Equal(len(r.resets), 0)
@@ -49,7 +49,7 @@
 func TestFlowWithoutHolderIsReset(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	a, b := r.agentAt(1, casework), r.agentAt(2, mapdocs)
+	a, b := r.agentAt(1, caseworkService), r.agentAt(2, mapdocsService)
 	r.send(data(9, 77))
 	r.answerAs(a, peer.Lacks)
 	r.answerAs(b, peer.Lacks)
@@ -62,9 +62,9 @@
 func TestUnansweredQuestionPreventsReset(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	r.agentAt(1, casework)
+	r.agentAt(1, caseworkService)
 	r.advance(time.Second)
-	b := r.agentAt(2, casework)
+	b := r.agentAt(2, caseworkService)
 	r.send(data(9, 77))
 	r.answerAs(b, peer.Lacks)
 	r.advance(2 * lastRoundTimeout)
@@ -78,7 +78,7 @@
 func TestLostQuestionIsRetried(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	a := r.agentAt(1, casework)
+	a := r.agentAt(1, caseworkService)
 	r.send(data(9, 77))
 	r.advance(questionRetryAfter + 20*time.Millisecond)
 	is.Equal(r.questionsTo(a), 2)
@@ -92,7 +92,7 @@
 func TestUnsureAgentsAreTriedOneAtATime(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	a, b := r.agentAt(1, casework), r.agentAt(2, casework)
+	a, b := r.agentAt(1, caseworkService), r.agentAt(2, caseworkService)
 	r.send(data(9, 77))
 	r.answerAs(a, peer.Unsure)
 	r.answerAs(b, peer.Unsure)
@@ -110,7 +110,7 @@
 func TestSearchesAreBounded(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	r.agentAt(1, casework)
+	r.agentAt(1, caseworkService)
 	for i := range maxSearches {
 		p := data(uint16(i), 1)
 		p.Src.IP[3] = byte(i >> 16)
@@ -131,7 +131,7 @@
 func TestConcurrentSearchesAreBounded(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	a := r.agentAt(1, casework)
+	a := r.agentAt(1, caseworkService)
 	const flows = 5 * maxActiveSearches
 	for port := range uint16(flows) {
 		r.send(data(port, 77))
@@ -156,7 +156,7 @@
 func TestQueuedSearchesStartAfterTimeouts(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	a := r.agentAt(1, casework)
+	a := r.agentAt(1, caseworkService)
 	for port := range uint16(maxActiveSearches + 1) {
 		r.send(data(port, 77))
 	}
@@ -173,19 +173,19 @@
 func TestStoppingAgentPreventsReset(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	a, b := r.agentAt(1, casework), r.agentAt(2, casework)
-	r.report(b, peer.Report{Process: 2, Service: uint64(route.IDOf(casework)), Zone: zone, Leaving: true})
+	a, b := r.agentAt(1, caseworkService), r.agentAt(2, caseworkService)
+	r.report(b, peer.Report{Process: 2, Service: uint64(route.IDOf(caseworkService)), Zone: zone, Leaving: true})
 	r.send(data(9, 77))
 	r.answerAs(a, peer.Lacks)
 	r.advance(2 * lastRoundTimeout)
 	is.Equal(len(r.resets), 0)
 	is.Equal(r.lastDecision().Verdict, DroppedNotFound)
-	r.agentAt(1, casework)
+	r.agentAt(1, caseworkService)
 	r.send(syn(10))
 	is.Equal(r.delivered[0].to, a) // the leaving agent gets no new flows
 
 	// An agent that stops because its target is gone holds no flows.
-	r.report(b, peer.Report{Process: 2, Service: uint64(route.IDOf(casework)), Zone: zone, Leaving: true, NoTarget: true})
+	r.report(b, peer.Report{Process: 2, Service: uint64(route.IDOf(caseworkService)), Zone: zone, Leaving: true, NoTarget: true})
 	r.send(data(11, 77))
 	r.answerAs(a, peer.Lacks)
 	is.Equal(r.resets, []reset{{flowOf(11), 77}})
@@ -196,8 +196,8 @@
 func TestAgentWithoutReportPreventsReset(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	r.list(3, casework)
-	a, b := r.agentAt(1, casework), r.agentAt(2, casework)
+	r.list(3, caseworkService)
+	a, b := r.agentAt(1, caseworkService), r.agentAt(2, caseworkService)
 	r.send(data(9, 77))
 	r.answerAs(a, peer.Lacks)
 	r.answerAs(b, peer.Lacks)
@@ -205,7 +205,7 @@
 	r.advance(2 * lastRoundTimeout)
 	is.Equal(len(r.resets), 0)
 	is.Equal(r.lastDecision().Verdict, DroppedNotFound)
-	holder := r.agentAt(3, casework)
+	holder := r.agentAt(3, caseworkService)
 	r.asked = nil
 	r.send(data(9, 77))
 	r.answerAs(holder, peer.Holds)
@@ -218,10 +218,10 @@
 func TestAgentListedDuringSearchPreventsReset(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	a := r.agentAt(1, casework)
+	a := r.agentAt(1, caseworkService)
 	r.send(data(9, 77))
 	r.now += time.Millisecond
-	r.list(2, mapdocs)
+	r.list(2, mapdocsService)
 	r.answerAs(a, peer.Lacks)
 	r.advance(2 * lastRoundTimeout)
 	is.Equal(len(r.resets), 0)
@@ -231,17 +231,17 @@
 func TestDelistedAgentPreventsReset(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	r.list(2, casework)
-	a, b := r.agentAt(1, casework), r.agentAt(2, casework)
+	r.list(2, caseworkService)
+	a, b := r.agentAt(1, caseworkService), r.agentAt(2, caseworkService)
 	r.advance(delistedAgentTTL)
-	r.agentAt(1, casework)
+	r.agentAt(1, caseworkService)
 	r.engine.DelistAgent(r.now, b)
 	r.send(data(9, 77))
 	r.answerAs(a, peer.Lacks)
 	r.advance(2 * lastRoundTimeout)
 	is.Equal(len(r.resets), 0)
 	r.advance(delistedAgentTTL)
-	r.agentAt(1, casework)
+	r.agentAt(1, caseworkService)
 	r.send(data(10, 77))
 	r.answerAs(a, peer.Lacks)
 	is.Equal(len(r.resets), 1) // no agent is left that may hold it
@@ -252,7 +252,7 @@
 func TestFlowLackedByAllListedAgentsIsReset(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	a := r.list(1, casework)
+	a := r.list(1, caseworkService)
 	r.send(data(9, 77))
 	r.answerAs(a, peer.Lacks)
 	is.Equal(len(r.resets), 1)
@@ -263,14 +263,14 @@
 func TestRetiredAgentIsNotAsked(t *testing.T) {
 	is := is.New(t)
 	r := newTestEngine(t)
-	r.list(2, casework)
-	a, b := r.agentAt(1, casework), r.agentAt(2, casework)
+	r.list(2, caseworkService)
+	a, b := r.agentAt(1, caseworkService), r.agentAt(2, caseworkService)
 	r.engine.RetireAgent(b)
 	r.send(data(9, 77))
 	r.answerAs(a, peer.Lacks)
 	is.Equal(r.questionsTo(b), 0)
 	is.Equal(len(r.resets), 1)
-	r.list(2, casework) // another target's agent at the same address
+	r.list(2, caseworkService) // another target's agent at the same address
 	r.send(data(10, 77))
 	is.Equal(r.questionsTo(b), 1)
 }
--- a/internal/passthrough/peer/peer.go
+++ b/internal/passthrough/peer/peer.go
@@ -65,8 +65,8 @@
 	// Full means that the target handed the first packet back, or that too many first
 	// packets wait there.
 	Full
-	// Silent means that the target didn't answer the first packet in time.
-	Silent
+	// TargetSilent means that the target didn't answer the first packet in time.
+	TargetSilent
 	// WrongService means that the agent's target now belongs to another service.
 	WrongService
 	// NoTarget means that the agent has no target yet, or no longer has one.
@@ -186,7 +186,7 @@
 // twice the space.
 const (
 	questionSize = 16
-	rulingSize   = questionSize + 1
+	answerSize   = questionSize + 1
 )
 
 // QuestionCost is the bytes that a question takes in a datagram of its own, including the
@@ -246,10 +246,10 @@
 
 // ReadAnswer calls handle for each answer of a datagram.
 func ReadAnswer(b []byte, handle func(Answer)) error {
-	if len(b) < 1 || (len(b)-1)%rulingSize != 0 {
+	if len(b) < 1 || (len(b)-1)%answerSize != 0 {
 		return errors.Wrapf(ErrBadLength, "batch of answers with %d bytes", len(b))
 	}
-	for b = b[1:]; len(b) > 0; b = b[rulingSize:] {
+	for b = b[1:]; len(b) > 0; b = b[answerSize:] {
 		handle(Answer{Question: decodeQuestion(b), Status: FlowStatus(b[questionSize])})
 	}
 	return nil
--- a/internal/passthrough/peer/peer_test.go
+++ b/internal/passthrough/peer/peer_test.go
@@ -32,7 +32,7 @@
 
 func TestHeadRoundTrip(t *testing.T) {
 	is := is.New(t)
-	h := Header{Kind: KindRefused, Reason: Silent, Service: 77, Age: 1234}
+	h := Header{Kind: KindRefused, Reason: TargetSilent, Service: 77, Age: 1234}
 	got, carried, err := DecodeHeader(h.Append(nil, []byte("packet")))
 	is.NoErr(err)
 	is.Equal(got, h)
--- a/internal/passthrough/traffic/traffic.go
+++ b/internal/passthrough/traffic/traffic.go
@@ -21,11 +21,11 @@
 // Meter counts messages and bytes by kind in both directions. Its methods are safe for
 // concurrent use. A nil Meter counts nothing.
 type Meter struct {
-	kinds []kind
+	kinds []kindCounters
 }
 
-// kind holds the counters of one kind of message.
-type kind struct {
+// kindCounters holds the counters of one kindCounters of message.
+type kindCounters struct {
 	name    string
 	in, out direction
 }
@@ -40,7 +40,7 @@
 func New(m *metrics.Set, names ...string) *Meter {
 	t := &Meter{}
 	for _, name := range names {
-		t.kinds = append(t.kinds, kind{
+		t.kinds = append(t.kinds, kindCounters{
 			name: name,
 			in:   direction{messages: m.Counter("messages_in_" + name), bytes: m.Counter("bytes_in_" + name)},
 			out:  direction{messages: m.Counter("messages_out_" + name), bytes: m.Counter("bytes_out_" + name)},
