--- a/internal/connid/connid.go
+++ b/internal/connid/connid.go
@@ -10,7 +10,7 @@
 //
 // The upper five bits of the first byte are random. A fixed pattern would let operators
 // recognize the system's packets in a capture, but also everyone else; an operator with
-// the key can use Ring.Decode.
+// the key can use KeyRing.Decode.
 package connid
 
 import (
@@ -58,16 +58,16 @@
 // ErrKey is returned for a connection ID key that isn't an AES-128 key.
 var ErrKey = errors.New("connid: key must have 16 bytes")
 
-// Ring holds the valid keys by the low bits of their generation. It is read-only once
+// KeyRing holds the valid keys by the low bits of their generation. It is read-only once
 // built.
-type Ring struct {
+type KeyRing struct {
 	blocks [generationMask + 1]cipher.Block
 }
 
-// NewRing builds a ring from a table's keys. It returns ErrKey if one has the wrong
+// NewKeyRing builds a key ring from a table's keys. It returns ErrKey if one has the wrong
 // length.
-func NewRing(keys []table.KeySet) (*Ring, error) {
-	r := &Ring{}
+func NewKeyRing(keys []table.KeySet) (*KeyRing, error) {
+	r := &KeyRing{}
 	for _, k := range keys {
 		if len(k.ConnID) != aes.BlockSize {
 			return nil, errors.Wrapf(ErrKey, "generation %d", k.Generation)
@@ -87,7 +87,7 @@
 
 // Encode returns an ID for an agent with the key of the given generation, and false if
 // the ring lacks the key.
-func (r *Ring) Encode(generation uint8, agent table.AgentNumber, e Entropy) ([Size]byte, bool) {
+func (r *KeyRing) Encode(generation uint8, agent table.AgentNumber, e Entropy) ([Size]byte, bool) {
 	var id [Size]byte
 	block := r.blocks[generation&generationMask]
 	if block == nil {
@@ -101,7 +101,7 @@
 }
 
 // Decode returns the origin of an ID, and the agent's number if it is ours.
-func (r *Ring) Decode(id []byte, scratch *Scratch) (table.AgentNumber, Origin) {
+func (r *KeyRing) Decode(id []byte, scratch *Scratch) (table.AgentNumber, Origin) {
 	if len(id) != Size {
 		return 0, Foreign
 	}
--- a/internal/connid/connid_test.go
+++ b/internal/connid/connid_test.go
@@ -17,12 +17,12 @@
 	}
 }
 
-func ring(generations ...uint8) *Ring {
+func ring(generations ...uint8) *KeyRing {
 	var sets []table.KeySet
 	for _, g := range generations {
 		sets = append(sets, table.KeySet{Generation: g, ConnID: bytes.Repeat([]byte{g}, 16)})
 	}
-	r, err := NewRing(sets)
+	r, err := NewKeyRing(sets)
 	if err != nil {
 		panic(err)
 	}
@@ -72,7 +72,7 @@
 	is.True(same < 5)
 	_, ok := r.Encode(2, 5, Entropy{})
 	is.True(!ok)
-	_, err := NewRing([]table.KeySet{{ConnID: make([]byte, 15)}})
+	_, err := NewKeyRing([]table.KeySet{{ConnID: make([]byte, 15)}})
 	is.True(err != nil)
 }
 
--- a/internal/flow/receive.go
+++ b/internal/flow/receive.go
@@ -73,7 +73,7 @@
 	named, origin := v.steering.ConnIDs.Decode(r.shape.Destination, &r.scratch)
 	r.packet = Packet{
 		Now:         now,
-		Opening:     r.shape.Opening,
+		Opening:     r.shape.OpensFlow,
 		Long:        r.shape.Long,
 		Origin:      origin,
 		NamedAgent:  named,
@@ -82,7 +82,7 @@
 		ForwardedBy: r.header.ForwardedBy,
 		Reroute:     r.header.Kind == envelope.Reroute,
 	}
-	if origin != connid.Ours && r.shape.Opening {
+	if origin != connid.Ours && r.shape.OpensFlow {
 		r.packet.PlacementKey = v.steering.FlowKey(r.shape.Destination, r.header.Caller)
 		r.packet.ChoiceKey = steering.HashFlow(e.choiceKey.k0, e.choiceKey.k1, r.shape.Destination, r.header.Caller)
 	}
--- a/internal/flow/transports.go
+++ b/internal/flow/transports.go
@@ -73,7 +73,7 @@
 		return nil, errors.Wrapf(ErrTable, "generation %d: %v", k.Generation, errKeySize)
 	}
 	t := &transport{generation: k.Generation, keys: k, conn: newPacketConn(e)}
-	ring, err := connid.NewRing([]table.KeySet{k})
+	ring, err := connid.NewKeyRing([]table.KeySet{k})
 	if err != nil {
 		return nil, errors.Wrapf(ErrTable, "%v", err)
 	}
@@ -185,7 +185,7 @@
 // idGenerator generates the connection IDs of one transport.
 type idGenerator struct {
 	endpoint   *Endpoint
-	ring       *connid.Ring
+	ring       *connid.KeyRing
 	generation uint8
 }
 
--- a/internal/passthrough/agent/output.go
+++ b/internal/passthrough/agent/output.go
@@ -98,9 +98,9 @@
 	if d.Flows > 0 {
 		fields["flows"] = d.Flows
 	}
-	if d.Broken > 0 {
-		fields["answered"] = d.Answered
-		fields["broken"] = d.Broken
+	if d.BrokenRequests > 0 {
+		fields["answered"] = d.AnsweredRequests
+		fields["broken"] = d.BrokenRequests
 	}
 	events.Log(a.cfg.Log, events.PassFlowRefused, fields)
 }
--- a/internal/passthrough/flowlog/flowlog_test.go
+++ b/internal/passthrough/flowlog/flowlog_test.go
@@ -53,7 +53,7 @@
 	l.Apply(Update{Agent: "a", Target: "i-1", Born: 5, Ended: []Record{record(1, 0)}})
 	l.Apply(Update{Agent: "b", Target: "i-2", Born: 6, Opened: []Record{record(3, 30)}})
 	is.NoErr(l.write())
-	l.Apply(Update{Agent: "b", Target: "i-2", Born: 6, Opened: []Record{record(4, 40)}}) // never written
+	l.Apply(Update{Agent: "b", Target: "i-2", Born: 6, Opened: []Record{record(4, 40)}}) // not written before the power loss
 
 	back := open(t, folder)
 	is.Equal(recall(t, back, "a").Opened, []Record{record(2, 20)})
--- a/internal/passthrough/flowtable/admission.go
+++ b/internal/passthrough/flowtable/admission.go
@@ -54,8 +54,8 @@
 type admission struct {
 	queue    []queueEntry
 	expected []expectedRequest
-	// held is the number of held packets of open flows.
-	held int
+	// heldRequestPackets is the number of held packets of open flows.
+	heldRequestPackets int
 }
 
 // minExpectTime is the least time for which a first request is expected: on shared
--- a/internal/passthrough/flowtable/admission_test.go
+++ b/internal/passthrough/flowtable/admission_test.go
@@ -97,8 +97,9 @@
 }
 
 // Guards against idle flows that keep a free target closed. A caller that opens a flow
-// and sends nothing must lose its expected slot to another after a short time.
-func TestIdleFlowLosesItsExpectedSlot(t *testing.T) {
+// and sends nothing must, after a short time, release the slot that is kept free for its
+// first request.
+func TestIdleFlowReleasesItsReservedSlot(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
 	for port := uint16(100); port < uint16(100+r.engine.capacity()); port++ {
@@ -112,7 +113,7 @@
 
 // Guards against slots that stay idle for callers that have given up: where callers send
 // their first request within a few milliseconds, it must not be expected for much longer.
-func TestExpectedSlotOfAnAbsentCallerIsFreedSoon(t *testing.T) {
+func TestSlotReservedForAbsentCallerIsFreedSoon(t *testing.T) {
 	is := is.New(t)
 	r := newRig(t)
 	const handshake = 4 * time.Millisecond
--- a/internal/passthrough/flowtable/decision.go
+++ b/internal/passthrough/flowtable/decision.go
@@ -88,6 +88,7 @@
 	Age time.Duration
 	// Flows is the number of flows concerned.
 	Flows int
-	// Answered and Broken count the requests that made the target unsteady.
-	Answered, Broken int
+	// AnsweredRequests and BrokenRequests are the numbers of answered and of broken-off
+	// requests by which the target was found unsteady.
+	AnsweredRequests, BrokenRequests int
 }
--- a/internal/passthrough/flowtable/flowtable.go
+++ b/internal/passthrough/flowtable/flowtable.go
@@ -97,8 +97,8 @@
 // flow is what the agent knows about one flow.
 type flow struct {
 	seenAt time.Duration
-	// targetSeq is the target's initial sequence number; 0 until it has answered.
-	targetSeq uint32
+	// targetInitialSeq is the target's initial sequence number; 0 until it has answered.
+	targetInitialSeq uint32
 	// clientAck is the client's newest acknowledgement: a reset must be near it.
 	clientAck uint32
 	// clientEnd is the end of the client's data so far; valid if hasClientData is set.
@@ -325,7 +325,7 @@
 // completesHandshake reports whether an acknowledgement belongs to this target's
 // handshake.
 func (x flow) completesHandshake(ack uint32) bool {
-	return x.answered && ack-x.targetSeq < ackWindow
+	return x.answered && ack-x.targetInitialSeq < ackWindow
 }
 
 // noteClientData records a client's data and reports whether it is new. A retransmission
@@ -369,7 +369,7 @@
 	}
 	switch {
 	case p.Flags.Has(packet.SYN | packet.ACK):
-		x.targetSeq = p.Seq
+		x.targetInitialSeq = p.Seq
 		if !known {
 			x.stage = halfOpen
 		}
--- a/internal/passthrough/flowtable/outcomes.go
+++ b/internal/passthrough/flowtable/outcomes.go
@@ -16,9 +16,9 @@
 	// on a quiet target, a quarter of all on a busy one. Healthy targets break none off.
 	minBroken   = 3
 	brokenRatio = 4
-	// unsteadyPeriod is how long a target counts as unsteady after that. A target that
-	// goes down and up every second or two stays unsteady through the times when it is
-	// up.
+	// unsteadyPeriod is how long a target counts as unsteady after these limits were last
+	// reached. A target that goes down and up every second or two stays unsteady through
+	// the times when it is up.
 	unsteadyPeriod = 3 * time.Second
 )
 
@@ -62,6 +62,6 @@
 	if !e.outcomes.add(now, 0, n) {
 		return
 	}
-	e.noteDecision(now, Decision{Verdict: TargetUnsteady, Answered: e.outcomes.answered, Broken: e.outcomes.broken})
+	e.noteDecision(now, Decision{Verdict: TargetUnsteady, AnsweredRequests: e.outcomes.answered, BrokenRequests: e.outcomes.broken})
 	e.cfg.Out.Report()
 }
--- a/internal/passthrough/flowtable/outcomes_test.go
+++ b/internal/passthrough/flowtable/outcomes_test.go
@@ -30,7 +30,7 @@
 	breakRequests(r, 3)
 	is.True(r.report().Unsteady)
 	is.Equal(r.decisions[len(r.decisions)-1].Verdict, TargetUnsteady)
-	is.Equal(r.decisions[len(r.decisions)-1].Broken, 3)
+	is.Equal(r.decisions[len(r.decisions)-1].BrokenRequests, 3)
 	r.advance(unsteadyPeriod - 100*time.Millisecond)
 	is.True(r.report().Unsteady)
 	r.advance(200 * time.Millisecond)
--- a/internal/passthrough/flowtable/queue.go
+++ b/internal/passthrough/flowtable/queue.go
@@ -12,12 +12,12 @@
 const (
 	// maxQueue bounds the flows that are held for one target.
 	maxQueue = 1_024
-	// maxHeld bounds the held packets of open flows, 1.3 kB each. maxHeldPerRequest
-	// bounds those of one request after its first packet, at the number that a client has
-	// in flight. A request's packets beyond that are dropped and retransmitted; further
+	// maxHeldRequestPackets bounds the held packets of open flows, 1.3 kB each.
+	// maxHeldPacketsPerRequest bounds those of one request after its first packet, at the
+	// number that a client has in flight. A request's packets beyond that are dropped and retransmitted; further
 	// requests go on to the target.
-	maxHeld           = 2_048
-	maxHeldPerRequest = 16
+	maxHeldRequestPackets    = 2_048
+	maxHeldPacketsPerRequest = 16
 )
 
 // arrival is a client's packet that starts something: the first packet of a flow, a
@@ -27,15 +27,15 @@
 	// from is the balancer that sent it.
 	from netip.AddrPort
 	raw  []byte
-	// sentAt is when the client sent the packet, begunAt when it began to open the flow
-	// or to send the request, as far as known. After an outage balancers hold many old
+	// sentAt is when the client sent the packet, firstSentAt when it sent the flow's first
+	// packet, or the first one of the request, for the first time, as far as known. After an outage balancers hold many old
 	// packets; if these counted as new, they would precede those that can still be
 	// answered in time.
-	sentAt, begunAt time.Duration
+	sentAt, firstSentAt time.Duration
 }
 
 func newFirst(p packet.Packet, sentAt time.Duration, from netip.AddrPort, raw []byte) arrival {
-	return arrival{flow: p.FromClient(), from: from, raw: raw, sentAt: sentAt, begunAt: sentAt - p.SinceFirst()}
+	return arrival{flow: p.FromClient(), from: from, raw: raw, sentAt: sentAt, firstSentAt: sentAt - p.SinceFirst()}
 }
 
 // clone returns the packet with its own copy of the bytes.
@@ -83,9 +83,9 @@
 		return q.priority < other.priority
 	}
 	if p.OldestFirst {
-		return q.begunAt < other.begunAt
+		return q.firstSentAt < other.firstSentAt
 	}
-	return q.begunAt >= other.begunAt
+	return q.firstSentAt >= other.firstSentAt
 }
 
 // enqueueFirst holds a first packet; it returns false if the queue is full.
@@ -102,14 +102,14 @@
 
 // shouldHold reports whether a request over an open flow should be held.
 func (e *Engine) shouldHold(now time.Duration) bool {
-	return !e.cfg.Policy.PassOpenFlows && e.busy(now) && !e.target.draining && !e.leaving && len(e.admission.queue) < maxQueue && e.admission.held < maxHeld
+	return !e.cfg.Policy.PassOpenFlows && e.busy(now) && !e.target.draining && !e.leaving && len(e.admission.queue) < maxQueue && e.admission.heldRequestPackets < maxHeldRequestPackets
 }
 
 // enqueueRequest holds a request over an open flow. Retransmissions that arrive meanwhile
 // are dropped: the held packet is sent on in any case.
 func (e *Engine) enqueueRequest(now time.Duration, f packet.Flow, from netip.AddrPort, seq uint32, raw []byte) {
-	p := arrival{flow: f, from: from, raw: raw, sentAt: now, begunAt: now}
-	e.admission.held++
+	p := arrival{flow: f, from: from, raw: raw, sentAt: now, firstSentAt: now}
+	e.admission.heldRequestPackets++
 	e.admission.queue = append(e.admission.queue, queueEntry{arrival: p.clone(), priority: e.table.Priority(f.Service), request: true, seq: seq, expiresAt: now + e.maxRequestTime(f)})
 }
 
@@ -123,10 +123,10 @@
 		return
 	}
 	q := &e.admission.queue[at]
-	if q.has(seq) || len(q.more) >= maxHeldPerRequest || e.admission.held >= maxHeld {
+	if q.has(seq) || len(q.more) >= maxHeldPacketsPerRequest || e.admission.heldRequestPackets >= maxHeldRequestPackets {
 		return
 	}
-	e.admission.held++
+	e.admission.heldRequestPackets++
 	q.more = append(q.more, heldPacket{seq, append([]byte(nil), raw...)})
 }
 
@@ -138,7 +138,7 @@
 			e.refuseFirst(now, q.arrival, peer.Cold)
 			continue
 		}
-		e.cfg.Out.Admitted(now - q.begunAt)
+		e.cfg.Out.Admitted(now - q.firstSentAt)
 		e.release(now, q)
 	}
 }
@@ -194,7 +194,7 @@
 
 func (e *Engine) uncountHeld(q queueEntry) {
 	if q.request {
-		e.admission.held -= 1 + len(q.more)
+		e.admission.heldRequestPackets -= 1 + len(q.more)
 	}
 }
 
@@ -253,7 +253,7 @@
 		return peer.Evacuated
 	case e.target.silent:
 		return peer.TargetSilent
-	case now-q.begunAt > e.cfg.Policy.MaxWait:
+	case now-q.firstSentAt > e.cfg.Policy.MaxWait:
 		return peer.Busy
 	}
 	return 0
--- a/internal/passthrough/flowtable/queue_test.go
+++ b/internal/passthrough/flowtable/queue_test.go
@@ -62,7 +62,7 @@
 	first()
 	r.sendAnswer(100, 0)
 	is.Equal(r.toTarget, []uint16{9, 9})
-	is.Equal(r.engine.admission.held, 0)
+	is.Equal(r.engine.admission.heldRequestPackets, 0)
 }
 
 // A caller resets its flow while its request is held: the target must get the reset but
@@ -145,7 +145,7 @@
 	r.sendRequest(9, 1)
 	r.engine.Probed(r.now, false)
 	is.Equal(len(r.engine.admission.queue), 0)
-	is.Equal(r.engine.admission.held, 0)
+	is.Equal(r.engine.admission.heldRequestPackets, 0)
 	r.announce("i-2", 5000, 1)
 	r.advance(20 * time.Millisecond)
 	is.Equal(len(r.toTarget), 0)
@@ -179,14 +179,14 @@
 	r := newRig(t)
 	idleFlow(r, 9)
 	fillTarget(r)
-	for n := range uint32(3 * maxHeldPerRequest) {
+	for n := range uint32(3 * maxHeldPacketsPerRequest) {
 		r.fromClient(9, packet.ACK, 111+100*n, 1501, 100)
 	}
-	is.Equal(r.engine.admission.held, 1+maxHeldPerRequest)
-	r.engine.admission.held = maxHeld
+	is.Equal(r.engine.admission.heldRequestPackets, 1+maxHeldPacketsPerRequest)
+	r.engine.admission.heldRequestPackets = maxHeldRequestPackets
 	busyFlow := uint16(100)
 	r.sendAnswer(busyFlow, 0) // releases the request of flow 9
-	r.engine.admission.held = maxHeld
+	r.engine.admission.heldRequestPackets = maxHeldRequestPackets
 	r.toTarget = nil
 	r.sendRequest(busyFlow, 1)
 	is.Equal(r.toTarget, []uint16{busyFlow})
--- a/internal/passthrough/flowtable/recall.go
+++ b/internal/passthrough/flowtable/recall.go
@@ -68,12 +68,12 @@
 // Settled reports whether control's record of earlier flows may be replaced: there was
 // enough time for it to arrive, and none is left to apply.
 func (e *Engine) Settled(now time.Duration) bool {
-	return e.recall == nil && (e.target.known || e.empty(now)) && now-e.startedAt > recallWait
+	return e.recall == nil && (e.target.known || e.empty(now)) && now-e.startedAt > recordReplaceDelay
 }
 
-// recallWait is how long after its start an agent leaves control's record unchanged:
-// control VMs that restart at the same time come half a second later.
-const recallWait = 3 * time.Second
+// recordReplaceDelay is how long after its start an agent doesn't replace control's record:
+// control VMs that restart at the same time send theirs half a second later.
+const recordReplaceDelay = 3 * time.Second
 
 // Changes returns the changes since the last call that control should record; false if
 // there are none. With whole set it returns all flows that control should record.
--- a/internal/passthrough/flowtable/recall_test.go
+++ b/internal/passthrough/flowtable/recall_test.go
@@ -122,6 +122,6 @@
 	is.Equal(r.engine.Settled(r.now), false)
 	r.announce("i-2", -100, 1)
 	is.Equal(r.engine.Settled(r.now), false)
-	r.now += recallWait + time.Millisecond
+	r.now += recordReplaceDelay + time.Millisecond
 	is.True(r.engine.Settled(r.now))
 }
--- a/internal/passthrough/flowtable/target.go
+++ b/internal/passthrough/flowtable/target.go
@@ -28,10 +28,12 @@
 const (
 	// AnnouncementAccepted: the announcement is now the agent's view of the target.
 	AnnouncementAccepted AnnouncementResult = iota + 1
-	// AnnouncementOutdated: a newer announcement, or one of a newer incarnation, came before. It changes
-	// nothing.
+	// AnnouncementOutdated: a newer announcement of the same incarnation, or one of a newer
+	// incarnation, was accepted before, or this incarnation has announced its end. The
+	// announcement changes nothing.
 	AnnouncementOutdated
-	// AnnouncementForOtherTarget: the announcement has another service or address than this VM's target.
+	// AnnouncementForOtherTarget: the announcement has another service or address than this
+	// VM's target.
 	AnnouncementForOtherTarget
 )
 
--- a/internal/passthrough/flowtable/target_test.go
+++ b/internal/passthrough/flowtable/target_test.go
@@ -34,7 +34,7 @@
 	r := newRig(t)
 	r.open(9, 1000)
 	r.announceState("i-1", 0, 2, true)
-	r.engine.HandleTargetLeft(r.now, "i-0") // another target's
+	r.engine.HandleTargetLeft(r.now, "i-0") // ignored: the end of another target
 	r.engine.HandleTargetLeft(r.now, "i-1")
 	is.Equal(len(r.resets), 0)
 	is.Equal(r.report().NoTarget, false)
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -28,8 +28,8 @@
 	is.Equal(Draw(rng, peers, false, nil), []Peer{peers[4]})
 }
 
-// During a burst a request must stay at home while home has little load. From half of the
-// slots on peers are probed, and the request moves only to a peer that is expected to be
+// During a burst a request must stay on the host that received it while that has little
+// load. Once half of its slots are taken, peers are probed, and the request moves only to a peer that is expected to be
 // faster.
 func TestBurstMovesOnlyToFasterPeers(t *testing.T) {
 	is := is.New(t)
@@ -44,7 +44,7 @@
 
 	full := Load{Slots: 7, Running: 7, Hold: work}
 	is.Equal(Best(full, []Load{full, busy}), 1)
-	// Saturation: no host has room, and the request stays.
+	// Saturation: no host has room, and the request stays on the host that received it.
 	is.Equal(Best(full, []Load{full, {Slots: 7, Closed: true}}), -1)
 }
 
--- a/internal/steering/header.go
+++ b/internal/steering/header.go
@@ -10,10 +10,10 @@
 	Version uint32
 	// Destination is the destination connection ID, a slice of the packet.
 	Destination []byte
-	// Opening is set for Initial and 0-RTT packets of versions 1 and 2, and for every
+	// OpensFlow is set for Initial and 0-RTT packets of versions 1 and 2, and for every
 	// long header of other versions, because the agent answers these with version
 	// negotiation.
-	Opening bool
+	OpensFlow bool
 }
 
 const (
@@ -58,14 +58,14 @@
 		Long:        true,
 		Version:     version,
 		Destination: packet[6 : 6+length],
-		Opening:     opening(version, packet[0]>>typeShift&typeMask),
+		OpensFlow:   opensFlow(version, packet[0]>>typeShift&typeMask),
 	}
 	return true
 }
 
-// opening reports whether a packet type opens a flow. In version 2 the types are shifted
+// opensFlow reports whether a packet type opens a flow. In version 2 the types are shifted
 // by one (RFC 9369).
-func opening(version uint32, kind byte) bool {
+func opensFlow(version uint32, kind byte) bool {
 	switch version {
 	case version1:
 		return kind <= 1
--- a/internal/steering/map.go
+++ b/internal/steering/map.go
@@ -44,7 +44,7 @@
 	Revision table.Revision
 	// Generation is the generation of the keys for signing and encryption.
 	Generation uint8
-	ConnIDs    *connid.Ring
+	ConnIDs    *connid.KeyRing
 	Envelopes  *envelope.KeyRing
 	Services   []*Service
 	Balancers  []netip.AddrPort
@@ -109,7 +109,7 @@
 	ct.Generation = current.Generation
 	ct.k0 = binary.LittleEndian.Uint64(current.Hash)
 	ct.k1 = binary.LittleEndian.Uint64(current.Hash[8:])
-	if ct.ConnIDs, err = connid.NewRing(t.Keys); err != nil {
+	if ct.ConnIDs, err = connid.NewKeyRing(t.Keys); err != nil {
 		return errors.Wrap(err, "steering: build key ring")
 	}
 	if ct.Envelopes, err = envelope.NewKeyRing(t.Keys); err != nil {
--- a/internal/steering/route.go
+++ b/internal/steering/route.go
@@ -84,7 +84,7 @@
 	switch {
 	case origin == connid.Ours:
 		return r.established(m, s, caller, number)
-	case r.shape.Opening:
+	case r.shape.OpensFlow:
 		return r.choose(m, s, caller, New)
 	case origin == connid.UnknownGeneration:
 		return r.choose(m, s, caller, Behind)
