--- a/internal/distribution/announce.go
+++ b/internal/distribution/announce.go
@@ -17,9 +17,9 @@
 	announceRetryMaxDelay  = 2 * time.Second
 )
 
-// announce commits an announcement to the replicated state. One goroutine per stream
-// does so at a time and always commits the latest one, so that they arrive in order.
-func (sub *subscriber) announce(a Announcement) {
+// commitAnnouncement commits an announcement to the replicated state. One goroutine per
+// stream does so at a time and always commits the latest one, so that they arrive in order.
+func (sub *subscriber) commitAnnouncement(a Announcement) {
 	a.Via = sub.server.cfg.Name
 	dampingDelay := sub.server.silenceReporter.streamAttached(subscriberKey{role: sub.role, name: a.Name}, a)
 	sub.mu.Lock()
--- a/internal/distribution/body.go
+++ b/internal/distribution/body.go
@@ -96,7 +96,7 @@
 		appendText(&hosts, t.Host)
 		appendText(&centres, t.DataCentre)
 		appendText(&tunnels, t.Tunnel)
-		appendText(&peers, peerSuffix(t.Tunnel, t.Peer))
+		appendText(&peers, shortenPeer(t.Tunnel, t.Peer))
 	}
 	c.Hosts, c.DataCentres = hosts.String(), centres.String()
 	c.Tunnels, c.Peers = tunnels.String(), peers.String()
@@ -112,9 +112,9 @@
 // Both usually belong to the same VM.
 const sameIPMark = "="
 
-// peerSuffix returns the peer address, with its IP address replaced by sameIPMark if it is
-// that of the tunnel.
-func peerSuffix(tunnel, peer string) string {
+// shortenPeer returns an agent's peer address, with its IP address replaced by sameIPMark
+// if it is that of the tunnel.
+func shortenPeer(tunnel, peer string) string {
 	ip, _, ok := cutPort(tunnel)
 	if !ok {
 		return peer
@@ -125,8 +125,8 @@
 	return peer
 }
 
-// joinPeer is the reverse of peerSuffix.
-func joinPeer(tunnel, suffix string) string {
+// expandPeer is the reverse of shortenPeer.
+func expandPeer(tunnel, suffix string) string {
 	port, same := strings.CutPrefix(suffix, sameIPMark)
 	if !same {
 		return suffix
@@ -233,7 +233,7 @@
 		t.Host = strings.Clone(hosts[i])
 		t.DataCentre = intern(names, centres[i])
 		t.Tunnel = strings.Clone(tunnels[i])
-		t.Peer = joinPeer(tunnels[i], peers[i])
+		t.Peer = expandPeer(tunnels[i], peers[i])
 	}
 	if failed {
 		return nil, errMalformedUpdate
--- a/internal/distribution/client.go
+++ b/internal/distribution/client.go
@@ -59,8 +59,8 @@
 	TLS          *tls.Config
 	Role         Role
 	Announcement Announcement
-	// MaxContactAge is the quorum contact age above which a VM is left; 0 means
-	// DefaultMaxContactAge.
+	// MaxContactAge is the quorum contact age of a control VM above which the client moves
+	// to another control VM; 0 means DefaultMaxContactAge.
 	MaxContactAge time.Duration
 	// HeartbeatInterval is the interval between heartbeats; 0 means
 	// DefaultHeartbeatInterval.
--- a/internal/distribution/client_metrics.go
+++ b/internal/distribution/client_metrics.go
@@ -14,7 +14,7 @@
 
 // clientCounters are a subscriber's counters.
 type clientCounters struct {
-	set *metrics.Set
+	metrics *metrics.Set
 
 	attempts, attached               *expvar.Int
 	snapshots, deltas, lowerRevision *expvar.Int
@@ -25,7 +25,7 @@
 
 func newClientCounters(m *metrics.Set) clientCounters {
 	return clientCounters{
-		set:             m,
+		metrics:         m,
 		attempts:        m.Counter("control_attempts"),
 		attached:        m.Counter("control_attached"),
 		snapshots:       m.Counter("control_snapshots"),
@@ -43,7 +43,7 @@
 
 // countEnd counts why a stream ended or couldn't be opened.
 func (c clientCounters) countEnd(err error) {
-	c.set.Counter("control_ended_" + endReason(err)).Add(1)
+	c.metrics.Counter("control_ended_" + endReason(err)).Add(1)
 }
 
 // endReason returns the reason in the names of the counters of ended streams.
--- a/internal/distribution/failure_test.go
+++ b/internal/distribution/failure_test.go
@@ -264,7 +264,7 @@
 	}
 	elapsed := time.Since(start).Seconds()
 	// Both limiters start with a full burst. Heartbeats, here ten per second, are added.
-	most := float64(burstSeconds*budget+budget) + elapsed*(budget+10*64) + partBytes
+	most := float64(byteBudgetBurstSeconds*budget+budget) + elapsed*(budget+10*64) + partBytes
 	is.True(float64(f.metrics.Value("control_bytes_in")) <= most)
 	is.True(f.metrics.Value("control_bytes_in") > 40<<10) // more than the bursts was sent
 }
--- a/internal/distribution/history.go
+++ b/internal/distribution/history.go
@@ -12,8 +12,9 @@
 const tombstoneLimit = 4096
 
 // trackedElement is an element of the newest table with the revisions that last changed it.
-// As changes are kept per element, a delta from any revision since the floor takes one pass
-// and is merged: a target whose weight changed a hundred times is in it once.
+// As only the last changes of each element are kept, one pass over the elements gives a delta
+// from any revision since history.floor, and a target whose weight changed a hundred times
+// appears in that delta once.
 type trackedElement[T any] struct {
 	value T
 	// changed is the revision of the last change of any kind, changedInFull that of the
--- a/internal/distribution/measure_streams_test.go
+++ b/internal/distribution/measure_streams_test.go
@@ -22,12 +22,12 @@
 	t.Log("TLS | streams | bytes/s to subscriber | bytes/s to server | heap and stacks per stream | CPU time per stream and second")
 	for _, secured := range []bool{false, true} {
 		for _, streams := range []int{100, 300, 900} {
-			measureAtRest(t, secured, streams, watch)
+			measureIdleStreams(t, secured, streams, watch)
 		}
 	}
 }
 
-func measureAtRest(t *testing.T, secured bool, streams int, watch time.Duration) {
+func measureIdleStreams(t *testing.T, secured bool, streams int, watch time.Duration) {
 	t.Helper()
 	l := newTestLab(t, secured)
 	server := l.server(newFakeControl(smallTable(5)))
@@ -50,20 +50,20 @@
 	}
 }
 
-// TestMeasureServerAtRest prints the server's part of that cost. Its peers are connections
-// that only send heartbeats, many from one goroutine, and never read. Each peer costs a
+// TestMeasureServerAtRest prints the server's part of the cost of idle streams. Its peers
+// are connections that only send heartbeats, many from one goroutine, and never read. Each peer costs a
 // socket, a TLS state if there is TLS, and one write per second.
 func TestMeasureServerAtRest(t *testing.T) {
 	requireMeasure(t)
 	t.Log("TLS | streams | heap and stacks per stream | CPU time per stream and second")
 	for _, secured := range []bool{false, true} {
 		for _, streams := range []int{300, 900, 1500} {
-			measureServerAtRest(t, secured, streams, 10*time.Second)
+			measureIdleServer(t, secured, streams, 10*time.Second)
 		}
 	}
 }
 
-func measureServerAtRest(t *testing.T, secured bool, streams int, watch time.Duration) {
+func measureIdleServer(t *testing.T, secured bool, streams int, watch time.Duration) {
 	t.Helper()
 	l := newTestLab(t, secured)
 	server := l.server(newFakeControl(smallTable(5)))
--- a/internal/distribution/server_metrics.go
+++ b/internal/distribution/server_metrics.go
@@ -8,7 +8,7 @@
 
 // serverCounters are a server's counters.
 type serverCounters struct {
-	set *metrics.Set
+	metrics *metrics.Set
 
 	accepted, snapshots, deltas, resyncs *expvar.Int
 	bytesOut, announced, announceErrors  *expvar.Int
@@ -18,7 +18,7 @@
 
 func newServerCounters(m *metrics.Set) serverCounters {
 	return serverCounters{
-		set:            m,
+		metrics:        m,
 		accepted:       m.Counter("spread_accepted"),
 		snapshots:      m.Counter("spread_snapshots"),
 		deltas:         m.Counter("spread_deltas"),
@@ -34,9 +34,9 @@
 }
 
 func (c serverCounters) countRefusal(r refusalReason) {
-	c.set.Counter("spread_refused_" + r.String()).Add(1)
+	c.metrics.Counter("spread_refused_" + r.String()).Add(1)
 }
 
 func (c serverCounters) countEnd(err error) {
-	c.set.Counter("spread_ended_" + endReason(err)).Add(1)
+	c.metrics.Counter("spread_ended_" + endReason(err)).Add(1)
 }
--- a/internal/distribution/server_stream.go
+++ b/internal/distribution/server_stream.go
@@ -118,7 +118,7 @@
 	s.add(sub)
 	defer s.remove(sub)
 	s.counters.accepted.Add(1)
-	sub.announce(sub.currentAnnouncement())
+	sub.commitAnnouncement(sub.currentAnnouncement())
 
 	written := make(chan error, 1)
 	go func() {
@@ -306,6 +306,6 @@
 	if !validHello(hello{Role: sub.role, Announcement: a}) {
 		return errors.Wrap(errProtocol, "invalid announcement")
 	}
-	sub.announce(a)
+	sub.commitAnnouncement(a)
 	return nil
 }
--- a/internal/distribution/server_write.go
+++ b/internal/distribution/server_write.go
@@ -8,9 +8,9 @@
 	"bergamotstall/internal/table"
 )
 
-// burstSeconds is how many seconds of the byte budget may be sent at once after an idle
-// period.
-const burstSeconds = 2
+// byteBudgetBurstSeconds is how many seconds of the byte budget may be sent at once after
+// an idle period.
+const byteBudgetBurstSeconds = 2
 
 // writer is the sending half of a stream. It sends one update at a time, and the next one
 // only after that is acknowledged. What changed meanwhile is sent as one merged delta, so
@@ -46,7 +46,7 @@
 	w := &writer{
 		sub:             sub,
 		sent:            sub.deltaBase(),
-		changeLimiter:   rate.NewLimiter(rate.Limit(cfg.BytesPerSecond), max(burstSeconds*cfg.BytesPerSecond, 2*partBytes)),
+		changeLimiter:   rate.NewLimiter(rate.Limit(cfg.BytesPerSecond), max(byteBudgetBurstSeconds*cfg.BytesPerSecond, 2*partBytes)),
 		snapshotLimiter: rate.NewLimiter(rate.Limit(cfg.SnapshotBytesPerSecond), max(cfg.SnapshotBytesPerSecond, 2*partBytes)),
 	}
 	defer w.leaveQueue()
--- a/internal/flow/agents_test.go
+++ b/internal/flow/agents_test.go
@@ -21,7 +21,7 @@
 func (r *rig) flowAt(number table.AgentNumber) *caller {
 	r.Helper()
 	for range 64 {
-		c := r.caller(deskService)
+		c := r.caller(defaultService)
 		_, agent, err := c.get("/")
 		r.is.NoErr(err)
 		if agent == strconv.Itoa(int(number)) {
@@ -41,7 +41,7 @@
 	r.target(1).State = table.Draining
 	r.applyAgents(r.nextRevision())
 	for range 20 {
-		_, agent, err := r.caller(deskService).get("/")
+		_, agent, err := r.caller(defaultService).get("/")
 		r.is.NoErr(err)
 		r.is.Equal(agent, "2")
 	}
@@ -83,11 +83,11 @@
 	tunnel := r.agents[1].Tunnel().String()
 	r.agents[1].stop()
 	delete(r.agents, 1)
-	r.addAgent(7, deskService, tunnel, targetHandler(7))
+	r.addAgent(7, defaultService, tunnel, targetHandler(7))
 	r.applyAgents(r.nextRevision())
 	r.requireReset(c)
 	r.eventually("a new flow works", func() bool {
-		_, _, err := r.caller(deskService).get("/")
+		_, _, err := r.caller(defaultService).get("/")
 		return err == nil
 	})
 }
@@ -137,13 +137,13 @@
 // send the desk's packets to the archive's agent, which refuses and counts them.
 func TestReusedAddressRefusesOtherService(t *testing.T) {
 	r := standardRig(t, 2, targetHandler)
-	r.addService(archiveID, archiveService)
+	r.addService(secondServiceID, secondService)
 	c := r.flowAt(1)
 	tunnel := r.agents[1].Tunnel().String()
 	r.agents[1].stop()
 	delete(r.agents, 1)
 	var served atomic.Int64
-	other := r.addAgent(8, archiveService, tunnel, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { served.Add(1) }))
+	other := r.addAgent(8, secondService, tunnel, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { served.Add(1) }))
 	r.applyAgents(r.nextRevision())
 
 	go func() { _, _, _ = c.get("/") }()
@@ -161,13 +161,13 @@
 	r.table.Services[0].FlowLimit = 3
 	r.apply()
 	for range 6 {
-		_, _, err := r.caller(deskService).get("/")
+		_, _, err := r.caller(defaultService).get("/")
 		r.is.NoErr(err)
 	}
 	r.is.Equal(r.agents[1].Flows(), 3)
 	r.is.Equal(r.agents[2].Flows(), 3)
 	start := time.Now()
-	_, _, err := r.caller(deskService).get("/")
+	_, _, err := r.caller(defaultService).get("/")
 	var refused *quic.TransportError
 	r.is.True(errors.As(err, &refused))
 	r.is.Equal(refused.ErrorCode, quic.ConnectionRefused)
@@ -187,7 +187,7 @@
 	r.Logf("reset %v after the next packet", time.Since(start))
 	r.is.True(r.agents[2].metrics.Value("flow_reset_unreachable") > 0)
 	for range 10 {
-		_, agent, err := r.caller(deskService).get("/")
+		_, agent, err := r.caller(defaultService).get("/")
 		r.is.NoErr(err)
 		r.is.Equal(agent, "2")
 	}
@@ -209,12 +209,12 @@
 		r.addBalancer(fmt.Sprintf("balancer-%d", i))
 	}
 	var pause, resume func()
-	r.startAgent(1, deskService, "", targetHandler(1), func(e *flow.Endpoint) { pause, resume = e.Pause() })
+	r.startAgent(1, defaultService, "", targetHandler(1), func(e *flow.Endpoint) { pause, resume = e.Pause() })
 	resume = sync.OnceFunc(resume)
-	r.addAgent(2, deskService, "", targetHandler(2))
+	r.addAgent(2, defaultService, "", targetHandler(2))
 	r.apply()
 	// Only packets that reach a balancer which already found the agent unreachable start
-	// an inquiry. The retransmissions of a single caller, each through another balancer,
+	// a check. The retransmissions of a single caller, each through another balancer,
 	// may need longer than the idle timeout for that, so there are several callers.
 	var callers [6]*caller
 	for i := range callers {
@@ -233,7 +233,7 @@
 	other := r.agents[2].metrics
 	r.eventually("the other agent probes the paused one", func() bool { return other.Value("flow_probes") >= 3 })
 	resume()
-	// After a longer pause flows time out, whatever the inquiry does.
+	// After a longer pause flows time out, whatever the check finds.
 	r.is.True(time.Since(paused) < flow.IdleTimeout)
 	for range callers {
 		a := <-answers
@@ -251,11 +251,11 @@
 	r.direct = true
 	r.fabric.Close()
 	b := r.addBalancer("balancer-0")
-	r.addAgent(1, deskService, "", targetHandler(1))
+	r.addAgent(1, defaultService, "", targetHandler(1))
 	r.apply()
-	front, ok := b.Front(deskID)
+	front, ok := b.Front(defaultServiceID)
 	r.is.True(ok)
-	c := r.caller(deskService)
+	c := r.caller(defaultService)
 	c.url = "https://" + front.String()
 	r.requireIntact(r.startDownload(c))
 	r.is.True(r.agents[1].metrics.Value("flow_answers_direct") > 1000)
--- a/internal/flow/bench_test.go
+++ b/internal/flow/bench_test.go
@@ -60,7 +60,7 @@
 		r.addBalancer(fmt.Sprintf("balancer-%d", i))
 	}
 	for n := table.AgentNumber(1); n <= 4; n++ {
-		r.startAgent(n, deskService, "", targetHandler(n), func(e *flow.Endpoint) {
+		r.startAgent(n, defaultService, "", targetHandler(n), func(e *flow.Endpoint) {
 			if !deflect {
 				e.AcceptFirstPackets()
 			}
@@ -82,7 +82,7 @@
 	for range 6 {
 		callers.Go(func() {
 			for left.Add(-1) >= 0 {
-				c := r.caller(deskService)
+				c := r.caller(defaultService)
 				start := time.Now()
 				_, _, err := c.get("/")
 				took := time.Since(start)
@@ -124,7 +124,7 @@
 		var running sync.WaitGroup
 		end := time.Now().Add(3 * period)
 		for range callers {
-			c := r.caller(deskService)
+			c := r.caller(defaultService)
 			running.Go(func() {
 				for time.Now().Before(end) {
 					start := time.Now()
@@ -161,7 +161,7 @@
 			r := standardRig(b, 1, targetHandler)
 			var callers []*caller
 			for range flows {
-				callers = append(callers, r.caller(deskService))
+				callers = append(callers, r.caller(defaultService))
 			}
 			b.SetBytes(int64(flows * size))
 			for b.Loop() {
--- a/internal/flow/cost_test.go
+++ b/internal/flow/cost_test.go
@@ -51,7 +51,7 @@
 			Name: fmt.Sprint(i), Tunnel: netip.AddrPortFrom(r.ip(), 19000).String(),
 		})
 	}
-	agent := r.addAgent(1, deskService, "", http.HandlerFunc(quietFeed))
+	agent := r.addAgent(1, defaultService, "", http.HandlerFunc(quietFeed))
 	t := r.nextRevision()
 	r.applyAgents(t)
 	memory, goroutines, processor := usage()
@@ -136,7 +136,7 @@
 		r.fabric.AddBalancer(tunnel.Addr())
 	}
 	for range flows {
-		c := r.caller(deskService)
+		c := r.caller(defaultService)
 		resp, err := c.Get(c.url + "/feed")
 		is.NoErr(err)
 		defer resp.Body.Close()
--- a/internal/flow/download_test.go
+++ b/internal/flow/download_test.go
@@ -14,7 +14,7 @@
 func TestDownloadsAreWholeWhenPacketsAreSprayed(t *testing.T) {
 	r := standardRig(t, 2, targetHandler)
 	for range 4 {
-		c := r.caller(deskService)
+		c := r.caller(defaultService)
 		_, first, err := c.get("/")
 		r.is.NoErr(err)
 		r.requireIntact(r.startDownload(c))
@@ -35,7 +35,7 @@
 	r := standardRig(t, 2, targetHandler)
 	var running []*download
 	for range 3 {
-		running = append(running, r.startDownload(r.caller(deskService)))
+		running = append(running, r.startDownload(r.caller(defaultService)))
 	}
 	time.Sleep(200 * time.Millisecond)
 	dead := r.killBalancer("balancer-0")
@@ -53,8 +53,8 @@
 // at another address. At the end none is left that was there when the flows were opened.
 func TestFeedSurvivesReplacementOfEveryBalancer(t *testing.T) {
 	r := standardRig(t, 2, targetHandler)
-	feed := r.openFeed(r.caller(deskService))
-	running := r.startDownload(r.caller(deskService))
+	feed := r.openFeed(r.caller(defaultService))
+	running := r.startDownload(r.caller(defaultService))
 	for i := range 3 {
 		r.addBalancer(fmt.Sprintf("new-%d", i))
 		old := r.balancers[fmt.Sprintf("balancer-%d", i)]
@@ -76,8 +76,8 @@
 		Loss: 0.02, Duplicate: 0.1, Reorder: 0.1,
 		Hold: 15 * time.Millisecond, Delay: time.Millisecond,
 	})
-	feed := r.openFeed(r.caller(deskService))
-	r.requireIntact(r.startDownload(r.caller(deskService)))
+	feed := r.openFeed(r.caller(defaultService))
+	r.requireIntact(r.startDownload(r.caller(defaultService)))
 	r.requireFeedContinues(feed)
 	r.is.True(r.fabric.Stats().Lost > 0)
 }
@@ -86,7 +86,7 @@
 // loses a third of its packets in both directions until the partition heals.
 func TestFeedSurvivesPartitionedBalancer(t *testing.T) {
 	r := standardRig(t, 2, targetHandler)
-	feed := r.openFeed(r.caller(deskService))
+	feed := r.openFeed(r.caller(defaultService))
 	cut := r.balancers["balancer-1"].ip
 	r.fabric.Partition(cut)
 	r.requireFeedContinues(feed)
@@ -99,14 +99,14 @@
 // New flows work meanwhile.
 func TestSilentFlowIsNoticedAtBothEnds(t *testing.T) {
 	r := standardRig(t, 1, targetHandler)
-	feed := r.openFeed(r.caller(deskService))
+	feed := r.openFeed(r.caller(defaultService))
 	r.requireFeedContinues(feed)
 	var from netip.AddrPort
 	for _, from = range r.fabric.Callers() {
 		r.fabric.Silence(from)
 	}
 	r.is.Equal(r.agents[1].Flows(), 1)
-	_, _, err := r.caller(deskService).get("/")
+	_, _, err := r.caller(defaultService).get("/")
 	r.is.NoErr(err)
 	r.eventually("the caller's flow times out", func() bool { return feed.err.Load() != nil })
 	r.eventually("the agent's flow times out", func() bool { return r.agents[1].Flows() == 1 })
--- a/internal/flow/edge_test.go
+++ b/internal/flow/edge_test.go
@@ -54,12 +54,12 @@
 	const flood = 150
 	for range flood {
 		x := &quic.Transport{Conn: deafConn{r.socket()}}
-		go func() { _, _ = r.dial(x, deskService) }()
+		go func() { _, _ = r.dial(x, defaultService) }()
 	}
 	agent := r.agents[1]
 	r.eventually("address validation is required", func() bool { return agent.metrics.Value("flow_address_proof_asked") > 0 })
 	r.is.True(agent.Flows() <= 100)
-	_, _, err := r.caller(deskService).get("/")
+	_, _, err := r.caller(defaultService).get("/")
 	r.is.NoErr(err)
 }
 
@@ -68,7 +68,7 @@
 func TestFeedSurvivesCallersNewAddress(t *testing.T) {
 	r := standardRig(t, 3, targetHandler)
 	first := &quic.Transport{Conn: r.socket()}
-	conn, err := r.dial(first, deskService)
+	conn, err := r.dial(first, defaultService)
 	r.is.NoErr(err)
 	x := &http3.Transport{}
 	feed := r.openFeed(&caller{
--- a/internal/flow/endpoint.go
+++ b/internal/flow/endpoint.go
@@ -97,7 +97,7 @@
 	counters *counters
 	paths    *pathTable
 
-	self          atomic.Uint32
+	agentNumber   atomic.Uint32
 	view          atomic.Pointer[view]
 	flows         atomic.Int64
 	handshakes    atomic.Int64
@@ -112,7 +112,7 @@
 	servers           *serverSet
 	direct            directReturn
 
-	inquiries inquiries
+	agentChecks agentChecks
 
 	// decide returns what to do with a packet. It is Router.Decide, except in
 	// benchmarks without forwarding of first packets and in tests of a paused agent.
@@ -187,7 +187,7 @@
 		closed:    make(chan struct{}),
 	}
 	e.send = e.sendReturn
-	e.inquiries.running = make(map[table.AgentNumber]*inquiry)
+	e.agentChecks.running = make(map[table.AgentNumber]*agentCheck)
 	e.servers = newServerSet(e)
 	c.Metrics.Gauge("flow_open", func() int64 { return e.flows.Load() })
 	c.Metrics.Gauge("flow_handshakes", func() int64 { return e.handshakes.Load() })
@@ -205,7 +205,7 @@
 // SetAgent sets the agent number that control assigned. Until then no packet is
 // accepted.
 func (e *Endpoint) SetAgent(number table.AgentNumber) {
-	e.self.Store(uint32(number))
+	e.agentNumber.Store(uint32(number))
 	if v := e.view.Load(); v != nil {
 		e.tableDraining.Store(e.drainedBy(v.steering))
 	}
@@ -248,7 +248,7 @@
 
 // drainedBy reports whether a table gives this agent no new flows.
 func (e *Endpoint) drainedBy(m *steering.CompiledTable) bool {
-	own, ok := m.Agent(table.AgentNumber(e.self.Load()))
+	own, ok := m.Agent(table.AgentNumber(e.agentNumber.Load()))
 	return ok && own.State != table.Active
 }
 
--- a/internal/flow/inquiry.go
+++ b/internal/flow/inquiry.go
@@ -18,22 +18,22 @@
 )
 
 const (
-	// heldPacketLimit bounds the packets held for one inquiry. Flows whose packets
+	// heldPacketLimit bounds the packets held for one agent check. Flows whose packets
 	// exceed it depend on the caller's next retransmission.
 	heldPacketLimit = 64
-	// inquiryLimit bounds the concurrent inquiries. Each uses a goroutine and a socket
+	// agentCheckLimit bounds the concurrent agent checks. Each uses a goroutine and a socket
 	// for a few seconds at most.
-	inquiryLimit = 64
+	agentCheckLimit = 64
 )
 
-// inquiries are the running checks of agents that a balancer can't reach.
-type inquiries struct {
+// agentChecks are the running checks of agents that a balancer can't reach.
+type agentChecks struct {
 	mu      sync.Mutex
-	running map[table.AgentNumber]*inquiry
+	running map[table.AgentNumber]*agentCheck
 }
 
-// inquiry checks whether an agent is dead by this agent's own probes.
-type inquiry struct {
+// agentCheck checks whether an agent is dead by this agent's own probes.
+type agentCheck struct {
 	agent *steering.Agent
 	// held are envelopes to process again once the agent is known to be dead. Without
 	// them callers would be reset only at their next retransmission, and those are a
@@ -41,14 +41,14 @@
 	held [][]byte
 }
 
-// startInquiry starts an inquiry about an agent, or adds a packet to the running one.
+// startAgentCheck starts a check of an agent, or adds a packet to the running one.
 // The packet itself is still forwarded to that agent.
-func (e *Endpoint) startInquiry(v *view, about table.AgentNumber, balancer netip.AddrPort, packet []byte) {
+func (e *Endpoint) startAgentCheck(v *view, about table.AgentNumber, balancer netip.AddrPort, packet []byte) {
 	agent, ok := v.steering.Agent(about)
 	if !ok {
 		return
 	}
-	q := e.inquiryFor(v, agent)
+	q := e.agentCheckFor(v, agent)
 	if q == nil {
 		return
 	}
@@ -58,34 +58,34 @@
 	if err != nil {
 		return
 	}
-	e.inquiries.mu.Lock()
-	defer e.inquiries.mu.Unlock()
+	e.agentChecks.mu.Lock()
+	defer e.agentChecks.mu.Unlock()
 	if len(q.held) < heldPacketLimit {
 		q.held = append(q.held, held)
 	}
 }
 
-// inquiryFor returns the running inquiry about an agent, or starts one. It returns
+// agentCheckFor returns the running check of an agent, or starts one. It returns
 // nil if too many are running.
-func (e *Endpoint) inquiryFor(v *view, agent *steering.Agent) *inquiry {
-	e.inquiries.mu.Lock()
-	defer e.inquiries.mu.Unlock()
-	if q := e.inquiries.running[agent.Number]; q != nil {
+func (e *Endpoint) agentCheckFor(v *view, agent *steering.Agent) *agentCheck {
+	e.agentChecks.mu.Lock()
+	defer e.agentChecks.mu.Unlock()
+	if q := e.agentChecks.running[agent.Number]; q != nil {
 		return q
 	}
-	if len(e.inquiries.running) >= inquiryLimit {
+	if len(e.agentChecks.running) >= agentCheckLimit {
 		return nil
 	}
-	q := &inquiry{agent: agent}
-	e.inquiries.running[agent.Number] = q
-	go e.runInquiry(v, q)
+	q := &agentCheck{agent: agent}
+	e.agentChecks.running[agent.Number] = q
+	go e.runAgentCheck(v, q)
 	return q
 }
 
-// runInquiry probes an agent until it answers or is found dead.
-func (e *Endpoint) runInquiry(v *view, q *inquiry) {
+// runAgentCheck probes an agent until it answers or is found dead.
+func (e *Endpoint) runAgentCheck(v *view, q *agentCheck) {
 	began := time.Now()
-	inquiry := reachability.NewInquiry(began)
+	check := reachability.NewAgentCheck(began)
 	finding := reachability.Pending
 	for finding == reachability.Pending {
 		select {
@@ -94,7 +94,7 @@
 		default:
 		}
 		outcome := e.probe(v, q.agent)
-		finding = inquiry.Record(time.Now(), outcome)
+		finding = check.Record(time.Now(), outcome)
 	}
 	if finding == reachability.Dead {
 		q.agent.Reach.MarkDown()
@@ -103,10 +103,10 @@
 			"agent": q.agent.Number, "after": time.Since(began).String(),
 		})
 	}
-	e.inquiries.mu.Lock()
-	delete(e.inquiries.running, q.agent.Number)
+	e.agentChecks.mu.Lock()
+	delete(e.agentChecks.running, q.agent.Number)
 	held := q.held
-	e.inquiries.mu.Unlock()
+	e.agentChecks.mu.Unlock()
 	if finding != reachability.Dead {
 		return
 	}
--- a/internal/flow/receive.go
+++ b/internal/flow/receive.go
@@ -37,7 +37,7 @@
 	decision := e.decide(&r.state, &r.packet)
 	e.counters.countDecision(decision)
 	if r.packet.Reroute && decision.Action == HandOver {
-		e.startInquiry(v, decision.Agent, balancer, packet)
+		e.startAgentCheck(v, decision.Agent, balancer, packet)
 	}
 	e.perform(now, v, decision, balancer, packet)
 	e.paths.sweep(now)
@@ -55,7 +55,7 @@
 		e.counters.wrongService.Add(1)
 		return false
 	}
-	if uint32(h.Agent) != e.self.Load() {
+	if uint32(h.Agent) != e.agentNumber.Load() {
 		// Another agent of the same service: this process replaced it at this
 		// address. The agent named in the packet's connection ID decides.
 		e.counters.wrongAgent.Add(1)
@@ -87,7 +87,7 @@
 		r.packet.ChoiceKey = steering.HashFlow(e.choiceKey.k0, e.choiceKey.k1, r.shape.Destination, r.header.Caller)
 	}
 	r.state = AgentState{
-		Self:       table.AgentNumber(e.self.Load()),
+		Self:       table.AgentNumber(e.agentNumber.Load()),
 		Tunnel:     e.tunnel,
 		Table:      v.steering,
 		Service:    v.service,
@@ -169,7 +169,7 @@
 	h.Kind = envelope.Forward
 	h.Agent = to
 	h.Balancer = balancer
-	h.ForwardedBy = table.AgentNumber(e.self.Load())
+	h.ForwardedBy = table.AgentNumber(e.agentNumber.Load())
 	h.Hops++
 	h.Revision = max(h.Revision, v.steering.Revision)
 	out, err := v.steering.Envelopes.Append(r.out[:0], &h, packet)
@@ -209,7 +209,7 @@
 		Kind:       envelope.Return,
 		Generation: e.returnGeneration(v, peer),
 		Service:    v.service.ID,
-		Agent:      table.AgentNumber(e.self.Load()),
+		Agent:      table.AgentNumber(e.agentNumber.Load()),
 		Caller:     caller,
 		Revision:   v.steering.Revision,
 	}
--- a/internal/flow/rig_test.go
+++ b/internal/flow/rig_test.go
@@ -29,10 +29,10 @@
 )
 
 const (
-	deskID         table.ServiceID = 1
-	archiveID      table.ServiceID = 2
-	deskService                    = "commission-desk"
-	archiveService                 = "cartoon-archive"
+	defaultServiceID table.ServiceID = 1
+	secondServiceID  table.ServiceID = 2
+	defaultService                   = "commission-desk"
+	secondService                    = "cartoon-archive"
 	// flowIdleTimeout is short, as a test waits for it; it exceeds the second of silence
 	// after which a balancer finds an agent unreachable.
 	flowIdleTimeout = 3 * time.Second
@@ -91,11 +91,11 @@
 		agents:      make(map[table.AgentNumber]*rigAgent),
 	}
 	var err error
-	r.cert, r.pool, err = keys.SelfSigned(deskService, archiveService)
+	r.cert, r.pool, err = keys.SelfSigned(defaultService, secondService)
 	r.is.NoErr(err)
 	r.table.Preset = "ordinary"
 	r.addKeys(1)
-	r.addService(deskID, deskService)
+	r.addService(defaultServiceID, defaultService)
 	t.Cleanup(r.fabric.Close)
 	return r
 }
@@ -240,7 +240,7 @@
 	}
 	for i := range agents {
 		number := table.AgentNumber(i + 1)
-		r.addAgent(number, deskService, "", handler(number))
+		r.addAgent(number, defaultService, "", handler(number))
 	}
 	r.apply()
 	return r
--- a/internal/flow/tables_test.go
+++ b/internal/flow/tables_test.go
@@ -23,7 +23,7 @@
 	r.applyAgents(last)
 	const callers = 60
 	for range callers {
-		_, agent, err := r.caller(deskService).get("/")
+		_, agent, err := r.caller(defaultService).get("/")
 		r.is.NoErr(err)
 		r.is.True(agent != "1") // it has no weight in the newest table
 	}
@@ -57,11 +57,11 @@
 func TestBalancersHundredsOfRevisionsApart(t *testing.T) {
 	r := standardRig(t, 2, targetHandler)
 	feed := r.openFeed(r.flowAt(1))
-	r.addAgent(3, deskService, "", targetHandler(3))
+	r.addAgent(3, defaultService, "", targetHandler(3))
 	r.target(1).State = table.Draining
 	r.table.Revision += 150
 	middle := r.nextRevision()
-	r.addAgent(4, deskService, "", targetHandler(4))
+	r.addAgent(4, defaultService, "", targetHandler(4))
 	r.target(2).State = table.Draining
 	r.table.Revision += 200
 	newest := r.nextRevision()
@@ -81,15 +81,15 @@
 // agents.
 func TestKeyRotationBreaksNothing(t *testing.T) {
 	r := standardRig(t, 2, targetHandler)
-	feed := r.openFeed(r.caller(deskService))
+	feed := r.openFeed(r.caller(defaultService))
 	step := func() {
 		next := r.nextRevision()
 		r.applyAgents(next)
-		_, _, err := r.caller(deskService).get("/")
+		_, _, err := r.caller(defaultService).get("/")
 		r.is.NoErr(err)
 		r.requireFeedContinues(feed)
 		r.applyBalancers(next)
-		r.requireIntact(r.startDownload(r.caller(deskService)))
+		r.requireIntact(r.startDownload(r.caller(defaultService)))
 		r.requireFeedContinues(feed)
 	}
 	next, err := keys.NewKeySet(2, rand.Reader)
@@ -112,7 +112,7 @@
 // have yet. Packets are lost until the agents apply the table; then the feed must continue.
 func TestFeedSurvivesKeysThatAgentsLearnLate(t *testing.T) {
 	r := standardRig(t, 2, targetHandler)
-	feed := r.openFeed(r.caller(deskService))
+	feed := r.openFeed(r.caller(defaultService))
 	r.addKeys(2)
 	next := r.nextRevision()
 	r.applyBalancers(next)
@@ -139,7 +139,7 @@
 	packet := make([]byte, 1200)
 	packet[0] = 0xc0
 	forge := func(kind envelope.Kind, to netip.AddrPort) {
-		out, err := ring.Append(nil, &envelope.Header{Kind: kind, Generation: 1, Service: deskID, Agent: 1, Caller: victim}, packet)
+		out, err := ring.Append(nil, &envelope.Header{Kind: kind, Generation: 1, Service: defaultServiceID, Agent: 1, Caller: victim}, packet)
 		r.is.NoErr(err)
 		for _, datagram := range [][]byte{out, packet, out[:20], {}} {
 			_, err = socket.WriteToUDPAddrPort(datagram, to)
--- a/internal/flow/transports.go
+++ b/internal/flow/transports.go
@@ -198,7 +198,7 @@
 	}
 	e.First = raw[0]
 	copy(e.Block[:], raw[1:])
-	id, ok := g.ring.Encode(g.generation, table.AgentNumber(g.endpoint.self.Load()), e)
+	id, ok := g.ring.Encode(g.generation, table.AgentNumber(g.endpoint.agentNumber.Load()), e)
 	if !ok {
 		return quic.ConnectionID{}, errNoSigningKey
 	}
--- a/internal/flow/watch.go
+++ b/internal/flow/watch.go
@@ -46,7 +46,7 @@
 // datagram.
 func (e *Endpoint) handleProbe(v *view, from netip.AddrPort) bool {
 	h := &e.reader.header
-	self := table.AgentNumber(e.self.Load())
+	self := table.AgentNumber(e.agentNumber.Load())
 	if h.Kind != envelope.Probe {
 		return false
 	}
--- a/internal/reachability/inquiry.go
+++ b/internal/reachability/inquiry.go
@@ -6,14 +6,14 @@
 	// refusalsForDead is how many refusals in a row establish that an agent is dead. The
 	// second one rules out a message that was late.
 	refusalsForDead = 2
-	// InquiryTimeout is how long an agent may be silent before its open flows are given
+	// AgentCheckTimeout is how long an agent may be silent before its open flows are given
 	// up. A process's pause for garbage collection or for lack of processor time is well
 	// below it.
-	InquiryTimeout = 3 * time.Second
+	AgentCheckTimeout = 3 * time.Second
 	// silencesForDead is how many unanswered probes this takes in addition, one for each
-	// Tick. An inquirer that is short of processor time sends only a few probes in three
+	// Tick. A checking agent that is short of processor time sends only a few probes in three
 	// seconds, and would otherwise give up agents that are alive.
-	silencesForDead = int(InquiryTimeout / Tick)
+	silencesForDead = int(AgentCheckTimeout / Tick)
 	// ResultTTL is how long a result is valid before the agent is checked again.
 	ResultTTL = 5 * time.Second
 )
@@ -30,11 +30,11 @@
 	Alive
 )
 
-// Result is the present state of an inquiry.
+// Result is the present state of an agent check.
 type Result uint8
 
 const (
-	// Pending: the inquiry is still in progress.
+	// Pending: the check is still in progress.
 	Pending Result = iota
 	// Reachable: the agent answered, and packets can be forwarded to it.
 	Reachable
@@ -42,18 +42,18 @@
 	Dead
 )
 
-// Inquiry checks from another agent whether an agent that a balancer can't reach is dead.
-type Inquiry struct {
+// AgentCheck checks from another agent whether an agent that a balancer can't reach is dead.
+type AgentCheck struct {
 	startedAt time.Time
 	refusals  int
 	silences  int
 }
 
-// NewInquiry starts an inquiry.
-func NewInquiry(now time.Time) *Inquiry { return &Inquiry{startedAt: now} }
+// NewAgentCheck starts a check.
+func NewAgentCheck(now time.Time) *AgentCheck { return &AgentCheck{startedAt: now} }
 
-// Record records the outcome of a probe and returns the state of the inquiry.
-func (q *Inquiry) Record(now time.Time, s ProbeOutcome) Result {
+// Record records the outcome of a probe and returns the state of the check.
+func (q *AgentCheck) Record(now time.Time, s ProbeOutcome) Result {
 	switch s {
 	case Alive:
 		return Reachable
@@ -66,7 +66,7 @@
 	if q.refusals >= refusalsForDead {
 		return Dead
 	}
-	if q.silences >= silencesForDead && now.Sub(q.startedAt) >= InquiryTimeout {
+	if q.silences >= silencesForDead && now.Sub(q.startedAt) >= AgentCheckTimeout {
 		return Dead
 	}
 	return Pending
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -8,7 +8,7 @@
 // another path. So silence leads to probes, and only unanswered probes to the judgement.
 //
 // A balancer judges early (Detector), as its judgement only moves new flows and asks for
-// confirmation by another agent of the same service (Inquiry). That one gives open flows
+// confirmation by another agent of the same service (AgentCheck). That one gives open flows
 // up: at once if the agent's VM answers that no process listens there any more, and
 // otherwise only after seconds, since a process that is paused or short of processor time
 // still has its flows.
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -78,10 +78,10 @@
 	}
 }
 
-// Guards against wrong results of an inquiry: two refusals in a row mean that the agent
-// is dead at once, silence alone only after InquiryTimeout, and any answer that it is
+// Guards against wrong results of an agent check: two refusals in a row mean that the agent
+// is dead at once, silence alone only after AgentCheckTimeout, and any answer that it is
 // reachable.
-func TestInquiryResults(t *testing.T) {
+func TestAgentCheckResults(t *testing.T) {
 	is := is.New(t)
 	for _, x := range []struct {
 		signs string
@@ -92,10 +92,10 @@
 		{"rsr", Pending, 2 * Tick},
 		{"rsrr", Dead, 3 * Tick},
 		{"sssssssssssssssssssssssssssss", Pending, 28 * Tick},
-		{"sssssssssssssssssssssssssssssss", Dead, InquiryTimeout},
+		{"sssssssssssssssssssssssssssssss", Dead, AgentCheckTimeout},
 		{"sssssssssssssssssssra", Reachable, 20 * Tick},
 	} {
-		q, now, got := NewInquiry(start), start, Pending
+		q, now, got := NewAgentCheck(start), start, Pending
 		for i, sign := range x.signs {
 			now = start.Add(time.Duration(i) * Tick)
 			got = q.Record(now, map[rune]ProbeOutcome{'r': Refused, 's': Silent, 'a': Alive}[sign])
@@ -105,12 +105,12 @@
 	}
 }
 
-// Guards against open flows given up because the inquiring VM is short of processor time:
+// Guards against open flows given up because the checking VM is short of processor time:
 // it sends five probes in as many seconds, which says nothing about the other agent. Only
 // thirty unanswered probes declare that one dead.
-func TestStarvedInquirerDoesNotDeclareAgentDead(t *testing.T) {
+func TestStarvedAgentDoesNotDeclareAnotherDead(t *testing.T) {
 	is := is.New(t)
-	q := NewInquiry(start)
+	q := NewAgentCheck(start)
 	for i := 1; i <= 5; i++ {
 		is.Equal(q.Record(start.Add(time.Duration(i)*time.Second), Silent), Pending)
 	}
