--- a/agent/settings.go
+++ b/agent/settings.go
@@ -41,8 +41,8 @@
 	Return string `yaml:"return"`
 	// Slots is the number of requests that the host runs concurrently.
 	Slots int `yaml:"slots"`
-	// Connections limits the concurrent flows of the host.
-	Connections int `yaml:"connections"`
+	// FlowLimit limits the concurrent flows of the host.
+	FlowLimit int `yaml:"connections"`
 	// ShedUnrun states that the target answers 503 only before it does any work, so that
 	// the request may be sent to another target.
 	ShedUnrun bool `yaml:"shedUnrun"`
@@ -94,7 +94,7 @@
 		c.Add("return", fmt.Sprintf("%q", s.Return), returnBalancer+" or "+returnDirect)
 	}
 	c.Range("slots", s.Slots, 1, maxSlots)
-	c.Range("connections", s.Connections, 1, maxConnections)
+	c.Range("connections", s.FlowLimit, 1, maxConnections)
 	c.Duration("stopGrace", s.StopGrace, 0, maxStopGrace)
 	if len(s.Controls) == 0 {
 		c.Add("controls", "missing", "one address or more, ip:port")
--- a/cmd/bergamotctl/keys.go
+++ b/cmd/bergamotctl/keys.go
@@ -157,14 +157,14 @@
 		if err != nil {
 			return c.printError(o, err)
 		}
-		rotate.Step, rotate.Keys = catalogue.KeyPrepare, &set
+		rotate.Step, rotate.Keys = catalogue.KeyStepPrepare, &set
 	case "sign":
-		rotate.Step = catalogue.KeySign
+		rotate.Step = catalogue.KeyStepSign
 		if !*early && !c.preparedEverywhere(ctx, o) {
 			return exitRefused
 		}
 	case "drop":
-		rotate.Step = catalogue.KeyDrop
+		rotate.Step = catalogue.KeyStepDrop
 	default:
 		fmt.Fprint(c.errOut, keysHelp)
 		return exitUsage
--- a/cmd/bergamotctl/show.go
+++ b/cmd/bergamotctl/show.go
@@ -127,7 +127,7 @@
 	c.printTable(func(row func(...any)) {
 		row("WHEN", "WHO", "WHAT", "OUTCOME", "VERSION", "VIA", "COMMAND")
 		for _, r := range view.Records {
-			row(time.UnixMilli(r.AtMS).UTC().Format(time.RFC3339), r.Who, r.What, r.Outcome, r.Version, r.Via, r.ID)
+			row(time.UnixMilli(r.AtMS).UTC().Format(time.RFC3339), r.Who, r.What, r.Outcome, r.Version, r.ProposedBy, r.ID)
 		}
 	})
 	return exitOK
--- a/control/registrar.go
+++ b/control/registrar.go
@@ -49,7 +49,7 @@
 // proposes the same bytes again until ctx ends. This is idempotent: operators' commands
 // have an ID and processes' commands an incarnation.
 func (r *registrar) submit(ctx context.Context, cmd *catalogue.Command) (catalogue.Outcome, error) {
-	cmd.Via = r.vm
+	cmd.ProposedBy = r.vm
 	cmd.AtMS = r.now().UnixMilli()
 	var out catalogue.Outcome
 	data, err := cmd.MarshalMsg(nil)
--- a/control/watch.go
+++ b/control/watch.go
@@ -176,7 +176,7 @@
 	}
 	cmd := &catalogue.Command{
 		ID: firstKeysID, Operator: "control",
-		RotateKeys: &catalogue.RotateKeys{Step: catalogue.KeyFirst, Keys: &set},
+		RotateKeys: &catalogue.RotateKeys{Step: catalogue.KeyStepFirst, Keys: &set},
 	}
 	if out, err := c.registrar.submit(ctx, cmd); err == nil && out.Err() == nil {
 		events.Log(c.logger, events.FirstKeysMade, nil)
--- a/control/watch_test.go
+++ b/control/watch_test.go
@@ -120,7 +120,7 @@
 // Guards against a VM that appears healthy but serves nothing after its replica failed,
 // for example by a failed disk sync: the process ends with an error, which its supervisor
 // sees.
-func TestFailedReplicaEndsTheProcess(t *testing.T) {
+func TestProcessExitsAfterReplicaFailure(t *testing.T) {
 	is := is.New(t)
 	l := newFakeLog()
 	l.err = errors.New("disk full")
--- a/internal/catalogue/agents.go
+++ b/internal/catalogue/agents.go
@@ -23,7 +23,7 @@
 		return c.outcome(NotValid, problem)
 	}
 	if known := c.findIncarnation(&a); known != nil {
-		return c.reannounceAgent(known, service.ID, &a, cmd.Via)
+		return c.reannounceAgent(known, service.ID, &a, cmd.ProposedBy)
 	}
 	if len(c.state.Agents) >= maxAgents {
 		return c.outcome(Refused, fmt.Sprintf("%d agents are known", maxAgents))
@@ -120,7 +120,7 @@
 	x := Agent{
 		Number: c.state.LastAgent, Service: service.ID, Name: a.Name, Incarnation: a.Incarnation,
 		Attachment: a.Attachment, Host: a.Host, DataCentre: a.DataCentre, Tunnel: a.Tunnel, Peer: a.Peer,
-		Slots: a.Slots, Connections: a.Connections, Leaving: a.Draining, Via: cmd.Via,
+		Slots: a.Slots, Connections: a.Connections, Leaving: a.Draining, Via: cmd.ProposedBy,
 		ChangedAtMS: c.state.ClockMS, JoinedAtMS: max(c.state.ClockMS, cmd.AtMS),
 	}
 	x.Weight = c.effectiveWeight(&x)
--- a/internal/catalogue/balancers.go
+++ b/internal/catalogue/balancers.go
@@ -24,7 +24,7 @@
 		}
 		return c.outcome(Done, "balancer "+a.Name+" left as planned")
 	}
-	next := BalancerRecord{Name: a.Name, Incarnation: a.Incarnation, Attachment: a.Attachment, DataCentre: a.DataCentre, Tunnel: a.Tunnel, Via: cmd.Via}
+	next := BalancerRecord{Name: a.Name, Incarnation: a.Incarnation, Attachment: a.Attachment, DataCentre: a.DataCentre, Tunnel: a.Tunnel, Via: cmd.ProposedBy}
 	if !known && len(c.state.Balancers) >= maxBalancers {
 		return c.outcome(Refused, fmt.Sprintf("%d balancers are known", maxBalancers))
 	}
--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -179,7 +179,7 @@
 	}
 	// Control itself proposes the first keys. They don't increase the version, so that
 	// they don't cause a conflict for an operator's next command.
-	firstKeys := cmd.RotateKeys != nil && cmd.RotateKeys.Step == KeyFirst
+	firstKeys := cmd.RotateKeys != nil && cmd.RotateKeys.Step == KeyStepFirst
 	if out.Code == Done && !firstKeys {
 		c.state.Version++
 	}
@@ -197,7 +197,7 @@
 // operator's command for resends.
 func (c *Catalogue) recordOutcome(index uint64, cmd *Command, fingerprint []byte, out Outcome) {
 	record := Record{
-		Index: index, AtMS: cmd.AtMS, Who: cmd.actor(), Via: cmd.Via, ID: cmd.ID,
+		Index: index, AtMS: cmd.AtMS, Who: cmd.actor(), ProposedBy: cmd.ProposedBy, ID: cmd.ID,
 		What: cmd.describe(), Code: out.Code, Outcome: out.Text, Version: out.Version,
 	}
 	if !cmd.FromOperator() {
--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -38,8 +38,8 @@
 	if cmd.AtMS == 0 {
 		cmd.AtMS = h.nowMS
 	}
-	if cmd.Via == "" {
-		cmd.Via = "control-a"
+	if cmd.ProposedBy == "" {
+		cmd.ProposedBy = "control-a"
 	}
 	data, err := cmd.MarshalMsg(nil)
 	if err != nil {
@@ -145,7 +145,7 @@
 	before := h.Summary()
 
 	resent := switchTo("ama-1", "peak", 0)
-	resent.Via = "control-b"
+	resent.ProposedBy = "control-b"
 	h.advance(time.Minute)
 	is.Equal(h.do(resent), first)
 	is.Equal(h.Summary(), before)
@@ -278,7 +278,7 @@
 	before := h.Summary()
 	again := announce("casework", 1, 1)
 	again.AnnounceAgent.Announcement.Attachment = 2
-	again.Via = "control-b"
+	again.ProposedBy = "control-b"
 	out := h.do(again)
 	is.Equal(out.Agent, table.AgentNumber(2))
 	is.Equal(h.Summary(), before) // a reconnect doesn't change the table
@@ -339,19 +339,19 @@
 		is.NoErr(err)
 		return k.Generation
 	}
-	is.True(step("p0", RotateKeys{Step: KeyPrepare, Keys: someKeys()}) != nil) // no first generation yet
-	is.NoErr(step("f", RotateKeys{Step: KeyFirst, Keys: someKeys()}))
-	is.True(step("f2", RotateKeys{Step: KeyFirst, Keys: someKeys()}) != nil)
-	is.True(step("s0", RotateKeys{Step: KeySign}) != nil) // no prepared generation
-	is.NoErr(step("p", RotateKeys{Step: KeyPrepare, Keys: someKeys()}))
+	is.True(step("p0", RotateKeys{Step: KeyStepPrepare, Keys: someKeys()}) != nil) // no first generation yet
+	is.NoErr(step("f", RotateKeys{Step: KeyStepFirst, Keys: someKeys()}))
+	is.True(step("f2", RotateKeys{Step: KeyStepFirst, Keys: someKeys()}) != nil)
+	is.True(step("s0", RotateKeys{Step: KeyStepSign}) != nil) // no prepared key generation that could start to sign
+	is.NoErr(step("p", RotateKeys{Step: KeyStepPrepare, Keys: someKeys()}))
 	is.Equal(signing(), uint8(1)) // the prepared generation doesn't sign
 	is.Equal(len(h.Table().Keys), 2)
-	is.True(step("d0", RotateKeys{Step: KeyDrop}) != nil)
-	is.NoErr(step("s", RotateKeys{Step: KeySign}))
+	is.True(step("d0", RotateKeys{Step: KeyStepDrop}) != nil)
+	is.NoErr(step("s", RotateKeys{Step: KeyStepSign}))
 	is.Equal(signing(), uint8(2))
-	is.True(step("d1", RotateKeys{Step: KeyDrop}) != nil) // open flows carry generation 1
+	is.True(step("d1", RotateKeys{Step: KeyStepDrop}) != nil) // open flows carry generation 1
 	h.advance(MinAcceptance)
-	is.NoErr(step("d", RotateKeys{Step: KeyDrop}))
+	is.NoErr(step("d", RotateKeys{Step: KeyStepDrop}))
 	is.Equal(len(h.Table().Keys), 1)
 }
 
--- a/internal/catalogue/command.go
+++ b/internal/catalogue/command.go
@@ -22,8 +22,8 @@
 	Operator string `msg:"o,omitempty"`
 	// Expected is the version that the operator has read; 0 accepts any.
 	Expected uint64 `msg:"e,omitempty"`
-	// Via names the control VM that proposes the command.
-	Via string `msg:"v,omitempty"`
+	// ProposedBy names the control VM that proposes the command.
+	ProposedBy string `msg:"v,omitempty"`
 	// AtMS is the proposer's time in Unix milliseconds.
 	AtMS int64 `msg:"t"`
 
@@ -63,24 +63,24 @@
 type KeyStep uint8
 
 const (
-	// KeyPrepare distributes a new generation to every process; none signs with it yet.
-	KeyPrepare KeyStep = iota + 1
-	// KeySign starts signing with the prepared generation; older ones stay accepted.
-	KeySign
-	// KeyDrop ends the acceptance of all generations except the signing one.
-	KeyDrop
-	// KeyFirst distributes the cluster's first generation, which signs at once since
+	// KeyStepPrepare distributes a new key generation to every process; none signs with it yet.
+	KeyStepPrepare KeyStep = iota + 1
+	// KeyStepSign starts signing with the prepared generation; older ones stay accepted.
+	KeyStepSign
+	// KeyStepDrop ends the acceptance of all generations except the signing one.
+	KeyStepDrop
+	// KeyStepFirst distributes the cluster's first generation, which signs at once since
 	// there are no older signatures.
-	KeyFirst
+	KeyStepFirst
 )
 
 // RotateKeys takes one step of a rotation.
 type RotateKeys struct {
 	Step KeyStep `msg:"s"`
-	// Keys is the new generation for KeyPrepare and KeyFirst, made by the proposer. The
+	// Keys is the new generation for KeyStepPrepare and KeyStepFirst, made by the proposer. The
 	// state machine sets its generation number.
 	Keys *table.KeySet `msg:"k,omitempty"`
-	// Early lets KeyDrop run before MinAcceptance has passed.
+	// Early lets KeyStepDrop run before MinAcceptance has passed.
 	Early bool `msg:"e,omitempty"`
 }
 
@@ -103,7 +103,7 @@
 // differ between resends.
 func (c *Command) fingerprint() ([]byte, error) {
 	content := *c
-	content.AtMS, content.Via = 0, ""
+	content.AtMS, content.ProposedBy = 0, ""
 	if r := content.RotateKeys; r != nil {
 		// Each resend may carry newly generated keys; the first ones are used.
 		step := *r
--- a/internal/catalogue/command_gen.go
+++ b/internal/catalogue/command_gen.go
@@ -214,7 +214,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x4
 	}
-	if z.Via == "" {
+	if z.ProposedBy == "" {
 		zb0001Len--
 		zb0001Mask |= 0x8
 	}
@@ -281,7 +281,7 @@
 		if (zb0001Mask & 0x8) == 0 { // if not omitted
 			// string "v"
 			o = append(o, 0xa1, 0x76)
-			o = msgp.AppendString(o, z.Via)
+			o = msgp.AppendString(o, z.ProposedBy)
 		}
 		// string "t"
 		o = append(o, 0xa1, 0x74)
@@ -465,9 +465,9 @@
 				return
 			}
 		case "v":
-			z.Via, bts, err = msgp.ReadStringBytes(bts)
+			z.ProposedBy, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Via")
+				err = msgp.WrapError(err, "ProposedBy")
 				return
 			}
 		case "t":
@@ -843,7 +843,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Command) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.StringPrefixSize + len(z.Operator) + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Via) + 2 + msgp.Int64Size + 3
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.StringPrefixSize + len(z.Operator) + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.ProposedBy) + 2 + msgp.Int64Size + 3
 	if z.Apply == nil {
 		s += msgp.NilSize
 	} else {
--- a/internal/catalogue/fuzz_test.go
+++ b/internal/catalogue/fuzz_test.go
@@ -17,7 +17,7 @@
 	for _, cmd := range []Command{
 		apply("a", twoServices()), switchTo("b", "peak", 1),
 		{ID: "c", Drain: &DrainHost{Host: "casework-0"}}, {ID: "d", Undrain: &UndrainHost{Host: "casework-0"}},
-		{ID: "e", RotateKeys: &RotateKeys{Step: KeyFirst, Keys: someKeys()}}, {ID: "f", RotateKeys: &RotateKeys{Step: KeyDrop, Early: true}},
+		{ID: "e", RotateKeys: &RotateKeys{Step: KeyStepFirst, Keys: someKeys()}}, {ID: "f", RotateKeys: &RotateKeys{Step: KeyStepDrop, Early: true}},
 		{AnnounceAgent: &AnnounceAgent{Announcement: agent}}, {AnnounceBalancer: &AnnounceBalancer{Announcement: agent}},
 		{AgentSilent: &distribution.Silence{Name: agent.Name, Agent: 1, Incarnation: 1, Attachment: 1}},
 		{BalancerSilent: &distribution.Silence{Name: "b"}}, {Sweep: &Sweep{}, AtMS: 1 << 62}, {Sweep: &Sweep{}, AtMS: -1 << 62},
--- a/internal/catalogue/keys.go
+++ b/internal/catalogue/keys.go
@@ -21,13 +21,13 @@
 // String returns the step as operators type it.
 func (s KeyStep) String() string {
 	switch s {
-	case KeyPrepare:
+	case KeyStepPrepare:
 		return "prepare"
-	case KeySign:
+	case KeyStepSign:
 		return "sign"
-	case KeyDrop:
+	case KeyStepDrop:
 		return "drop"
-	case KeyFirst:
+	case KeyStepFirst:
 		return "first"
 	}
 	return "unknown step"
@@ -35,13 +35,13 @@
 
 func (c *Catalogue) rotateKeys(r *RotateKeys) Outcome {
 	switch r.Step {
-	case KeyPrepare:
+	case KeyStepPrepare:
 		return c.prepareKeys(r.Keys)
-	case KeyFirst:
+	case KeyStepFirst:
 		return c.firstKeys(r.Keys)
-	case KeySign:
+	case KeyStepSign:
 		return c.signKeys()
-	case KeyDrop:
+	case KeyStepDrop:
 		return c.dropKeys(r.Early)
 	}
 	return c.outcome(NotValid, "a step of a rotation is prepare, sign or drop")
--- a/internal/catalogue/operators.go
+++ b/internal/catalogue/operators.go
@@ -22,7 +22,7 @@
 	case c.AnnounceBalancer != nil:
 		return c.AnnounceBalancer.Announcement.Name
 	case !c.FromOperator():
-		return c.Via
+		return c.ProposedBy
 	}
 	return c.Operator
 }
--- a/internal/catalogue/property_test.go
+++ b/internal/catalogue/property_test.go
@@ -31,7 +31,7 @@
 	case 4:
 		cmd.Undrain = &UndrainHost{Host: fmt.Sprint("casework-", host)}
 	case 5:
-		step := rapid.SampledFrom([]KeyStep{KeyFirst, KeyPrepare, KeySign, KeyDrop}).Draw(t, "step")
+		step := rapid.SampledFrom([]KeyStep{KeyStepFirst, KeyStepPrepare, KeyStepSign, KeyStepDrop}).Draw(t, "step")
 		cmd.RotateKeys = &RotateKeys{Step: step, Keys: someKeys(), Early: true}
 	case 6, 7:
 		service := rapid.SampledFrom([]string{"casework", "map-documents"}).Draw(t, "service")
--- a/internal/catalogue/read.go
+++ b/internal/catalogue/read.go
@@ -139,9 +139,9 @@
 	return distribution.Silence{Name: b.Name, Incarnation: b.Incarnation, Attachment: b.Attachment}
 }
 
-// suspectGroup identifies the targets of a service that take new work, or those that
+// targetGroup identifies the targets of a service that take new work, or those that
 // don't.
-type suspectGroup struct {
+type targetGroup struct {
 	service      table.ServiceID
 	takesNewWork bool
 }
@@ -154,10 +154,10 @@
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	nowMS := max(now.UnixMilli(), c.state.ClockMS)
-	seen := make(map[suspectGroup]bool)
+	seen := make(map[targetGroup]bool)
 	for i := range c.state.Agents {
 		a := &c.state.Agents[i]
-		group := suspectGroup{a.Service, c.takesNewWork(a)}
+		group := targetGroup{a.Service, c.takesNewWork(a)}
 		if a.Liveness != Suspect || a.Retired || seen[group] {
 			continue
 		}
--- a/internal/catalogue/silence_test.go
+++ b/internal/catalogue/silence_test.go
@@ -136,7 +136,7 @@
 	left := h.Agents()[0]
 	moved := announce("casework", 0, 1)
 	moved.AnnounceAgent.Announcement.Attachment = 2
-	moved.Via = "control-b"
+	moved.ProposedBy = "control-b"
 	h.do(moved)
 	h.advance(time.Minute)
 	h.do(silent(&left))
--- a/internal/catalogue/state.go
+++ b/internal/catalogue/state.go
@@ -153,10 +153,10 @@
 	// Who is the operator, the process that announced itself, or the control VM that
 	// reported a silent process.
 	Who string `msg:"w"`
-	// Via is the control VM that proposed the command.
-	Via  string `msg:"v"`
-	ID   string `msg:"c,omitempty"`
-	What string `msg:"a"`
+	// ProposedBy is the control VM that proposed the command.
+	ProposedBy string `msg:"v" json:"Via"`
+	ID         string `msg:"c,omitempty"`
+	What       string `msg:"a"`
 	// Code and Outcome are the result of the command.
 	Code    Code   `msg:"r"`
 	Outcome string `msg:"o"`
--- a/internal/catalogue/state_gen.go
+++ b/internal/catalogue/state_gen.go
@@ -689,7 +689,7 @@
 		o = msgp.AppendString(o, z.Who)
 		// string "v"
 		o = append(o, 0xa1, 0x76)
-		o = msgp.AppendString(o, z.Via)
+		o = msgp.AppendString(o, z.ProposedBy)
 		if (zb0001Mask & 0x10) == 0 { // if not omitted
 			// string "c"
 			o = append(o, 0xa1, 0x63)
@@ -756,9 +756,9 @@
 				return
 			}
 		case "v":
-			z.Via, bts, err = msgp.ReadStringBytes(bts)
+			z.ProposedBy, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Via")
+				err = msgp.WrapError(err, "ProposedBy")
 				return
 			}
 		case "c":
@@ -805,7 +805,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Record) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Who) + 2 + msgp.StringPrefixSize + len(z.Via) + 2 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.StringPrefixSize + len(z.What) + 2 + z.Code.Msgsize() + 2 + msgp.StringPrefixSize + len(z.Outcome) + 2 + msgp.Uint64Size
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Int64Size + 2 + msgp.StringPrefixSize + len(z.Who) + 2 + msgp.StringPrefixSize + len(z.ProposedBy) + 2 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.StringPrefixSize + len(z.What) + 2 + z.Code.Msgsize() + 2 + msgp.StringPrefixSize + len(z.Outcome) + 2 + msgp.Uint64Size
 	return
 }
 
--- a/internal/keys/cluster.go
+++ b/internal/keys/cluster.go
@@ -10,11 +10,11 @@
 
 // Sizes of the keys of a generation, in bytes.
 const (
-	connIDSize   = 16
-	envelopeSize = 32
-	resetSize    = 32
-	tokenSize    = 32
-	hashSize     = 16
+	connIDKeyBytes   = 16
+	envelopeKeyBytes = 32
+	resetKeyBytes    = 32
+	tokenKeyBytes    = 32
+	hashKeyBytes     = 16
 	// MaxGenerations limits the key sets that are valid at once. A connection ID holds
 	// three bits of the generation; two key sets with equal bits couldn't be
 	// distinguished.
@@ -39,11 +39,11 @@
 		key  *[]byte
 		size int
 	}{
-		{&ks.ConnID, connIDSize},
-		{&ks.Envelope, envelopeSize},
-		{&ks.Reset, resetSize},
-		{&ks.Token, tokenSize},
-		{&ks.Hash, hashSize},
+		{&ks.ConnID, connIDKeyBytes},
+		{&ks.Envelope, envelopeKeyBytes},
+		{&ks.Reset, resetKeyBytes},
+		{&ks.Token, tokenKeyBytes},
+		{&ks.Hash, hashKeyBytes},
 	}
 	for _, p := range parts {
 		*p.key = make([]byte, p.size)
--- a/internal/keys/store.go
+++ b/internal/keys/store.go
@@ -128,7 +128,8 @@
 		return
 	}
 	if err := s.Reload(); err != nil {
-		// A renewal writes two files, so the next check may succeed.
+		// The reload may have fallen between a renewal's writes of the certificate and of the
+		// key. The next check may succeed.
 		s.metrics.Counter("tls_reload_errors").Add(1)
 		events.Log(s.log, events.CertificateUnusable, logrus.Fields{"file": s.files.Certificate, "error": err})
 		return
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -134,7 +134,7 @@
 func (f *Fleet) Lagging(revision table.Revision) []BalancerStatus {
 	var out []BalancerStatus
 	for _, b := range f.Balancers {
-		if b.State != stateOut && (!b.Heard || b.Revision < revision) {
+		if b.State != stateOffReturnPath && (!b.Heard || b.Revision < revision) {
 			out = append(out, b)
 		}
 	}
@@ -145,7 +145,7 @@
 func (f *Fleet) Live() int {
 	n := 0
 	for _, b := range f.Balancers {
-		if b.State != stateOut {
+		if b.State != stateOffReturnPath {
 			n++
 		}
 	}
--- a/internal/operator/messages.go
+++ b/internal/operator/messages.go
@@ -112,9 +112,11 @@
 	DataCentre string            `msg:"d" json:"dataCentre"`
 	Agent      table.AgentNumber `msg:"g" json:"agent"`
 	// State is active, draining or retired; Why is the reason.
-	State       string `msg:"x" json:"state"`
-	Why         string `msg:"y,omitempty" json:"why,omitempty"`
-	Weight      uint32 `msg:"w" json:"weight"`
+	State  string `msg:"x" json:"state"`
+	Why    string `msg:"y,omitempty" json:"why,omitempty"`
+	Weight uint32 `msg:"w" json:"weight"`
+	// Slots is the number of requests that the target's host runs concurrently; Connections
+	// limits the host's concurrent flows.
 	Slots       int    `msg:"l" json:"slots"`
 	Connections int    `msg:"c" json:"connections"`
 	Tunnel      string `msg:"t" json:"tunnel"`
--- a/internal/operator/view.go
+++ b/internal/operator/view.go
@@ -66,8 +66,8 @@
 	return "active", ""
 }
 
-// stateOut is the state of a balancer that control has taken off the return path.
-const stateOut = "out"
+// stateOffReturnPath is the state of a balancer that control has taken off the return path.
+const stateOffReturnPath = "out"
 
 func listBalancers(c *catalogue.Catalogue) []Balancer {
 	var out []Balancer
@@ -77,7 +77,7 @@
 		case catalogue.Suspect:
 			state = "suspect"
 		case catalogue.OutOfService:
-			state = stateOut
+			state = stateOffReturnPath
 		}
 		out = append(out, Balancer{Name: b.Name, DataCentre: b.DataCentre, Tunnel: b.Tunnel, Via: b.Via, State: state})
 	}
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -340,7 +340,7 @@
 	h.Agent, err = f.Launch.Agent(agent.Settings{
 		Service: h.Service.Name, Host: h.Name, DataCentre: h.DataCentre,
 		Target: f.Net.Address(h.last, targetPort), Tunnel: f.Net.Address(h.last, agentTunnel), Peer: f.Net.Address(h.last, agentPeer),
-		Slots: f.Layout.Slots, Connections: f.Layout.Connections, Controls: f.subscriberAddresses(),
+		Slots: f.Layout.Slots, FlowLimit: f.Layout.Connections, Controls: f.subscriberAddresses(),
 		CallerTLS: agent.CallerTLS{Certificate: f.CallersCertificate(), Key: f.path("callers-key.pem")},
 		TLS:       identity, Metrics: f.Net.Address(h.last, agentVars), State: f.path(h.Name + ".table"), StopGrace: stopGrace,
 	})
