--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -342,7 +342,7 @@
 	h.Agent, err = f.Launcher.Agent(agent.Settings{
 		Service: h.Service.Name, Host: h.Name, DataCentre: h.DataCentre,
 		Target: f.Net.Address(h.octet, targetPort), Tunnel: f.Net.Address(h.octet, agentTunnelPort), Peer: f.Net.Address(h.octet, agentPeerPort),
-		Slots: f.Layout.Slots, Connections: f.Layout.Connections, Controls: f.subscriberAddresses(),
+		Slots: f.Layout.Slots, FlowLimit: f.Layout.Connections, Controls: f.subscriberAddresses(),
 		CallerTLS: agent.CallerTLS{Certificate: f.CallerCertificateFile(), Key: f.path("callers-key.pem")},
 		TLS:       certificate, Metrics: f.Net.Address(h.octet, agentMetricsPort), State: f.path(h.Name + ".table"), StopGrace: agentStopGrace,
 	})
