--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -9,7 +9,8 @@
 
 var began = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-// validRecord returns a run in which every promise holds and has records to check.
+// validRecord returns the record of a run without violations. Each check has at least
+// one record to examine.
 func validRecord() Record {
 	return Record{
 		Attempts: []Attempt{
@@ -28,7 +29,7 @@
 	}
 }
 
-func TestValidRunKeepsEveryPromise(t *testing.T) {
+func TestValidRunPassesEveryCheck(t *testing.T) {
 	is := is.New(t)
 	for _, v := range All(validRecord(), DefaultLimits()) {
 		is.True(v.Held())
@@ -36,11 +37,12 @@
 	}
 }
 
-// Guards against checks that can't fail, or that fail for another promise's violation.
+// Guards against checks that can't fail, or that fail when only another promise is
+// violated.
 func TestEachViolationIsDetected(t *testing.T) {
 	for _, c := range []struct {
-		promise      string
-		breakPromise func(*Record)
+		promise string
+		violate func(*Record)
 	}{
 		{"flows survive planned change", func(r *Record) { r.Flows[0].Broken = true }},
 		{"work reaches its own service only", func(r *Record) { r.Attempts[0].AnsweredBy = "desk" }},
@@ -61,7 +63,7 @@
 		t.Run(c.promise, func(t *testing.T) {
 			is := is.New(t)
 			r := validRecord()
-			c.breakPromise(&r)
+			c.violate(&r)
 			for _, v := range All(r, DefaultLimits()) {
 				is.Equal(v.Held(), v.Promise != c.promise)
 			}
@@ -69,9 +71,9 @@
 	}
 }
 
-// Guards against promises that aren't checked in a run with crashes but look kept: the
-// two verdicts must show that nothing was checked.
-func TestUnplannedRunSkipsTwoPromises(t *testing.T) {
+// Guards against verdicts that report success although nothing was checked. Two promises
+// aren't checked in a run with crashes; their verdicts must show zero checked records.
+func TestUnplannedRunSkipsTwoChecks(t *testing.T) {
 	is := is.New(t)
 	r, limits := validRecord(), DefaultLimits()
 	limits.Unplanned = true
--- a/internal/experiment/budget.go
+++ b/internal/experiment/budget.go
@@ -47,7 +47,7 @@
 				break
 			}
 		}
-		if i%1000 == 999 { // the load of one second decides on failures in the next
+		if i%1000 == 999 { // failures in the next second depend on the load of this one
 			lastLoad = c.requestLoad * float64(attemptsInSecond) / 1000
 			sum += lastLoad
 			attemptsInSecond = 0
--- a/internal/experiment/placement_loop.go
+++ b/internal/experiment/placement_loop.go
@@ -126,10 +126,11 @@
 	name string
 	// overflow sends the request to a peer or lets it wait at its home host.
 	overflow func(l *loop, r *loopRequest)
-	// everyRequest calls overflow also if the home host has a free slot.
+	// everyRequest calls overflow for each request, even if the home host has a free
+	// slot.
 	everyRequest bool
-	// belowLimit calls overflow already when tuning.probeThreshold of the slots are
-	// busy.
+	// belowLimit calls overflow before the home host is full: as soon as the fraction
+	// tuning.probeThreshold of its slots is busy.
 	belowLimit bool
 	// boundedFlows assigns a new flow to another host if the drawn one has over 25%
 	// more flows than the mean.
--- a/internal/experiment/slots.go
+++ b/internal/experiment/slots.go
@@ -20,7 +20,7 @@
 	kind          string
 	ticket        admission.Ticket
 	at            time.Duration
-	remainingWork time.Duration // of the current part
+	remainingWork time.Duration // until the current part ends: the header is sent, or all computing is done
 	workAfterHead time.Duration // computing after the header was sent
 	streamTime    time.Duration // streaming after all computing
 	headSent      bool
@@ -134,7 +134,8 @@
 	}
 }
 
-// step advances the clock to the next timer or to the end of some request's computing.
+// step advances the clock to the next event: a timer expires, or a request finishes the
+// current part of its computing.
 func (l *slotLoop) step() {
 	rate := min(1, float64(l.cores)/float64(max(len(l.active), 1)))
 	next := forever
@@ -172,7 +173,8 @@
 	}
 }
 
-// finishPart ends a part of a job: the one before the header, or the one after it.
+// finishPart ends the current part of a job's computing: the one before the header is
+// sent, or the one after it.
 func (l *slotLoop) finishPart(j *slotJob) {
 	if !j.headSent {
 		j.headSent = true
--- a/internal/passthrough/simulation/deployment.go
+++ b/internal/passthrough/simulation/deployment.go
@@ -49,10 +49,10 @@
 	Slots            uint32
 	// QueueLimit is how many requests wait at a target before it sheds load.
 	QueueLimit int
-	// ColdTime is how long a target is cold after its start; requests take ColdFactor
-	// times as long meanwhile.
-	ColdTime   time.Duration
-	ColdFactor float64
+	// ColdTime is how long a target is cold after its start; requests take
+	// ColdSlowdown times as long meanwhile.
+	ColdTime     time.Duration
+	ColdSlowdown float64
 	// CallerDelay is the one-way delay between callers and any VM, ZoneDelay that
 	// between two data centres.
 	CallerDelay, ZoneDelay time.Duration
@@ -69,7 +69,7 @@
 func (d *Deployment) String() string {
 	c := d.Classes[0]
 	return fmt.Sprintf("%d targets x %d slots, cold x%.1f for %v, callers %v away, aim %v, work %v, %d retries, out %v",
-		d.Targets, d.Slots, d.ColdFactor, d.ColdTime.Round(100*time.Millisecond), d.CallerDelay.Round(100*time.Microsecond),
+		d.Targets, d.Slots, d.ColdSlowdown, d.ColdTime.Round(100*time.Millisecond), d.CallerDelay.Round(100*time.Microsecond),
 		c.LatencyGoal.Round(time.Millisecond), c.Work.Round(time.Millisecond), d.Retries, d.Outage.Round(10*time.Millisecond))
 }
 
@@ -88,7 +88,7 @@
 func RandomDeployment(rng *rand.Rand) Deployment {
 	d := Deployment{
 		Zones: 1 + rng.IntN(4), Slots: uint32(2 + rng.IntN(15)), QueueLimit: 4 + rng.IntN(20),
-		ColdTime: uniformSeconds(rng, 0.5, 6), ColdFactor: uniform(rng, 1, 4),
+		ColdTime: uniformSeconds(rng, 0.5, 6), ColdSlowdown: uniform(rng, 1, 4),
 		CallerDelay: logUniform(rng, 500*time.Microsecond, 15*time.Millisecond),
 		ZoneDelay:   logUniform(rng, 300*time.Microsecond, 2*time.Millisecond),
 		Callers:     20 + rng.IntN(100), Retries: rng.IntN(4),
--- a/internal/passthrough/simulation/node.go
+++ b/internal/passthrough/simulation/node.go
@@ -16,7 +16,7 @@
 // announceInterval is the time between a target's announcements.
 const announceInterval = 770 * time.Millisecond
 
-// balancer is a VM that runs a balancer's process, or none while it is down.
+// balancer is a VM with a balancer process, which may be down.
 type balancer struct {
 	w       *world
 	n, zone int
--- a/internal/passthrough/simulation/scenario.go
+++ b/internal/passthrough/simulation/scenario.go
@@ -27,8 +27,8 @@
 		{"burst", 4 * time.Second, (*world).burst},
 		{"saturation", 5 * time.Second, (*world).saturation},
 		{"slow target", 5 * time.Second, (*world).slowTarget},
-		{"release", 7 * time.Second, (*world).release},
-		{"long among short", 5 * time.Second, (*world).longAmongShort},
+		{"release", 7 * time.Second, (*world).replaceTargets},
+		{"long among short", 5 * time.Second, (*world).mixLongRequests},
 		{"few heavy callers", 5 * time.Second, (*world).heavyCallers},
 	}
 }
@@ -158,16 +158,16 @@
 }
 
 const (
-	releaseInterval = 800 * time.Millisecond
+	replaceInterval = 800 * time.Millisecond
 	drainTime       = 3 * time.Second
 )
 
-// release replaces half of the targets one after the other: a new target starts, and the
-// old one drains and ends.
-func (w *world) release() {
+// replaceTargets replaces half of the targets one after the other, as a release of new
+// software does: a new target starts, and the old one drains and ends.
+func (w *world) replaceTargets() {
 	for n := range max(1, w.d.Targets/2) {
 		a := w.agents[n]
-		w.after(min(time.Duration(n)*releaseInterval, 5*time.Second), func() {
+		w.after(min(time.Duration(n)*replaceInterval, 5*time.Second), func() {
 			w.addTarget(a.service, a.zone)
 			a.target.draining = true
 			a.target.announce()
@@ -182,8 +182,8 @@
 	a.target.crash()
 }
 
-// longAmongShort makes one request in twenty take longFactor times as long.
-func (w *world) longAmongShort() { w.longFraction = 0.05 }
+// mixLongRequests makes one request in twenty take longFactor times as long.
+func (w *world) mixLongRequests() { w.longFraction = 0.05 }
 
 // longFactor is how many times longer a long request takes.
 const longFactor = 12
--- a/internal/passthrough/simulation/simulation_test.go
+++ b/internal/passthrough/simulation/simulation_test.go
@@ -13,7 +13,7 @@
 // open and send each submission over a new flow.
 func testDeployment() Deployment {
 	return Deployment{
-		Zones: 3, Balancers: 3, Targets: 7, Archive: 3, Slots: 3, QueueLimit: 12, ColdTime: 2 * time.Second, ColdFactor: 1.6,
+		Zones: 3, Balancers: 3, Targets: 7, Archive: 3, Slots: 3, QueueLimit: 12, ColdTime: 2 * time.Second, ColdSlowdown: 1.6,
 		CallerDelay: time.Millisecond, ZoneDelay: 900 * time.Microsecond, Callers: 99, Retries: 2,
 		Outage: 1200 * time.Millisecond, TableDelay: 500 * time.Millisecond,
 		Classes: []Class{
--- a/internal/passthrough/simulation/target.go
+++ b/internal/passthrough/simulation/target.go
@@ -15,7 +15,7 @@
 	agent     *agent
 	id        string
 	startedAt time.Duration
-	// slowdown multiplies the time of its requests, in addition to ColdFactor.
+	// slowdown multiplies the time of its requests, in addition to ColdSlowdown.
 	slowdown float64
 	up       bool
 	draining bool
@@ -174,7 +174,7 @@
 func (t *target) serviceTime(r *request) time.Duration {
 	duration := float64(r.work) * t.slowdown
 	if t.coldLeft() > 0 {
-		duration *= t.w.d.ColdFactor
+		duration *= t.w.d.ColdSlowdown
 	}
 	return time.Duration(duration)
 }
--- a/internal/proxy/cluster_test.go
+++ b/internal/proxy/cluster_test.go
@@ -119,7 +119,7 @@
 func (c *cluster) runs(id string) int {
 	n := 0
 	for _, h := range c.hosts {
-		n += h.target.Run(id).Runs
+		n += h.target.LedgerEntry(id).Runs
 	}
 	return n
 }
@@ -128,7 +128,7 @@
 func (c *cluster) seen(id string) int {
 	n := 0
 	for _, h := range c.hosts {
-		n += h.target.Run(id).Seen
+		n += h.target.LedgerEntry(id).Seen
 	}
 	return n
 }
@@ -157,7 +157,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan reply, 1)
 	go func() { done <- h.send(ctx, http.MethodPost, "/submit", key, body, HeaderKey, key) }()
-	eventually(h.t, "run", func() bool { return h.target.Run(key).Runs == 1 })
+	eventually(h.t, "run", func() bool { return h.target.LedgerEntry(key).Runs == 1 })
 	cancel()
 	<-done
 }
--- a/internal/proxy/keyed_test.go
+++ b/internal/proxy/keyed_test.go
@@ -166,7 +166,7 @@
 	old := func() time.Duration { return idempotency.MaxTableAge + 1 }
 	c.hosts[0].proxy.cfg.TableAge = old
 	is.Equal(c.hosts[0].submitKeyed("k1", "note").status, http.StatusOK)
-	is.Equal(c.hosts[0].target.Run("k1").Seen, 0)
+	is.Equal(c.hosts[0].target.LedgerEntry("k1").Seen, 0)
 	c.hosts[1].proxy.cfg.TableAge = old
 	c.hosts[2].proxy.cfg.TableAge = old
 	is.Equal(c.hosts[0].submitKeyed("k2", "note").notRun(), string(ReasonKeyTableStale))
--- a/internal/proxy/peer_test.go
+++ b/internal/proxy/peer_test.go
@@ -45,7 +45,7 @@
 	is.True(c.hosts[0].count("peers.handed-over") > 0)
 	elsewhere := 0
 	for _, h := range c.hosts[1:] {
-		elsewhere += len(h.target.Runs())
+		elsewhere += len(h.target.LedgerEntries())
 	}
 	is.True(elsewhere >= 2)
 }
@@ -80,7 +80,7 @@
 	wait.Go(func() { submission = h.submit("s", "note") })
 	wait.Go(func() { h.send(ctx, "GET", "/feed", "f", "", "Accept", eventStream) })
 	for _, id := range []string{"d", "s", "f"} {
-		eventually(t, id, func() bool { return h.target.Run(id).Runs == 1 })
+		eventually(t, id, func() bool { return h.target.LedgerEntry(id).Runs == 1 })
 	}
 	h.proxy.Drain()
 	got := h.submit("new", "note")
@@ -169,9 +169,9 @@
 	for _, got := range c.hosts[0].submitMany(4, "r", "note") {
 		is.Equal(got.status, http.StatusOK)
 	}
-	is.Equal(len(c.hosts[1].target.Runs())+len(c.hosts[2].target.Runs()), 0)
+	is.Equal(len(c.hosts[1].target.LedgerEntries())+len(c.hosts[2].target.LedgerEntries()), 0)
 	for _, h := range c.hosts {
-		for _, r := range h.target.Runs() {
+		for _, r := range h.target.LedgerEntries() {
 			is.Equal(r.Seen, max(r.Runs, 1)) // no target shed a request
 		}
 	}
@@ -270,7 +270,7 @@
 	is.Equal(c.hosts[0].submitKeyed("k1", "note").status, http.StatusOK)
 	c.hosts[0].proxy.Drain()
 	is.Equal(c.hosts[0].submit("r1", "note").status, http.StatusOK)
-	is.Equal(c.hosts[0].target.Run("r1").Seen, 0)
+	is.Equal(c.hosts[0].target.LedgerEntry("r1").Seen, 0)
 
 	files, err = keys.Issue(folder, keys.Balancer, "balancer", loopback)
 	is.NoErr(err)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -32,8 +32,8 @@
 			is.Equal(got.status, http.StatusBadGateway)
 			is.Equal(got.unknown(), string(ReasonConnectionCut))
 			is.Equal(got.notRun(), "")
-			is.Equal(r.target.Run("a").Seen, 1) // never sent twice
-			is.Equal(r.target.Run("a").Runs, c.runs)
+			is.Equal(r.target.LedgerEntry("a").Seen, 1) // never sent twice
+			is.Equal(r.target.LedgerEntry("a").Runs, c.runs)
 		})
 	}
 	t.Run("dead before", func(t *testing.T) {
@@ -44,7 +44,7 @@
 		is.Equal(got.status, http.StatusServiceUnavailable)
 		is.Equal(got.notRun(), string(ReasonUnreachable))
 		is.True(got.header.Get("Retry-After") != "")
-		is.Equal(r.target.Run("a").Seen, 0)
+		is.Equal(r.target.LedgerEntry("a").Seen, 0)
 		is.Equal(r.count("refused.target-unreachable"), int64(1))
 	})
 }
@@ -115,10 +115,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan reply)
 	go func() { done <- r.send(ctx, "POST", "/submit", "a", "note") }()
-	eventually(t, "run", func() bool { return r.target.Run("a").Runs == 1 })
+	eventually(t, "run", func() bool { return r.target.LedgerEntry("a").Runs == 1 })
 	cancel()
 	is.True((<-done).err != nil)
-	eventually(t, "cancel at the target", func() bool { return r.target.Run("a").Cancelled == 1 })
+	eventually(t, "cancel at the target", func() bool { return r.target.LedgerEntry("a").Cancelled == 1 })
 	eventually(t, "slot free", func() bool { return r.proxy.InFlight() == 0 && r.proxy.admitter.freeSlots() == 4 })
 }
 
@@ -131,7 +131,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go r.send(ctx, "POST", "/submit", "long", "x")
-	eventually(t, "long work", func() bool { return r.target.Run("long").Runs == 1 })
+	eventually(t, "long work", func() bool { return r.target.LedgerEntry("long").Runs == 1 })
 
 	late := r.submit("late", "x", HeaderDeadline, "200")
 	is.Equal(late.status, http.StatusServiceUnavailable)
@@ -139,8 +139,8 @@
 	go r.send(ctx, "POST", "/submit", "waiting", "x")
 	eventually(t, "queue", func() bool { return r.proxy.admitter.load().Waiting == 1 })
 	is.Equal(r.submit("over", "x").notRun(), "queue-full")
-	is.Equal(r.target.Run("late").Seen, 0)
-	is.Equal(r.target.Run("over").Seen, 0)
+	is.Equal(r.target.LedgerEntry("late").Seen, 0)
+	is.Equal(r.target.LedgerEntry("over").Seen, 0)
 
 	cancel()
 	eventually(t, "slot", func() bool { return r.proxy.admitter.freeSlots() == 1 })
@@ -150,7 +150,7 @@
 		return ran.notRun() == ""
 	})
 	is.Equal(ran.status, http.StatusGatewayTimeout)
-	eventually(t, "cancel at the target", func() bool { return r.target.Run("ran").Cancelled > 0 })
+	eventually(t, "cancel at the target", func() bool { return r.target.LedgerEntry("ran").Cancelled > 0 })
 }
 
 // Guards against losing a slot to a target that doesn't respond: the caller gets
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -81,7 +81,7 @@
 	Agent      Process
 	octet      int
 	// pastRuns are the ledger entries of the host's earlier targets.
-	pastRuns []target.Run
+	pastRuns []target.LedgerEntry
 }
 
 // Balancer is a VM that runs a balancer.
--- a/internal/scenario/layout.go
+++ b/internal/scenario/layout.go
@@ -90,7 +90,8 @@
 // Address returns the address at which callers reach the service.
 func (s Service) Address(n Net) string { return n.Address(1, s.Port) }
 
-// Names of the presets that every layout has.
+// Names of the presets that every layout has. Under the ordinary preset all weights are
+// 100.
 const (
 	PresetOrdinary    = "ordinary"
 	PresetPeak        = "peak"
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -211,7 +211,7 @@
 	for _, h := range r.Hosts {
 		seen := h.pastRuns
 		if h.Target != nil {
-			seen = append(seen, h.Target.Runs()...)
+			seen = append(seen, h.Target.LedgerEntries()...)
 		}
 		for _, run := range seen {
 			out = append(out, checkRuns(h, run)...)
@@ -220,7 +220,7 @@
 	return out
 }
 
-func checkRuns(h *Host, run target.Run) []check.Run {
+func checkRuns(h *Host, run target.LedgerEntry) []check.Run {
 	execution := check.Run{
 		ID: run.RequestID, Submission: loadgen.SubmissionOf(run.RequestID),
 		Service: h.Service.Name, Host: h.Name, At: run.FirstSeen,
--- a/internal/scenario/steps.go
+++ b/internal/scenario/steps.go
@@ -160,7 +160,7 @@
 	err := h.Target.Stop(ctx)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h.pastRuns = append(h.pastRuns, h.Target.Runs()...)
+	h.pastRuns = append(h.pastRuns, h.Target.LedgerEntries()...)
 	h.Target = nil
 	return err
 }
@@ -176,7 +176,7 @@
 	h.Target.Kill()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h.pastRuns = append(h.pastRuns, h.Target.Runs()...)
+	h.pastRuns = append(h.pastRuns, h.Target.LedgerEntries()...)
 	h.Target = nil
 	return err
 }
--- a/internal/standin/target/faults.go
+++ b/internal/standin/target/faults.go
@@ -73,7 +73,8 @@
 	LoadAge time.Duration
 }
 
-// SetFaults replaces the target's behaviour for later requests.
+// SetFaults replaces the target's faults. Requests in progress keep the previous ones,
+// except that the number of slots changes at once.
 func (t *Target) SetFaults(f Faults) {
 	if f.Slots <= 0 {
 		f.Slots = defaultSlots
@@ -84,7 +85,7 @@
 	t.slots.resize(f.Slots)
 }
 
-// Faults returns the current behaviour.
+// Faults returns the faults that apply to new requests.
 func (t *Target) Faults() Faults {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/standin/target/handlers.go
+++ b/internal/standin/target/handlers.go
@@ -62,7 +62,7 @@
 func (t *Target) withFaults(next func(http.ResponseWriter, *http.Request, Faults)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get(RequestIDHeader)
-		t.ledger.update(id, func(x *Run) { x.Seen++ })
+		t.ledger.update(id, func(x *LedgerEntry) { x.Seen++ })
 		w.Header().Set(ServiceHeader, t.cfg.Service)
 		w.Header().Set(HostHeader, t.cfg.Host)
 		f := t.Faults()
@@ -94,7 +94,7 @@
 		return false
 	}
 	defer t.slots.release()
-	t.ledger.update(id, func(x *Run) { x.Runs++ })
+	t.ledger.update(id, func(x *LedgerEntry) { x.Runs++ })
 	if f.Silent {
 		<-r.Context().Done()
 	}
@@ -102,10 +102,10 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		t.ledger.update(id, func(x *Run) { x.Finished++ })
+		t.ledger.update(id, func(x *LedgerEntry) { x.Finished++ })
 		return true
 	case <-ctx.Done():
-		t.ledger.update(id, func(x *Run) { x.Cancelled++ })
+		t.ledger.update(id, func(x *LedgerEntry) { x.Cancelled++ })
 		http.Error(w, "deadline exceeded", http.StatusGatewayTimeout)
 		return false
 	}
@@ -138,7 +138,7 @@
 		case <-tick.C:
 		case <-r.Context().Done():
 			return
-		case <-t.feedsEnding:
+		case <-t.stopFeeds:
 			_, _ = io.WriteString(w, "event: end\ndata: end\n\n")
 			return
 		}
@@ -187,7 +187,7 @@
 		return
 	}
 	hash := hex.EncodeToString(sum.Sum(nil))
-	t.ledger.update(id, func(x *Run) { x.BodySHA256 = hash })
+	t.ledger.update(id, func(x *LedgerEntry) { x.BodySHA256 = hash })
 	if !t.runInSlot(w, r, f) {
 		return
 	}
--- a/internal/standin/target/ledger.go
+++ b/internal/standin/target/ledger.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Run is the ledger's entry for one request ID.
-type Run struct {
+// LedgerEntry records what happened to the requests with one ID.
+type LedgerEntry struct {
 	RequestID string
 	// FirstSeen is when the first request with the ID arrived.
 	FirstSeen time.Time
@@ -28,11 +28,11 @@
 
 type ledger struct {
 	mu    sync.Mutex
-	runs  []Run
+	list  []LedgerEntry
 	index map[string]int
 }
 
-func (l *ledger) update(id string, f func(*Run)) {
+func (l *ledger) update(id string, f func(*LedgerEntry)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	i, ok := l.index[id]
@@ -40,37 +40,37 @@
 		if l.index == nil {
 			l.index = map[string]int{}
 		}
-		i = len(l.runs)
+		i = len(l.list)
 		l.index[id] = i
-		l.runs = append(l.runs, Run{RequestID: id, FirstSeen: time.Now()})
+		l.list = append(l.list, LedgerEntry{RequestID: id, FirstSeen: time.Now()})
 	}
-	f(&l.runs[i])
+	f(&l.list[i])
 }
 
-func (l *ledger) entries() []Run {
+func (l *ledger) entries() []LedgerEntry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Run(nil), l.runs...)
+	return append([]LedgerEntry(nil), l.list...)
 }
 
-func (l *ledger) entry(id string) Run {
+func (l *ledger) entry(id string) LedgerEntry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if i, ok := l.index[id]; ok {
-		return l.runs[i]
+		return l.list[i]
 	}
-	return Run{RequestID: id}
+	return LedgerEntry{RequestID: id}
 }
 
 // LedgerPage is the JSON answer to GET /_ledger.
 type LedgerPage struct {
 	Service string
 	Host    string
-	Runs    []Run
+	Runs    []LedgerEntry
 }
 
 func (t *Target) handleLedger(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, LedgerPage{Service: t.cfg.Service, Host: t.cfg.Host, Runs: t.Runs()})
+	writeJSON(w, LedgerPage{Service: t.cfg.Service, Host: t.cfg.Host, Runs: t.LedgerEntries()})
 }
 
 func writeJSON(w http.ResponseWriter, v any) {
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -39,13 +39,13 @@
 
 // Target is a running stand-in target.
 type Target struct {
-	cfg         Config
-	listener    net.Listener
-	server      *http.Server
-	started     time.Time
-	feedsEnding chan struct{}
-	ledger      ledger
-	slots       slots
+	cfg       Config
+	listener  net.Listener
+	server    *http.Server
+	started   time.Time
+	stopFeeds chan struct{} // closed to end open feeds
+	ledger    ledger
+	slots     slots
 
 	mu         sync.Mutex
 	faults     Faults
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "target: listen")
 	}
-	t := &Target{cfg: cfg, listener: ln, started: time.Now(), feedsEnding: make(chan struct{})}
+	t := &Target{cfg: cfg, listener: ln, started: time.Now(), stopFeeds: make(chan struct{})}
 	t.SetFaults(cfg.Faults)
 	t.server = &http.Server{Handler: t.routes()}
 	go func() { _ = t.server.Serve(ln) }()
@@ -113,13 +113,13 @@
 	defer t.mu.Unlock()
 	if !t.feedsEnded {
 		t.feedsEnded = true
-		close(t.feedsEnding)
+		close(t.stopFeeds)
 	}
 }
 
-// Runs returns the ledger, in order of first arrival.
-func (t *Target) Runs() []Run { return t.ledger.entries() }
+// LedgerEntries returns the ledger's entries in order of first arrival.
+func (t *Target) LedgerEntries() []LedgerEntry { return t.ledger.entries() }
 
-// Run returns the ledger's entry for a request ID. Its counts are zero if no such
-// request arrived.
-func (t *Target) Run(id string) Run { return t.ledger.entry(id) }
+// LedgerEntry returns the ledger's entry for a request ID. Its counts are zero if no
+// such request arrived.
+func (t *Target) LedgerEntry(id string) LedgerEntry { return t.ledger.entry(id) }
--- a/internal/standin/target/target_test.go
+++ b/internal/standin/target/target_test.go
@@ -67,8 +67,8 @@
 				resp.Body.Close()
 			}
 			is.Equal(err == nil, c.answers)
-			is.Equal(x.Run("a").Seen, 1)
-			is.Equal(x.Run("a").Runs, c.runs)
+			is.Equal(x.LedgerEntry("a").Seen, 1)
+			is.Equal(x.LedgerEntry("a").Runs, c.runs)
 		})
 	}
 }
