--- a/agent/agent.go
+++ b/agent/agent.go
@@ -95,7 +95,7 @@
 		Log:               a.log,
 		Metrics:           a.metrics,
 		// The client is set before the first request arrives.
-		TableAge: func() time.Duration { return a.client.Status().WordAge },
+		TableAge: func() time.Duration { return a.client.Status().ConfirmedAge },
 	}
 	if a.identity != nil {
 		cfg.TLS = &proxy.PeerTLS{Server: a.identity.Server(keys.Agent), Client: a.identity.Client(keys.Agent)}
@@ -140,10 +140,10 @@
 			Slots:       a.settings.Slots,
 			Connections: a.settings.FlowLimit,
 		},
-		Numbered:  a.setAgentNumber,
-		StateFile: a.settings.State,
-		Log:       a.log,
-		Metrics:   a.metrics,
+		OnAgentNumber: a.setAgentNumber,
+		StateFile:     a.settings.State,
+		Log:           a.log,
+		Metrics:       a.metrics,
 	}
 	if a.identity != nil {
 		cfg.TLS = a.identity.Client(keys.Control)
--- a/cmd/bergamotstall/demo.go
+++ b/cmd/bergamotstall/demo.go
@@ -26,7 +26,7 @@
 	net := flags.Uint("net", 0, "use the loopback addresses 127.0.`N`.0/24, N at most 255")
 	verbose := flags.Bool("v", false, "show the log events of all roles")
 	usePlatform := flags.Bool("platform", false, "play pass-through flows on a stand-in of the users' platform, for 20s unless -for says otherwise")
-	scheme := flags.String("scheme", string(standin.Steady), "how the platform's fabric chooses balancers: steady or mod")
+	scheme := flags.String("scheme", string(standin.Rendezvous), "how the platform's fabric chooses balancers: steady or mod")
 	switch err := flags.Parse(args); {
 	case err == flag.ErrHelp:
 		return exitOK
@@ -69,11 +69,11 @@
 	if o.For == 0 {
 		o.For = platformRunTime
 	}
-	if o.Scheme != standin.Steady && o.Scheme != standin.Mod {
-		fmt.Fprintf(errOut, "bergamotstall demo: scheme %q (allowed: %s, %s)\n", o.Scheme, standin.Steady, standin.Mod)
+	if o.Scheme != standin.Rendezvous && o.Scheme != standin.Modulo {
+		fmt.Fprintf(errOut, "bergamotstall demo: scheme %q (allowed: %s, %s)\n", o.Scheme, standin.Rendezvous, standin.Modulo)
 		return exitUsage
 	}
-	if err := standin.PlayDay(ctx, o); err != nil {
+	if err := standin.RunDay(ctx, o); err != nil {
 		fmt.Fprintln(errOut, err)
 		return exitFailed
 	}
--- a/integration/everything_test.go
+++ b/integration/everything_test.go
@@ -35,7 +35,7 @@
 	vm := f.Controls[round]
 	faults := func(context.Context, *scenario.Runner) error {
 		f.Fabric.SetFaults(fabric.Faults{
-			Delay: f.Layout.Delay, Hold: 5 * time.Millisecond, Loss: 0.01, Duplicate: 0.01, Reorder: 0.02,
+			Delay: f.Layout.Delay, ReorderDelay: 5 * time.Millisecond, Loss: 0.01, Duplicate: 0.01, Reorder: 0.02,
 		})
 		return nil
 	}
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -113,8 +113,8 @@
 type Verdict struct {
 	// Promise is a short form of the promise.
 	Promise string
-	// Looked is the number of records checked. With 0, the verdict proves nothing.
-	Looked int
+	// Checked is the number of records checked. With 0, the verdict proves nothing.
+	Checked int
 	// Violations describes the violations, at most MaxListed of them.
 	Violations []string
 	// Count is the number of all violations.
@@ -180,9 +180,9 @@
 func flowsSurvive(r Record, l Limits) Verdict {
 	v := Verdict{Promise: "flows survive planned change"}
 	if l.Unplanned {
-		return v // Looked is 0: not checked
+		return v // Checked is 0: not checked
 	}
-	v.Looked = len(r.Flows)
+	v.Checked = len(r.Flows)
 	for _, f := range r.Flows {
 		if f.Broken {
 			v.addViolation("flow to %s opened %s broke: %s", f.Service, formatTime(f.Opened), f.Reason)
@@ -198,7 +198,7 @@
 		if a.AnsweredBy == "" {
 			continue
 		}
-		v.Looked++
+		v.Checked++
 		if a.AnsweredBy != a.Service {
 			v.addViolation("attempt %s to %s was answered by %s", a.ID, a.Service, a.AnsweredBy)
 		}
@@ -208,7 +208,7 @@
 		if !known {
 			continue
 		}
-		v.Looked++
+		v.Checked++
 		if want != run.Service {
 			v.addViolation("attempt %s to %s ran at %s of %s", run.ID, want, run.Host, run.Service)
 		}
@@ -222,7 +222,7 @@
 		if a.Outcome != Answered {
 			continue
 		}
-		v.Looked++
+		v.Checked++
 		if a.Damaged {
 			v.addViolation("attempt %s to %s: %s", a.ID, a.Service, a.Reason)
 		}
@@ -237,7 +237,7 @@
 		if a.Outcome != NotRun {
 			continue
 		}
-		v.Looked++
+		v.Checked++
 		if n := ran[a.ID]; n > 0 {
 			v.addViolation("attempt %s was refused as not run (%s) but ran %d times", a.ID, a.Reason, n)
 		}
@@ -249,7 +249,7 @@
 	v := Verdict{Promise: "at most once"}
 	ran := runsBySubmission(r.Runs)
 	for _, id := range submissions(r.Attempts) {
-		v.Looked++
+		v.Checked++
 		if n := ran[id]; n > 1 {
 			v.addViolation("submission %s ran %d times", id, n)
 		}
@@ -264,7 +264,7 @@
 		if a.Submission == "" || a.Outcome != Answered {
 			continue
 		}
-		v.Looked++
+		v.Checked++
 		if ran[a.Submission] == 0 {
 			v.addViolation("submission %s was answered but no target ran it", a.Submission)
 		}
@@ -273,7 +273,7 @@
 }
 
 func drainedGetsNoNewWork(r Record, l Limits) Verdict {
-	v := Verdict{Promise: "a leaving target gets nothing new", Looked: len(r.Drains)}
+	v := Verdict{Promise: "a leaving target gets nothing new", Checked: len(r.Drains)}
 	for _, d := range r.Drains {
 		from := d.At.Add(l.DrainTime)
 		for _, run := range r.Runs {
@@ -291,7 +291,7 @@
 	if l.Unplanned {
 		return v
 	}
-	v.Looked = len(r.Attempts)
+	v.Checked = len(r.Attempts)
 	for _, a := range r.Attempts {
 		if a.Outcome == Cut || a.Outcome == Unknown {
 			v.addViolation("attempt %s to %s at %s: %s: %s", a.ID, a.Service, formatTime(a.Began), a.Outcome, a.Reason)
@@ -301,7 +301,7 @@
 }
 
 func switchesInForce(r Record, l Limits) Verdict {
-	v := Verdict{Promise: "a switch is in force within seconds", Looked: len(r.Switches)}
+	v := Verdict{Promise: "a switch is in force within seconds", Checked: len(r.Switches)}
 	for _, s := range r.Switches {
 		if s.Took == 0 || s.Took > l.SwitchTime {
 			v.addViolation("preset %s took %v", s.Preset, s.Took)
@@ -311,7 +311,7 @@
 }
 
 func revisionsNeverDecrease(r Record) Verdict {
-	v := Verdict{Promise: "revisions never fall", Looked: len(r.RevisionSamples)}
+	v := Verdict{Promise: "revisions never fall", Checked: len(r.RevisionSamples)}
 	last := map[string]RevisionSample{}
 	for _, sample := range r.RevisionSamples {
 		previous, seen := last[sample.Balancer]
--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -33,7 +33,7 @@
 	is := is.New(t)
 	for _, v := range All(validRecord(), DefaultLimits()) {
 		is.True(v.Held())
-		is.True(v.Looked > 0) // a check of no records proves nothing
+		is.True(v.Checked > 0) // a check of no records proves nothing
 	}
 }
 
@@ -81,7 +81,7 @@
 	empty := 0
 	for _, v := range All(r, limits) {
 		is.True(v.Held())
-		if v.Looked == 0 {
+		if v.Checked == 0 {
 			empty++
 		}
 	}
--- a/internal/distribution/client.go
+++ b/internal/distribution/client.go
@@ -65,9 +65,9 @@
 	// HeartbeatInterval is the interval between heartbeats; 0 means
 	// DefaultHeartbeatInterval.
 	HeartbeatInterval time.Duration
-	// Numbered, if not nil, is called with each number that control assigns to this
+	// OnAgentNumber, if not nil, is called with each number that control assigns to this
 	// agent. Client.AgentNumber returns the last one.
-	Numbered func(table.AgentNumber)
+	OnAgentNumber func(table.AgentNumber)
 	// StateFile is the file that keeps the last table across restarts; empty for none.
 	StateFile string
 	// Seed seeds the random delays; 0 means a random seed.
@@ -82,8 +82,8 @@
 	Control string
 	// Revision is that of the table in force, 0 before the first one.
 	Revision table.Revision
-	// WordAge is how long ago a quorum was last known to have confirmed the table.
-	WordAge time.Duration
+	// ConfirmedAge is how long ago a quorum was last known to have confirmed the table.
+	ConfirmedAge time.Duration
 	// WithoutControlSince is the time of that confirmation if it is too old, zero while it
 	// is recent.
 	WithoutControlSince time.Time
@@ -154,7 +154,7 @@
 func (c *Client) registerMetrics() {
 	m := c.cfg.Metrics
 	m.Gauge("control_revision", func() int64 { return int64(c.Status().Revision) })
-	m.Gauge("control_word_age_ms", func() int64 { return c.Status().WordAge.Milliseconds() })
+	m.Gauge("control_word_age_ms", func() int64 { return c.Status().ConfirmedAge.Milliseconds() })
 	m.Gauge("control_without_since_unix_ms", func() int64 {
 		since := c.Status().WithoutControlSince
 		if since.IsZero() {
@@ -207,7 +207,7 @@
 	return Status{
 		Control:             c.control,
 		Revision:            c.inForce,
-		WordAge:             time.Since(c.confirmedAt),
+		ConfirmedAge:        time.Since(c.confirmedAt),
 		WithoutControlSince: c.withoutControlSince,
 	}
 }
--- a/internal/distribution/client_stream.go
+++ b/internal/distribution/client_stream.go
@@ -162,8 +162,8 @@
 			return err
 		}
 		s.client.setNumber(n.Agent)
-		if s.client.cfg.Numbered != nil {
-			s.client.cfg.Numbered(n.Agent)
+		if s.client.cfg.OnAgentNumber != nil {
+			s.client.cfg.OnAgentNumber(n.Agent)
 		}
 		return nil
 	case kindPart:
--- a/internal/envelope/envelope.go
+++ b/internal/envelope/envelope.go
@@ -220,11 +220,11 @@
 	if h.Hops, b, err = msgp.ReadUint8Bytes(b); err != nil {
 		return nil, err
 	}
-	handedBy, b, err := msgp.ReadUint32Bytes(b)
+	forwardedBy, b, err := msgp.ReadUint32Bytes(b)
 	if err != nil {
 		return nil, err
 	}
-	h.ForwardedBy = table.AgentNumber(handedBy)
+	h.ForwardedBy = table.AgentNumber(forwardedBy)
 	h.Balancer, b, err = readAddrPort(b)
 	return b, err
 }
--- a/internal/flow/cost_test.go
+++ b/internal/flow/cost_test.go
@@ -126,7 +126,7 @@
 	r.pool.AddCert(cert)
 	flows, err := strconv.Atoi(os.Getenv(farSideFlows))
 	is.NoErr(err)
-	is.NoErr(r.fabric.Open(netip.MustParseAddrPort(r.table.Services[0].Address)))
+	is.NoErr(r.fabric.Listen(netip.MustParseAddrPort(r.table.Services[0].Address)))
 	for _, x := range r.table.Balancers {
 		tunnel := netip.MustParseAddrPort(x.Tunnel)
 		f, err := balancer.NewForwarder(balancer.ForwarderConfig{Bind: tunnel.Addr(), Tunnel: tunnel, Log: discardLog()})
--- a/internal/flow/download_test.go
+++ b/internal/flow/download_test.go
@@ -74,7 +74,7 @@
 	r := standardRig(t, 2, targetHandler)
 	r.fabric.SetFaults(fabric.Faults{
 		Loss: 0.02, Duplicate: 0.1, Reorder: 0.1,
-		Hold: 15 * time.Millisecond, Delay: time.Millisecond,
+		ReorderDelay: 15 * time.Millisecond, Delay: time.Millisecond,
 	})
 	feed := r.openFeed(r.caller(defaultService))
 	r.requireIntact(r.startDownload(r.caller(defaultService)))
--- a/internal/flow/rig_test.go
+++ b/internal/flow/rig_test.go
@@ -114,7 +114,7 @@
 
 func (r *rig) addService(id table.ServiceID, name string) {
 	address := netip.AddrPortFrom(r.ip(), 20000+uint16(id))
-	r.is.NoErr(r.fabric.Open(address))
+	r.is.NoErr(r.fabric.Listen(address))
 	r.table.Services = append(r.table.Services, table.Service{ID: id, Name: name, Address: address.String()})
 }
 
--- a/internal/loadgen/recorder.go
+++ b/internal/loadgen/recorder.go
@@ -51,7 +51,7 @@
 // Mark is a change to the system during the run, such as a drain.
 type Mark struct {
 	At   time.Duration
-	What string
+	Name string
 }
 
 // NewRecorder returns a recorder whose run begins now.
@@ -67,7 +67,7 @@
 func (r *Recorder) Mark(what string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.marks = append(r.marks, Mark{At: time.Since(r.began), What: what})
+	r.marks = append(r.marks, Mark{At: time.Since(r.began), Name: what})
 }
 
 // Record returns the attempts and flows recorded so far, for package check.
--- a/internal/passthrough/agent/agent.go
+++ b/internal/passthrough/agent/agent.go
@@ -161,11 +161,11 @@
 func (a *Agent) Announced(x flowtable.Announcement) flowtable.AnnouncementResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	ruling := a.engine.HandleAnnouncement(a.now(), x)
-	if ruling == flowtable.AnnouncementForOtherTarget {
+	answer := a.engine.HandleAnnouncement(a.now(), x)
+	if answer == flowtable.AnnouncementForOtherTarget {
 		events.Log(a.cfg.Log, events.AnnouncementRefused, logrus.Fields{"target": x.ID, "service": x.Service, "address": x.Address, "reason": "another service or address"})
 	}
-	return ruling
+	return answer
 }
 
 // Left handles a target's announcement that it ends.
--- a/internal/passthrough/agent/output.go
+++ b/internal/passthrough/agent/output.go
@@ -85,8 +85,8 @@
 	return body, true
 }
 
-// Note implements flowtable.Output.
-func (a *Agent) Note(d flowtable.Decision) {
+// LogDecision implements flowtable.Output.
+func (a *Agent) LogDecision(d flowtable.Decision) {
 	a.verdicts[d.Verdict].Add(1)
 	fields := logrus.Fields{"verdict": d.Verdict.String(), "target": d.Target, "born": d.Born, "life_age_ms": d.Age.Milliseconds()}
 	if d.Flow != (packet.Flow{}) {
--- a/internal/passthrough/flowtable/decision.go
+++ b/internal/passthrough/flowtable/decision.go
@@ -23,8 +23,8 @@
 	Reset(f packet.Flow, seq uint32)
 	// Report asks for a report to balancers at once, because something has changed.
 	Report()
-	// Note logs and counts a decision.
-	Note(d Decision)
+	// LogDecision logs and counts a decision.
+	LogDecision(d Decision)
 	// Answered receives the time from a request to the start of its answer, Admitted the
 	// time that a held first packet or request had waited when it was admitted.
 	Answered(took time.Duration)
--- a/internal/passthrough/flowtable/flowtable.go
+++ b/internal/passthrough/flowtable/flowtable.go
@@ -427,5 +427,5 @@
 	if e.target.lastSeenAt > 0 {
 		d.Age = now - e.target.lastSeenAt
 	}
-	e.cfg.Out.Note(d)
+	e.cfg.Out.LogDecision(d)
 }
--- a/internal/passthrough/flowtable/rig_test.go
+++ b/internal/passthrough/flowtable/rig_test.go
@@ -58,7 +58,7 @@
 func (r *rig) Answered(time.Duration) {}
 func (r *rig) Admitted(time.Duration) {}
 func (r *rig) Report()                { r.reports++ }
-func (r *rig) Note(d Decision)        { r.decisions = append(r.decisions, d) }
+func (r *rig) LogDecision(d Decision) { r.decisions = append(r.decisions, d) }
 func (r *rig) Refuse(_ netip.AddrPort, reason peer.Reason, age time.Duration, raw []byte) {
 	r.refused = append(r.refused, refusal{portOf(raw), reason})
 	r.refusedAge = age
--- a/internal/passthrough/peer/peer_test.go
+++ b/internal/passthrough/peer/peer_test.go
@@ -25,9 +25,9 @@
 	is.NoErr(ReadAsk(AppendAsk(nil, qs), func(q Question) { got = append(got, q) }))
 	is.Equal(got, qs)
 	rs := []Answer{{qs[0], Holds}, {qs[1], Unsure}}
-	var gotRulings []Answer
-	is.NoErr(ReadAnswer(AppendAnswer(nil, rs), func(r Answer) { gotRulings = append(gotRulings, r) }))
-	is.Equal(gotRulings, rs)
+	var gotAnswers []Answer
+	is.NoErr(ReadAnswer(AppendAnswer(nil, rs), func(r Answer) { gotAnswers = append(gotAnswers, r) }))
+	is.Equal(gotAnswers, rs)
 }
 
 func TestHeadRoundTrip(t *testing.T) {
--- a/internal/passthrough/simulation/node.go
+++ b/internal/passthrough/simulation/node.go
@@ -232,8 +232,8 @@
 	b.afterIfUp(a.w.networkDelay(a.zone, b.zone), func() { b.engine.HandleReport(a.w.clock(), a.address(), r) })
 }
 
-// Note implements flowtable.Output.
-func (a *agent) Note(flowtable.Decision) {}
+// LogDecision implements flowtable.Output.
+func (a *agent) LogDecision(flowtable.Decision) {}
 
 // Answered implements flowtable.Output.
 func (a *agent) Answered(time.Duration) {}
--- a/internal/proxy/peer_test.go
+++ b/internal/proxy/peer_test.go
@@ -119,7 +119,7 @@
 	is := is.New(t)
 	c := newCluster(t, 3, target.Faults{}, Limits{Slots: 4})
 	h := c.hosts[0]
-	h.target.SetFaults(target.Faults{Cut: target.CutBefore, Health: target.HealthSaysWell})
+	h.target.SetFaults(target.Faults{Cut: target.CutBefore, Health: target.HealthAlwaysOK})
 	failed := 0
 	for i := range 50 {
 		if got := h.submit(fmt.Sprint("s", i), "note"); got.status != http.StatusOK {
@@ -142,7 +142,7 @@
 // requests succeed: requests stay at the target.
 func TestUnhealthyEndpointWhileRequestsPass(t *testing.T) {
 	is := is.New(t)
-	c := newCluster(t, 2, target.Faults{Health: target.HealthSaysIll}, Limits{Slots: 4})
+	c := newCluster(t, 2, target.Faults{Health: target.HealthAlwaysFailing}, Limits{Slots: 4})
 	h := c.hosts[0]
 	h.submit("first", "note")
 	h.proxy.checkHealth(context.Background())
@@ -184,7 +184,7 @@
 	is := is.New(t)
 	c := newCluster(t, 2, target.Faults{}, Limits{Slots: 4})
 	h := c.hosts[0]
-	h.target.SetFaults(target.Faults{Shed: target.ShedAlways, Health: target.HealthSaysWell})
+	h.target.SetFaults(target.Faults{Shed: target.ShedAlways, Health: target.HealthAlwaysOK})
 	got := h.send(context.Background(), "GET", "/download?bytes=10", "d", "")
 	is.Equal(got.header.Get(target.HostHeader), "h2")
 	got = h.submit("s", "note")
--- a/internal/replica/upkeep.go
+++ b/internal/replica/membership_policy.go
@@ -27,9 +27,9 @@
 	// minVotersKept is the number of voters below which eviction doesn't go: with fewer
 	// than three voters, a second loss stops all commands.
 	minVotersKept = 3
-	// upkeepIntervalHeartbeats is the interval between the leader's checks for silent
+	// membershipPolicyIntervalHeartbeats is the interval between the leader's checks for silent
 	// voters.
-	upkeepIntervalHeartbeats = 10
+	membershipPolicyIntervalHeartbeats = 10
 )
 
 // longestSilent returns the voter that has been silent longest, if for at least atLeast.
@@ -114,10 +114,10 @@
 
 // evictSilentVoter removes a voter that has been silent for EvictAfter.
 func (r *Replica) evictSilentVoter() {
-	if r.now() < r.upkeepAt {
+	if r.now() < r.membershipPolicyAt {
 		return
 	}
-	r.upkeepAt = r.now() + upkeepIntervalHeartbeats*r.cfg.Heartbeat
+	r.membershipPolicyAt = r.now() + membershipPolicyIntervalHeartbeats*r.cfg.Heartbeat
 	if !r.core.IsLeader() {
 		return
 	}
--- a/internal/replica/upkeep_test.go
+++ b/internal/replica/membership_policy_test.go
@@ -11,8 +11,8 @@
 	"bergamotstall/internal/raft"
 )
 
-// testUpkeep sets times in proportion to the tests' heartbeat of 20 ms.
-func testUpkeep(c *Config) {
+// testMembershipPolicy sets times in proportion to the tests' heartbeat of 20 ms.
+func testMembershipPolicy(c *Config) {
 	c.MembershipPolicy = MembershipPolicy{ReplaceAfter: 300 * time.Millisecond, EvictAfter: 800 * time.Millisecond}
 }
 
@@ -35,7 +35,7 @@
 // member once it is silent, and the empty disk gets everything that was accepted.
 func TestLostDiskIsReplacedWithoutAnOperator(t *testing.T) {
 	is := is.New(t)
-	members := startThree(t, testUpkeep)
+	members := startThree(t, testMembershipPolicy)
 	mustPropose(t, members[0], "before")
 	lost := members[2]
 	old := lost.ID()
@@ -58,7 +58,7 @@
 // reach the new replica at its address.
 func TestLinksToARemovedReplicaEnd(t *testing.T) {
 	is := is.New(t)
-	members := startThree(t, testUpkeep)
+	members := startThree(t, testMembershipPolicy)
 	lost := members[2]
 	old := lost.ID()
 	is.NoErr(lost.Close())
@@ -76,7 +76,7 @@
 // so no leader, and no command accepted.
 func TestNewVMReplacesSilentVoter(t *testing.T) {
 	is := is.New(t)
-	members := startThree(t, testUpkeep)
+	members := startThree(t, testMembershipPolicy)
 	mustPropose(t, members[0], "before")
 	is.NoErr(members[2].Close())
 	rest := members[:2]
@@ -89,7 +89,7 @@
 		return false
 	})
 	next := newMember(t, members[0].net, "d", members[0].address, members[1].address)
-	testUpkeep(&next.cfg)
+	testMembershipPolicy(&next.cfg)
 	next.start()
 	now := []*member{members[0], members[1], next}
 	waitFor(t, "the successor to become a voter", func() bool { return allSeeVoter(now, next.ID()) && !allSeeVoter(now, members[2].ID()) })
@@ -107,9 +107,9 @@
 // one.
 func TestLostVMIsEvictedAfterSuccessorJoined(t *testing.T) {
 	is := is.New(t)
-	members := startThree(t, testUpkeep)
+	members := startThree(t, testMembershipPolicy)
 	next := newMember(t, members[0].net, "d", members[0].address)
-	testUpkeep(&next.cfg)
+	testMembershipPolicy(&next.cfg)
 	next.start()
 	all := append([]*member{next}, members...)
 	waitVoters(t, all, 4)
@@ -122,9 +122,9 @@
 // comes back after its eviction. It learns that it was removed and stops, so that the
 // process can start it as a new replica.
 func TestEvictedReplicaStops(t *testing.T) {
-	members := startThree(t, testUpkeep)
+	members := startThree(t, testMembershipPolicy)
 	next := newMember(t, members[0].net, "d", members[0].address)
-	testUpkeep(&next.cfg)
+	testMembershipPolicy(&next.cfg)
 	next.start()
 	all := append([]*member{next}, members...)
 	waitVoters(t, all, 4)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -166,19 +166,19 @@
 
 	// The fields below belong to the loop.
 
-	applied      raft.Index
-	waiters      map[raft.Index]waiter
-	forwards     map[uint64]forwarded
-	lastNumber   uint64
-	reads        map[uint64][]*barrier
-	newBarriers  []*barrier
-	indexedReads []indexedRead
-	replacements map[string]replacement
-	leader       raft.ID
-	membersIndex raft.Index
-	wasLeader    bool
-	joinAt       time.Duration
-	upkeepAt     time.Duration
+	applied            raft.Index
+	waiters            map[raft.Index]waiter
+	forwards           map[uint64]forwarded
+	lastNumber         uint64
+	reads              map[uint64][]*barrier
+	newBarriers        []*barrier
+	indexedReads       []indexedRead
+	replacements       map[string]replacement
+	leader             raft.ID
+	membersIndex       raft.Index
+	wasLeader          bool
+	joinAt             time.Duration
+	membershipPolicyAt time.Duration
 }
 
 // Open opens the data folder and starts the replica. The state machine must be empty; it
--- a/internal/report/plots.go
+++ b/internal/report/plots.go
@@ -97,7 +97,7 @@
 		line.Dashes = []vg.Length{vg.Points(2), vg.Points(2)}
 		pl.Add(line)
 		at = append(at, plotter.XY{X: x, Y: maxY * (1 - 0.07*float64(i%8))})
-		texts = append(texts, m.What)
+		texts = append(texts, m.Name)
 	}
 	labels, err := plotter.NewLabels(plotter.XYLabels{XYs: at, Labels: texts})
 	if err != nil {
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -71,7 +71,7 @@
 	if len(p.Marks) > 0 {
 		fmt.Fprint(w, "## What was done\n\n| after | what |\n|---|---|\n")
 		for _, m := range p.Marks {
-			fmt.Fprintf(w, "| %v | %s |\n", m.At.Round(time.Millisecond), m.What)
+			fmt.Fprintf(w, "| %v | %s |\n", m.At.Round(time.Millisecond), m.Name)
 		}
 		fmt.Fprintln(w)
 	}
@@ -95,10 +95,10 @@
 		switch {
 		case !verdict.Held():
 			result = "BROKEN"
-		case verdict.Looked == 0:
+		case verdict.Checked == 0:
 			result = "empty "
 		}
-		fmt.Fprintf(w, "%s  %-38s %7d looked at, %d violations\n", result, verdict.Promise, verdict.Looked, verdict.Count)
+		fmt.Fprintf(w, "%s  %-38s %7d looked at, %d violations\n", result, verdict.Promise, verdict.Checked, verdict.Count)
 		for _, line := range verdict.Violations {
 			fmt.Fprintf(w, "        %s\n", line)
 		}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -24,7 +24,7 @@
 	page := Page{
 		Title: "Trial", Machine: "test", Summary: recorder.Report(),
 		Seconds: []loadgen.Second{{At: 0, Broken: 1}, {At: 1}},
-		Marks:   append(recorder.Marks(), loadgen.Mark{At: time.Second, What: "drain desk-1"}),
+		Marks:   append(recorder.Marks(), loadgen.Mark{At: time.Second, Name: "drain desk-1"}),
 		Shares:  []check.Share{{Service: "desk", Host: "desk-1", Runs: 3}, {Service: "desk", Host: "desk-2", Runs: 1}},
 	}
 	is.NoErr(Write(folder, page))
--- a/internal/scenario/fleet.go
+++ b/internal/scenario/fleet.go
@@ -146,7 +146,7 @@
 	}
 	f.Fabric.SetFaults(fabric.Faults{Delay: c.Layout.Delay})
 	for _, s := range c.Layout.Services {
-		if err := f.Fabric.Open(netip.MustParseAddrPort(s.Address(f.Net))); err != nil {
+		if err := f.Fabric.Listen(netip.MustParseAddrPort(s.Address(f.Net))); err != nil {
 			return f, errors.Wrap(err, "scenario: fabric")
 		}
 	}
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -28,9 +28,9 @@
 // Faults are the network faults injected in each direction.
 type Faults struct {
 	// Loss, Duplicate and Reorder are probabilities for each packet. A reordered
-	// packet is delayed by Hold.
+	// packet is delayed by ReorderDelay.
 	Loss, Duplicate, Reorder float64
-	Hold                     time.Duration
+	ReorderDelay             time.Duration
 	// Delay is the one-way delay added to every packet.
 	Delay time.Duration
 }
@@ -86,9 +86,9 @@
 	}
 }
 
-// Open listens for callers on a service's address and forwards their packets to the
+// Listen listens for callers on a service's address and forwards their packets to the
 // same port of the balancers' addresses.
-func (f *Fabric) Open(address netip.AddrPort) error {
+func (f *Fabric) Listen(address netip.AddrPort) error {
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return errors.Wrapf(ErrOpen, "%v: %v", address, err)
@@ -205,7 +205,7 @@
 		out.copies = 2
 	}
 	if x.Reorder > 0 && f.random.Float64() < x.Reorder {
-		out.delay += x.Hold
+		out.delay += x.ReorderDelay
 	}
 	return out
 }
--- a/internal/standin/fabric/fabric_test.go
+++ b/internal/standin/fabric/fabric_test.go
@@ -49,7 +49,7 @@
 		second:  netip.MustParseAddr("127.0.3.3"),
 	}
 	t.Cleanup(f.Close)
-	is.NoErr(f.Open(f.service))
+	is.NoErr(f.Listen(f.service))
 	for _, ip := range []netip.Addr{f.first, f.second} {
 		c := echo(is, netip.AddrPortFrom(ip, port))
 		t.Cleanup(func() { _ = c.Close() })
@@ -104,7 +104,7 @@
 	is.True(time.Since(start) >= 40*time.Millisecond)
 	f.SetFaults(Faults{Duplicate: 1})
 	is.Equal(f.send(is, 4, replyTimeout), 4) // one packet makes four answers
-	f.SetFaults(Faults{Reorder: 1, Hold: 20 * time.Millisecond})
+	f.SetFaults(Faults{Reorder: 1, ReorderDelay: 20 * time.Millisecond})
 	f.SetFaults(Faults{})
 	f.Silence(f.Callers()[0])
 	_ = f.send(is, 20, 10*time.Millisecond) // discards packets in flight
--- a/internal/standin/target/faults.go
+++ b/internal/standin/target/faults.go
@@ -41,13 +41,13 @@
 
 // Modes of the health endpoint.
 const (
-	// HealthTrue answers 503 while the target sheds every request, drains, drops
+	// HealthAccurate answers 503 while the target sheds every request, drains, drops
 	// connections or is silent, otherwise 200.
-	HealthTrue Health = ""
-	// HealthSaysWell always answers 200.
-	HealthSaysWell Health = "well"
-	// HealthSaysIll always answers 503.
-	HealthSaysIll Health = "ill"
+	HealthAccurate Health = ""
+	// HealthAlwaysOK always answers 200.
+	HealthAlwaysOK Health = "well"
+	// HealthAlwaysFailing always answers 503.
+	HealthAlwaysFailing Health = "ill"
 )
 
 // Faults describes how a target behaves. The zero value is a target without faults. It
--- a/internal/standin/target/handlers.go
+++ b/internal/standin/target/handlers.go
@@ -200,7 +200,7 @@
 func (t *Target) health(w http.ResponseWriter, _ *http.Request) {
 	f := t.Faults()
 	unhealthy := f.Shed == ShedAlways || f.Drain || f.Cut != CutNever || f.Silent
-	if f.Health == HealthSaysIll || (unhealthy && f.Health != HealthSaysWell) {
+	if f.Health == HealthAlwaysFailing || (unhealthy && f.Health != HealthAlwaysOK) {
 		http.Error(w, "ill", http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/standin/target/target_test.go
+++ b/internal/standin/target/target_test.go
@@ -80,7 +80,7 @@
 	is.NoErr(err)
 	defer resp.Body.Close()
 
-	body, err := json.Marshal(Faults{Shed: ShedAlways, Health: HealthSaysWell})
+	body, err := json.Marshal(Faults{Shed: ShedAlways, Health: HealthAlwaysOK})
 	is.NoErr(err)
 	set, err := c.Post("http://"+x.Address()+"/_faults", "application/json", bytes.NewReader(body))
 	is.NoErr(err)
